--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -1,5 +1,7 @@
-//! What the fleet's budgets and its level of admission leave this router. It is told from outside, turn by turn; without that
-//! all is as the router's own limits say. Here it is only applied to one request at a time.
+//! Applies the fleet's budgets and admission level to this router's requests, one at a time.
+//!
+//! The host computes what is left to this router and passes it in at intervals with [`Router::budget`]. Without a budget of
+//! the fleet, only the router's own limits apply. No I/O; the size is bounded by the numbers of workers and zones.
 
 use super::tables::{Request, Worker, rendezvous};
 use super::{Estimate, Router, candidates};
@@ -8,83 +10,85 @@
 use rand_pcg::rand_core::Rng;
 use std::collections::BTreeMap;
 
-/// Tokens of one budget.
+/// Tokens of one budget, and their use since the host last replaced it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tokens {
-    /// In hand.
+    /// Tokens available.
     pub left: u64,
-    /// Taken since the host last asked.
+    /// Tokens taken.
     pub spent: u64,
-    /// Wanted since then, had or not.
+    /// Tokens asked for, whether one was available or not.
     pub wanted: u64,
 }
 
 impl Tokens {
-    /// Takes one, if there is one.
+    /// Takes a token if one is available; returns whether it did.
     fn take(&mut self) -> bool {
         self.wanted += 1;
-        let has = self.left > 0;
-        self.left -= u64::from(has);
-        self.spent += u64::from(has);
-        has
+        let available = self.left > 0;
+        self.left -= u64::from(available);
+        self.spent += u64::from(available);
+        available
     }
 }
 
-/// A zone to which less than the usual goes.
+/// Limit on the requests sent to a zone whose traffic is reduced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneGate {
-    /// Requests that may go there now.
+    /// Requests that may still be sent to the zone.
     pub left: u64,
-    /// Those that did.
+    /// Requests sent to the zone.
     pub got: u64,
-    /// Some should, whatever else is nearer or warmer: the fleet judges by their answers.
+    /// Whether requests are sent there as probes even if other workers are nearer or warmer: the fleet judges the zone by
+    /// their answers.
     pub wanted: bool,
 }
 
-/// What is left.
+/// What the fleet leaves to this router, and what this router has used of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
-    /// Workers that the fleet takes back with care: how many requests each may get now, and how many it got.
+    /// Workers that the fleet readmits in a slow start: requests that each may still get, and requests that it got.
     pub gates: BTreeMap<WorkerId, (u64, u64)>,
-    /// Zones to which less than the usual goes, by place.
+    /// Zones with reduced traffic, by index.
     pub zones: BTreeMap<usize, ZoneGate>,
-    /// Second and later tries at workers; `None`: the fleet has no budget for them.
+    /// Tokens for second and later attempts; `None` if the fleet sets no budget for them.
     pub resends: Option<Tokens>,
-    /// Orders to load.
+    /// Tokens for load orders; `None` if the fleet sets no budget for them.
     pub orders: Option<Tokens>,
-    /// The level of admission, and how long those stay away that it turns away.
+    /// Admission level: requests whose standing is below it are shed; 0 sheds none.
     pub level: u8,
-    /// See `level`.
+    /// Mean of the retry-after times given to requests that the level sheds.
     pub back: Micros,
-    /// The worth of what wanted a resend since the host last asked, in hundredths of the highest: the most of it.
+    /// Highest worth among the requests that asked for a resend since the host last replaced the budget, in hundredths of the
+    /// highest worth of any class.
     pub worth: u32,
-    /// Requests that the level turned away since then, and the highest standing among them.
+    /// Requests shed by the level since then.
     pub shed: u64,
-    /// See `shed`.
+    /// Highest standing among the requests shed.
     pub shed_up_to: u8,
 }
 
 impl Budget {
-    /// Whether a request of this worth may be sent again; a first try always may.
+    /// Returns whether a request of this worth may be sent, and takes a token for a resend. A first attempt is always allowed.
     pub(super) fn resend(&mut self, again: bool, worth: f64) -> bool {
         let Some(tokens) = self.resends.as_mut().filter(|_| again) else { return true };
         self.worth = self.worth.max((worth * 100.0) as u32);
-        // The last tokens in hand are kept for what is worth most.
-        let kept = if worth < 1.0 { tokens.left.min(2) / 2 } else { 0 };
-        if tokens.left <= kept {
+        // The last token is reserved for requests of the highest worth.
+        let reserved = if worth < 1.0 { tokens.left.min(2) / 2 } else { 0 };
+        if tokens.left <= reserved {
             tokens.wanted += 1;
             return false;
         }
         tokens.take()
     }
 
-    /// Whether a worker may get a request now.
+    /// Returns whether the gates of the worker and of its zone allow another request.
     pub(super) fn open(&self, worker: &Worker) -> bool {
         self.gates.get(&worker.id).is_none_or(|(left, _)| *left > 0)
             && self.zones.get(&worker.zone).is_none_or(|gate| gate.left > 0)
     }
 
-    /// It gets one.
+    /// Counts a request sent to the worker against its gate and that of its zone.
     pub(super) fn enter(&mut self, worker: &Worker) {
         if let Some((left, got)) = self.gates.get_mut(&worker.id) {
             (*left, *got) = (left.saturating_sub(1), *got + 1);
@@ -94,12 +98,12 @@
         }
     }
 
-    /// Whether an order to load may be given.
+    /// Returns whether a load order may be sent, and takes a token for it.
     pub(super) fn order(&mut self) -> bool {
         self.orders.as_mut().is_none_or(Tokens::take)
     }
 
-    /// A client's own retry, which is no one's to allow: it counts all the same.
+    /// Counts a client's own retry as a resend. It cannot be prevented here, but it adds to the load like any other.
     pub(super) fn came_again(&mut self) {
         if let Some(tokens) = &mut self.resends {
             tokens.take();
@@ -108,64 +112,69 @@
 }
 
 impl Router {
-    /// What may be spent from now on; what was spent before.
+    /// Replaces the budget and returns the previous one with what was used of it.
     pub fn budget(&mut self, next: Budget) -> Budget {
         for (zone, gate) in &next.zones {
-            // Danger: what failed before a zone was left would keep this router from it for long. The fleet lets it in again: it is tried.
-            if gate.left > 0 && self.budget.zones.get(zone).is_some_and(|last| last.left == 0) {
+            // When the fleet readmits a zone, its failures and slowness are forgotten. Otherwise what was observed before it
+            // was shut would keep this router from sending requests there for long.
+            if gate.left > 0 && self.budget.zones.get(zone).is_some_and(|previous| previous.left == 0) {
                 self.zones.remove(zone);
-                for (slot, w) in self.workers.iter_mut().enumerate().filter(|(_, w)| w.zone == *zone) {
-                    w.lost.fill(Default::default());
-                    w.slow = Default::default();
-                    self.fleet.update(slot, w, self.now);
+                let workers = self.workers.iter_mut().enumerate();
+                for (slot, worker) in workers.filter(|(_, worker)| worker.zone == *zone) {
+                    worker.lost.fill(Default::default());
+                    worker.slow = Default::default();
+                    self.fleet.update(slot, worker, self.now);
                 }
             }
         }
         std::mem::replace(&mut self.budget, Budget { worth: 0, shed: 0, shed_up_to: 0, ..next })
     }
 
-    /// A first try that may be repeated and goes to a zone which the fleet tries, if it can be in time there: its smallest estimate.
+    /// Chooses a worker for a probe of a zone that the fleet tests: the one with the smallest estimate there, if it meets the
+    /// deadline. Only first attempts of idempotent requests are used, since a failed one is safe to repeat elsewhere.
     pub(super) fn trial(&mut self, request: &Request) -> Option<Estimate> {
-        let may = request.attempts.is_empty() && request.rules.effect == Effect::Idempotent;
-        if !may || !self.budget.zones.values().any(|g| g.wanted && g.left > 0) {
+        let repeatable = request.attempts.is_empty() && request.rules.effect == Effect::Idempotent;
+        if !repeatable || !self.budget.zones.values().any(|gate| gate.wanted && gate.left > 0) {
             return None;
         }
         let known = self.known(request.function);
-        let ranks = self.ranks(request.function, known.homes);
-        let wanted = |zone: &usize| self.budget.zones.get(zone).is_some_and(|g| g.wanted && g.left > 0);
-        let there = (0..self.workers.len()).filter(|w| wanted(&self.workers[*w].zone));
-        let left = request.deadline.saturating_sub(self.now) as f64;
-        let estimate = |w| self.estimate(request, w, candidates::rank(&ranks, w), &known);
-        let fits = there.filter_map(estimate).filter(|e| e.total <= left);
-        fits.min_by(|a, b| a.total.total_cmp(&b.total))
+        let ranks = self.home_ranks(request.function, known.homes);
+        let probed =
+            |zone: &usize| self.budget.zones.get(zone).is_some_and(|gate| gate.wanted && gate.left > 0);
+        let workers = (0..self.workers.len()).filter(|worker| probed(&self.workers[*worker].zone));
+        let time_left = request.deadline.saturating_sub(self.now) as f64;
+        let estimate = |worker| self.estimate(request, worker, candidates::rank_of(&ranks, worker), &known);
+        let in_time = workers.filter_map(estimate).filter(|estimate| estimate.total <= time_left);
+        in_time.min_by(|a, b| a.total.total_cmp(&b.total))
     }
 
-    /// A class's worth against the highest.
+    /// Returns a class's credit relative to the highest of any class, from 0 to 1.
     pub(super) fn worth(&self, class: usize) -> f64 {
-        let most = self.set.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
-        (self.set.classes[class].credit / most).clamp(0.0, 1.0)
+        let max = self.set.classes.iter().map(|class| class.credit).fold(f64::MIN_POSITIVE, f64::max);
+        (self.set.classes[class].credit / max).clamp(0.0, 1.0)
     }
 
-    /// Whether the fleet's level turns the request away before anything of it ran, and for how long it should stay away: spread
-    /// over the time of recovery, so that all do not come back at one moment.
+    /// Returns the retry-after time if the fleet's admission level sheds the request. Only requests without an attempt are
+    /// shed. The times are spread over the time of recovery, at random from half to one and a half times [`Budget::back`], so
+    /// that shed requests do not all return at once.
     pub(super) fn sheds(&mut self, request: &Request) -> Option<Micros> {
         if self.budget.level == 0 || !request.attempts.is_empty() {
             return None;
         }
         let credit = |class: usize| self.set.classes[class].credit;
-        let mut below: Vec<f64> = self.set.classes.iter().map(|c| c.credit).collect();
-        below.sort_by(f64::total_cmp);
-        below.dedup();
-        let place = below.iter().filter(|c| **c < credit(request.class)).count();
+        let mut credits: Vec<f64> = self.set.classes.iter().map(|class| class.credit).collect();
+        credits.sort_by(f64::total_cmp);
+        credits.dedup();
+        let rank = credits.iter().filter(|other| **other < credit(request.class)).count();
         let id = &self.functions[request.function].id;
-        let standing = admission::standing(place, below.len(), request.over_quota, rendezvous(id, id));
+        let standing = admission::standing(rank, credits.len(), request.over_quota, rendezvous(id, id));
         if admission::admits(self.budget.level, standing) {
             return None;
         }
         self.budget.shed += 1;
         self.budget.shed_up_to = self.budget.shed_up_to.max(standing);
-        let back = self.budget.back;
-        Some((back / 2 + u64::from(self.rng.next_u32()) % (back + 1)).min(self.set.max_retry_after))
+        let mean = self.budget.back;
+        Some((mean / 2 + u64::from(self.rng.next_u32()) % (mean + 1)).min(self.set.max_retry_after))
     }
 }
 
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -1,106 +1,109 @@
-//! Which workers a request can go to, without looking at all of them.
+//! Finds the best worker for a request without estimating every worker of the fleet.
 //!
-//! Two kinds of worker matter to a choice. Those at which a replica of the function is believed to stand or to be loaded are
-//! few, and each is estimated. All others are taken in the order in which all dispatchers prefer them for the function: the
-//! first of them, its homes, may hold a replica that others keep, which is the less likely the later they come; the rest would
-//! have to load it, and differ only in how slow they are, in what is under way there, and in risks that add to an estimate.
-//! So no worker that has not been taken yet finishes before [`Search::floor`], which rises from one home to the next and
-//! follows from the fastest of all workers. Where that bound does not settle a question, workers are estimated in the order
-//! of their own mean slowness for as long as one of those left could still be better. What is found is therefore what a look
-//! at every worker would find, exactly; that look is kept as [`scan`], by which the tests and a benchmark judge the search.
+//! The search distinguishes two kinds of worker. Workers that, by this router's own observations, hold or load a replica of
+//! the function are few, and each is estimated. All others are visited in the preference order that all dispatchers share
+//! for the function. The first of them are its homes, which may hold a replica kept by other dispatchers; the chance of
+//! that falls along the order. The rest would have to load the function and differ only in slowness, in pending work, and
+//! in risks that can only raise an estimate. No unvisited worker can therefore finish before [`Search::unvisited_bound`],
+//! which follows from the fastest worker of the fleet and rises from one home to the next. Where that bound does not settle
+//! the question, workers are estimated in the order of their own mean slowness for as long as one of those left could be
+//! better. The result is exactly that of estimating every worker. [`estimate_all`] does the latter; tests and a benchmark
+//! compare the search with it.
 //!
-//! No I/O, the clock passed in. What a search costs grows with the workers that hold the function and with the logarithm of
-//! the fleet; where much of the fleet is failing, or nearly all of it is slow, it may come to an estimate of each worker.
+//! No I/O; the clock is passed in. The cost grows with the number of workers that hold the function and with the logarithm
+//! of the fleet's size. Where much of the fleet is failing or nearly all of it is slow, every worker may be estimated.
 
 use super::tables::{Function, Request, Worker, rendezvous};
 use super::{DOUBT, Estimate, PRIOR_FOUND, Router, Warmth, preference};
 use crate::api::{FunctionId, Micros};
 use std::cell::OnceCell;
 
-/// Workers in the order of preference that are tried before the bound is made exact.
-const FIRST_TRIES: usize = 16;
-/// So many of the preferred workers of a function are found at once, and so many are kept at the most.
-const FIRST_PREFERRED: usize = 8;
-const MOST_PREFERRED: usize = 4_096;
-/// Up to so many listed workers the order of preference is that of rendezvous over all: it costs no more there than the ring,
-/// and the homes of functions are those that earlier versions knew.
+/// Workers visited in preference order before the bound is made exact.
+const MAX_BOUNDED_VISITS: usize = 16;
+/// Least number of a function's preferred workers that are looked up and cached at once.
+const MIN_PREFERRED_CACHED: usize = 8;
+/// Limit of cached preferred workers per function.
+const MAX_PREFERRED_CACHED: usize = 4_096;
+/// Up to this number of listed workers, the preference order is rendezvous hashing over all of them: it costs no more there
+/// than the ring, and functions keep the homes that earlier versions gave them.
 pub(super) const MOST_RANKED: usize = 256;
-/// What rounding may take from a bound, as a share of it.
-const ROUNDING: f64 = 1e-9;
+/// Relative margin by which bounds are lowered, so that floating-point rounding cannot make one too high.
+const ROUNDING_MARGIN: f64 = 1e-9;
 
-/// What all estimates of a choice have in common.
+/// Inputs that all estimates of one choice share.
 #[derive(Default)]
 pub(super) struct Known {
-    /// All routers' requests for the function, and the number of its homes.
+    /// Rate of requests for the function at all routers together, per microsecond.
     pub(super) rate: f64,
+    /// Number of the function's homes.
     pub(super) homes: f64,
-    /// The chance that the function is found at one of its homes, if that had all the time for it.
+    /// Probability that a home which had enough time to load the function holds it.
     pub(super) found: f64,
-    /// What workers' answers say of all, and how much that counts.
+    /// Sum of the observed slowness of all workers, and the weight of that sum in samples.
     pub(super) peers: (f64, f64),
-    /// No worker of which this router knows nothing is expected to be faster.
-    pub(super) least_expected: f64,
-    /// What all workers that are up can do, in warm ones.
+    /// Lower bound of the slowness expected of any worker without observations of its own.
+    pub(super) min_expected_slowness: f64,
+    /// Capacity of all workers that are up, in units of one warm worker; computed on first use.
     pub(super) capacity: OnceCell<f64>,
 }
 
-/// Where a worker stands among those that are preferred for a function.
+/// Position of a worker in a function's preference order.
 pub(super) struct Rank {
     pub(super) worker: usize,
-    /// Workers before it: those that are up, all, and when the last of those that are not fell.
+    /// Number of workers before it that are up.
     pub(super) up: f64,
+    /// Number of all workers before it.
     pub(super) all: f64,
+    /// Latest time at which one of the workers before it went down, among those that are down; 0 for none.
     pub(super) fell: Micros,
 }
 
-/// The estimates of all workers that may take a request: those that need no load, and those that do, each in the order of
-/// their slots.
+/// Estimates of all workers that may take a request, by whether a load is needed, each in the order of slots.
 pub(super) struct Estimates {
-    /// Those that hold the function, or probably do.
+    /// Workers that hold the function, or probably do.
     pub(super) warm: Vec<Estimate>,
-    /// Those that would load it.
+    /// Workers that would have to load it.
     pub(super) cold: Vec<Estimate>,
 }
 
 impl Estimates {
-    fn of(all: impl Iterator<Item = Estimate>) -> Estimates {
-        let (cold, warm) = all.partition(|e| e.cold);
+    fn partition(all: impl Iterator<Item = Estimate>) -> Estimates {
+        let (cold, warm) = all.partition(|estimate| estimate.cold);
         Estimates { warm, cold }
     }
 }
 
-/// A look at every worker.
-pub(super) fn scan(router: &Router, request: &Request, known: &Known, ranks: &[Rank]) -> Estimates {
-    let of = |worker| router.estimate(request, worker, rank(ranks, worker), known);
-    Estimates::of((0..router.workers.len()).filter_map(of))
+/// Estimates every worker of the fleet: the reference for [`Search`].
+pub(super) fn estimate_all(router: &Router, request: &Request, known: &Known, ranks: &[Rank]) -> Estimates {
+    let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), known);
+    Estimates::partition((0..router.workers.len()).filter_map(estimate))
 }
 
-/// The rank of a worker among those that were found by preference, which are in the order of their slots.
-pub(super) fn rank(ranks: &[Rank], worker: usize) -> Option<&Rank> {
-    ranks.binary_search_by_key(&worker, |r| r.worker).ok().map(|place| &ranks[place])
+/// Returns the rank of a worker in `ranks`, which are sorted by slot.
+pub(super) fn rank_of(ranks: &[Rank], worker: usize) -> Option<&Rank> {
+    ranks.binary_search_by_key(&worker, |rank| rank.worker).ok().map(|index| &ranks[index])
 }
 
-/// A search for the best worker of a request.
+/// Search for the best worker for a request; see the module documentation.
 pub(super) struct Search<'a> {
     router: &'a Router,
     request: &'a Request,
     known: &'a Known,
-    /// Workers that hold a replica, by what this router knows, in the order of their slots; and estimates of those that may
-    /// take the request.
+    /// Workers that hold or load a replica by this router's own observations, sorted by slot.
     holders: Vec<usize>,
-    /// Estimates of workers that need no load: of the holders, and of homes that have been taken.
+    /// Estimates of workers that need no load: holders, and visited homes that probably have a replica.
     pub(super) warm: Vec<Estimate>,
-    /// Estimates of workers that have been taken and would load the function, the most preferred first.
+    /// Estimates of visited workers that would have to load the function, the most preferred first.
     cold: Vec<Estimate>,
-    /// All others, the most preferred first; how many have been taken, and how many of those were up.
-    order: Box<dyn Iterator<Item = usize> + 'a>,
-    taken: usize,
-    up: f64,
-    /// When the last of those that are not up fell.
-    fell: Micros,
-    /// The time of a load, and of a run at a slowness of one.
-    load: f64,
-    run: f64,
+    /// Workers not visited yet, the most preferred first.
+    unvisited: Box<dyn Iterator<Item = usize> + 'a>,
+    visited: usize,
+    visited_up: f64,
+    /// Latest time at which one of the visited workers that are down went down.
+    last_down_at: Micros,
+    load_time: f64,
+    /// Run time at a slowness of 1.
+    run_time: f64,
 }
 
 impl<'a> Search<'a> {
@@ -109,11 +112,13 @@
         let function = &router.functions[request.function];
         let holds = |worker: &usize| {
             let mark = router.workers[*worker].marks.get(&request.function);
-            mark.is_some_and(|m| !matches!(router.warmth(m), Warmth::Cold))
+            mark.is_some_and(|mark| !matches!(router.warmth(mark), Warmth::Cold))
         };
-        let mut holders: Vec<usize> = function.holders.iter().map(|w| *w as usize).filter(holds).collect();
+        let mut holders: Vec<usize> =
+            function.holders.iter().map(|worker| *worker as usize).filter(holds).collect();
         holders.sort_unstable();
-        let warm = holders.iter().filter_map(|w| router.estimate(request, *w, None, known)).collect();
+        let warm =
+            holders.iter().filter_map(|worker| router.estimate(request, *worker, None, known)).collect();
         Search {
             router,
             request,
@@ -121,181 +126,200 @@
             holders,
             warm,
             cold: Vec::new(),
-            order: Box::new(router.preferred(function)),
-            taken: 0,
-            up: 0.0,
-            fell: 0,
-            load: router.whole_load(request),
-            run: function.run * request.size.size,
+            unvisited: Box::new(router.preferred_workers(function)),
+            visited: 0,
+            visited_up: 0.0,
+            last_down_at: 0,
+            load_time: router.whole_load(request),
+            run_time: function.run * request.size.size,
         }
     }
 
-    /// Whether workers that come next may still be homes.
-    fn at_homes(&self) -> bool {
-        self.up < self.known.homes && self.taken < self.router.ring.count()
+    /// Returns whether the next worker in preference order is still a home.
+    fn homes_remain(&self) -> bool {
+        self.visited_up < self.known.homes && self.visited < self.router.ring.count()
     }
 
-    /// The chance that a replica is found at the next worker or at any after it is no higher than this.
-    fn most_found(&self) -> f64 {
+    /// Returns an upper bound of the chance that the next worker, or any after it, holds a replica.
+    fn max_found_chance(&self) -> f64 {
         let homes = self.known.homes;
-        if self.at_homes() { self.known.found * (-self.router.thin * self.up / homes).exp() } else { 0.0 }
+        if self.homes_remain() {
+            self.known.found * (-self.router.thin * self.visited_up / homes).exp()
+        } else {
+            0.0
+        }
     }
 
-    /// No worker whose own mean slowness is `slowness` or more, and that finds a replica with a chance of `found` at the most,
-    /// finishes before this.
-    fn bound(&self, found: f64, slowness: f64) -> f64 {
-        let run = self.run * slowness.min(self.known.least_expected);
-        (self.router.set.tick as f64 + (1.0 - found) * self.load + run) * (1.0 - ROUNDING)
+    /// Returns a lower bound of the finish of any worker whose own mean slowness is at least `slowness` and that holds a
+    /// replica with a chance of at most `found`.
+    fn finish_bound(&self, found: f64, slowness: f64) -> f64 {
+        let run_time = self.run_time * slowness.min(self.known.min_expected_slowness);
+        (self.router.set.tick as f64 + (1.0 - found) * self.load_time + run_time) * (1.0 - ROUNDING_MARGIN)
     }
 
-    fn fastest(&self) -> f64 {
-        self.router.fleet.slowness_range().map_or(f64::INFINITY, |(least, _)| least)
+    fn min_slowness(&self) -> f64 {
+        self.router.fleet.slowness_range().map_or(f64::INFINITY, |(min, _)| min)
     }
 
-    /// No worker that has not been taken yet finishes before this.
-    fn floor(&self) -> f64 {
-        self.bound(self.most_found(), self.fastest())
+    /// Returns a lower bound of the finish of any unvisited worker.
+    fn unvisited_bound(&self) -> f64 {
+        self.finish_bound(self.max_found_chance(), self.min_slowness())
     }
 
-    /// Nor does one of them that would load the function finish before this.
-    fn cold_floor(&self) -> f64 {
-        self.bound(self.most_found().min(PRIOR_FOUND), self.fastest())
+    /// Returns a lower bound of the finish of any unvisited worker that would have to load the function.
+    fn unvisited_cold_bound(&self) -> f64 {
+        self.finish_bound(self.max_found_chance().min(PRIOR_FOUND), self.min_slowness())
     }
 
-    /// Takes the next worker in the order of preference; false where there is none.
-    fn take(&mut self) -> bool {
-        let Some(worker) = self.order.next() else { return false };
-        let rank = Rank { worker, up: self.up, all: self.taken as f64, fell: self.fell };
-        let rank = Some(&rank).filter(|_| self.at_homes());
-        if !self.holds(worker)
+    /// Visits the next worker in preference order and records its estimate; returns false if none is left.
+    fn visit_next(&mut self) -> bool {
+        let Some(worker) = self.unvisited.next() else { return false };
+        let rank = Rank { worker, up: self.visited_up, all: self.visited as f64, fell: self.last_down_at };
+        let rank = Some(&rank).filter(|_| self.homes_remain());
+        if !self.is_holder(worker)
             && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.known)
         {
             if estimate.cold { self.cold.push(estimate) } else { self.warm.push(estimate) }
         }
-        let taken = &self.router.workers[worker];
-        (self.up, self.fell) =
-            if taken.up { (self.up + 1.0, self.fell) } else { (self.up, self.fell.max(taken.fell)) };
-        self.taken += 1;
+        let visited = &self.router.workers[worker];
+        (self.visited_up, self.last_down_at) = if visited.up {
+            (self.visited_up + 1.0, self.last_down_at)
+        } else {
+            (self.visited_up, self.last_down_at.max(visited.fell))
+        };
+        self.visited += 1;
         true
     }
 
-    /// Takes homes while one that is left could come before the least key of those that need no load.
+    /// Visits homes for as long as one that is left could have a smaller key than all workers found to need no load.
     pub(super) fn take_warm(&mut self, key: impl Fn(&Estimate) -> f64) {
-        let mut least = least(&self.warm, &key);
-        while self.at_homes() && self.most_found() > PRIOR_FOUND && self.floor() <= least {
+        let mut min_key = least(&self.warm, &key);
+        while self.homes_remain()
+            && self.max_found_chance() > PRIOR_FOUND
+            && self.unvisited_bound() <= min_key
+        {
             let before = self.warm.len();
-            if !self.take() {
+            if !self.visit_next() {
                 return;
             }
-            least = self.warm[before..].iter().map(&key).fold(least, f64::min);
+            min_key = self.warm[before..].iter().map(&key).fold(min_key, f64::min);
         }
     }
 
-    /// Whether any worker that would load the function finishes before `bound`.
+    /// Returns whether any worker that would have to load the function finishes before `bound`.
     pub(super) fn any_cold_before(&mut self, bound: f64) -> bool {
-        for _ in 0..FIRST_TRIES {
-            if self.least_cold() < bound {
+        for _ in 0..MAX_BOUNDED_VISITS {
+            if self.min_cold_finish() < bound {
                 return true;
             }
-            if self.cold_floor() >= bound || !self.take() {
+            if self.unvisited_cold_bound() >= bound || !self.visit_next() {
                 return false;
             }
         }
-        self.take_homes();
-        self.least_cold() < bound || self.others(|| bound).any(|e| e.key() < bound)
+        self.visit_remaining_homes();
+        self.min_cold_finish() < bound || self.non_homes(|| bound).any(|estimate| estimate.key() < bound)
     }
 
-    fn least_cold(&self) -> f64 {
+    fn min_cold_finish(&self) -> f64 {
         least(&self.cold, Estimate::key)
     }
 
-    fn take_homes(&mut self) {
-        while self.at_homes() && self.take() {}
+    fn visit_remaining_homes(&mut self) {
+        while self.homes_remain() && self.visit_next() {}
     }
 
-    /// Estimates those that are no homes, whether they have been taken or not, the fastest first, while one of those left
-    /// could finish before `bound`; all homes must have been taken.
-    fn others(&self, bound: impl Fn() -> f64) -> impl Iterator<Item = Estimate> {
-        let mut taken: Vec<usize> = self.warm.iter().chain(&self.cold).map(|e| e.worker).collect();
-        taken.sort_unstable();
-        let new = move |worker: &usize| taken.binary_search(worker).is_err() && !self.holds(*worker);
-        let all = self.router.fleet.by_slowness();
-        all.take_while(move |(slowness, _)| self.bound(0.0, *slowness) < bound())
+    /// Estimates workers that are neither holders nor homes and have no estimate yet, the fastest first, for as long as one
+    /// of those left could finish before `bound`. All homes must have been visited.
+    fn non_homes(&self, bound: impl Fn() -> f64) -> impl Iterator<Item = Estimate> {
+        let mut estimated: Vec<usize> =
+            self.warm.iter().chain(&self.cold).map(|estimate| estimate.worker).collect();
+        estimated.sort_unstable();
+        let is_new =
+            move |worker: &usize| estimated.binary_search(worker).is_err() && !self.is_holder(*worker);
+        let workers = self.router.fleet.by_slowness();
+        workers
+            .take_while(move |(slowness, _)| self.finish_bound(0.0, *slowness) < bound())
             .map(|(_, worker)| worker)
-            .filter(new)
+            .filter(is_new)
             .filter_map(|worker| self.router.estimate(self.request, worker, None, self.known))
     }
 
-    /// Whether a worker holds a replica, by what this router knows.
-    fn holds(&self, worker: usize) -> bool {
+    /// Returns whether the worker holds or loads a replica by this router's own observations.
+    fn is_holder(&self, worker: usize) -> bool {
         self.holders.binary_search(&worker).is_ok()
     }
 
-    /// The first worker in the order of preference that would load the function and finishes at most `tie` after the least
-    /// finish of any such.
+    /// Returns the first worker in preference order that would have to load the function and finishes at most `tie` after
+    /// the earliest finish of all such workers.
     pub(super) fn first_cold(&mut self, tie: f64) -> Option<Estimate> {
-        for _ in 0..FIRST_TRIES {
-            // Whoever is not surely too slow is the one, or can't be told by bounds.
-            let most = self.least_cold() + tie;
-            let open = self.cold.iter().find(|e| e.key() <= most);
-            let least = self.least_cold().min(self.cold_floor());
-            if let Some(found) = open.filter(|e| e.key() <= least + tie) {
+        for _ in 0..MAX_BOUNDED_VISITS {
+            // The first worker within the tie of the best visited so far is the result if it is also within the tie of the
+            // lower bound of all unvisited workers. Otherwise the bound cannot decide yet.
+            let max_finish = self.min_cold_finish() + tie;
+            let candidate = self.cold.iter().find(|estimate| estimate.key() <= max_finish);
+            let min_finish = self.min_cold_finish().min(self.unvisited_cold_bound());
+            if let Some(found) = candidate.filter(|estimate| estimate.key() <= min_finish + tie) {
                 return Some(*found);
             }
-            if !self.take() {
+            if !self.visit_next() {
                 break;
             }
         }
-        // The least finish, exactly: whoever could be below the least that was found is estimated.
-        self.take_homes();
-        let least = std::cell::Cell::new(self.least_cold());
-        self.others(|| least.get()).for_each(|e| least.set(least.get().min(e.key())));
-        let (most, mut from) = (least.get() + tie, 0);
+        // Makes the earliest finish exact: every worker that could be below the earliest found so far is estimated.
+        self.visit_remaining_homes();
+        let min_finish = std::cell::Cell::new(self.min_cold_finish());
+        self.non_homes(|| min_finish.get())
+            .for_each(|estimate| min_finish.set(min_finish.get().min(estimate.key())));
+        let (max_finish, mut checked) = (min_finish.get() + tie, 0);
         loop {
-            if let Some(found) = self.cold[from..].iter().find(|e| e.key() <= most) {
+            if let Some(found) = self.cold[checked..].iter().find(|estimate| estimate.key() <= max_finish) {
                 return Some(*found);
             }
-            from = self.cold.len();
-            if !self.take() {
+            checked = self.cold.len();
+            if !self.visit_next() {
                 return None;
             }
         }
     }
 
-    /// Ends the search; how many workers it took in the order of preference.
+    /// Ends the search and returns the number of workers visited in preference order.
     pub(super) fn end(self) -> usize {
-        self.taken
+        self.visited
     }
 }
 
-/// The least key of these; infinite for none.
-pub(super) fn least(of: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
-    of.iter().map(key).fold(f64::INFINITY, f64::min)
+/// Returns the smallest key of the estimates; infinity for none.
+pub(super) fn least(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
+    estimates.iter().map(key).fold(f64::INFINITY, f64::min)
 }
 
 impl Router {
-    /// The workers that are preferred for a function, the first ones first.
-    pub(super) fn preferred<'a>(&'a self, function: &'a Function) -> impl Iterator<Item = usize> + 'a {
-        let found =
+    /// Iterates over all workers in the function's preference order, from the cache as far as it reaches.
+    pub(super) fn preferred_workers<'a>(
+        &'a self,
+        function: &'a Function,
+    ) -> impl Iterator<Item = usize> + 'a {
+        let cached =
             if function.preferred_version == self.ring.version() { &function.preferred[..] } else { &[] };
-        let rest = std::iter::once(()).flat_map(|()| self.order(&function.id).skip(found.len()));
-        found.iter().map(|w| *w as usize).chain(rest)
+        // The order is computed only once the cached part is exhausted.
+        let rest = std::iter::once(()).flat_map(|()| self.preference_order(&function.id).skip(cached.len()));
+        cached.iter().map(|worker| *worker as usize).chain(rest)
     }
 
-    /// All workers, the one preferred for the function first: in a small fleet by rendezvous over all, in a large one by the
-    /// ring.
-    fn order<'a>(&'a self, function: &FunctionId) -> Box<dyn Iterator<Item = usize> + 'a> {
+    /// Iterates over all workers, the most preferred for the function first: by rendezvous hashing over all of them in a
+    /// small fleet, by the ring in a large one.
+    fn preference_order<'a>(&'a self, function: &FunctionId) -> Box<dyn Iterator<Item = usize> + 'a> {
         if !self.ranks_all {
             return Box::new(self.ring.order(function));
         }
-        let rank = |(slot, w): (usize, &Worker)| (rendezvous(function, &w.id), slot);
-        let mut ranks: Vec<(u64, usize)> = self.workers.iter().enumerate().map(rank).collect();
-        ranks.sort_unstable_by(|a, b| b.cmp(a));
-        Box::new(ranks.into_iter().map(|r| r.1))
+        let score = |(slot, worker): (usize, &Worker)| (rendezvous(function, &worker.id), slot);
+        let mut scores: Vec<(u64, usize)> = self.workers.iter().enumerate().map(score).collect();
+        scores.sort_unstable_by(|a, b| b.cmp(a));
+        Box::new(scores.into_iter().map(|(_, slot)| slot))
     }
 
-    /// How far a worker is from being preferred for a function: what [`Router::order`] goes by.
-    fn distance(&self, function: &FunctionId, worker: usize) -> (u64, usize) {
+    /// Returns the key by which [`Router::preference_order`] sorts workers; the smaller, the more preferred.
+    fn preference_distance(&self, function: &FunctionId, worker: usize) -> (u64, usize) {
         let id = &self.workers[worker].id;
         if self.ranks_all {
             return (!rendezvous(function, id), usize::MAX - worker);
@@ -303,59 +327,71 @@
         (preference::distance(function, id), worker)
     }
 
-    /// The order of preference follows from how many workers are listed, alike at all dispatchers of one list.
-    pub(super) fn choose_order(&mut self) {
+    /// Selects rendezvous hashing or the ring by the number of listed workers, so that all dispatchers with the same list
+    /// use the same order.
+    pub(super) fn update_preference_order(&mut self) {
         let ranks_all = self.workers.len() - self.unlisted.len() <= self.most_ranked;
         if std::mem::replace(&mut self.ranks_all, ranks_all) != ranks_all {
-            self.ring.renew();
+            self.ring.invalidate_orders();
         }
     }
 
-    /// What all workers that are up can do, in warm ones.
+    /// Returns the capacity of all workers that are up, in units of one warm worker.
     pub(super) fn capacity(&self) -> f64 {
         self.fleet.capacity(|slot| self.present_share(&self.workers[slot]))
     }
 
-    /// Finds the first of a function's preferred workers, so many of them, unless they are known.
+    /// Caches at least the `wanted` most preferred workers of a function, within the limits, unless they are cached already.
     pub(super) fn find_preferred(&mut self, function: usize, wanted: usize) {
-        let f = &self.functions[function];
-        let wanted = wanted.clamp(FIRST_PREFERRED, MOST_PREFERRED).min(self.ring.count());
-        if f.preferred_version == self.ring.version() && f.preferred.len() >= wanted {
+        let entry = &self.functions[function];
+        let wanted = wanted.clamp(MIN_PREFERRED_CACHED, MAX_PREFERRED_CACHED).min(self.ring.count());
+        if entry.preferred_version == self.ring.version() && entry.preferred.len() >= wanted {
             return;
         }
-        // By powers of two, so that a function that needs one more each time is not searched for each time.
-        let found = self.order(&f.id).take(wanted.next_power_of_two()).map(|w| w as u32).collect();
-        let f = &mut self.functions[function];
-        (f.preferred, f.preferred_version) = (found, self.ring.version());
+        // Rounded up to a power of two, so that a function which needs one more each time is not looked up each time.
+        let order = self.preference_order(&entry.id);
+        let preferred = order.take(wanted.next_power_of_two()).map(|worker| worker as u32).collect();
+        let entry = &mut self.functions[function];
+        (entry.preferred, entry.preferred_version) = (preferred, self.ring.version());
     }
 
-    /// Where a function's homes stand among those preferred for it, in the order of their slots.
-    pub(super) fn ranks(&self, function: usize, homes: f64) -> Vec<Rank> {
-        let (mut ranks, mut up, mut fell) = (Vec::new(), 0.0, 0);
-        for worker in self.preferred(&self.functions[function]) {
+    /// Returns the ranks of a function's homes, sorted by slot.
+    pub(super) fn home_ranks(&self, function: usize, homes: f64) -> Vec<Rank> {
+        let (mut ranks, mut up, mut last_down_at) = (Vec::new(), 0.0, 0);
+        for worker in self.preferred_workers(&self.functions[function]) {
             if up >= homes {
                 break;
             }
-            ranks.push(Rank { worker, up, all: ranks.len() as f64, fell });
-            let w = &self.workers[worker];
-            (up, fell) = if w.up { (up + 1.0, fell) } else { (up, fell.max(w.fell)) };
+            ranks.push(Rank { worker, up, all: ranks.len() as f64, fell: last_down_at });
+            let visited = &self.workers[worker];
+            (up, last_down_at) =
+                if visited.up { (up + 1.0, last_down_at) } else { (up, last_down_at.max(visited.fell)) };
         }
-        ranks.sort_unstable_by_key(|r| r.worker);
+        ranks.sort_unstable_by_key(|rank| rank.worker);
         ranks
     }
 
-    /// What all estimates of a choice of a worker for the function have in common.
+    /// Computes the inputs that all estimates of one choice of a worker for the function share.
     pub(super) fn known(&mut self, function: usize) -> Known {
         self.fleet.advance(self.now);
         let (rate, homes) = self.demand(&self.functions[function]);
         let peers = self.peers();
-        let slowest = self.fleet.slowness_range().map_or(0.0, |(_, most)| most);
-        let least = (DOUBT + (peers.0 - self.thin * slowest).max(0.0)) / (DOUBT + peers.1);
+        // The slowness expected of a worker leaves out its own samples, which are at most one sample of the slowest mean:
+        // taking out that much of the sum, and none of the weight, gives a lower bound for every worker.
+        let slowest = self.fleet.slowness_range().map_or(0.0, |(_, max)| max);
+        let min_slowness = (DOUBT + (peers.0 - self.thin * slowest).max(0.0)) / (DOUBT + peers.1);
         let found = self.found(&self.functions[function]);
-        Known { rate, homes, found, peers, least_expected: least.min(1.0), capacity: OnceCell::new() }
+        Known {
+            rate,
+            homes,
+            found,
+            peers,
+            min_expected_slowness: min_slowness.min(1.0),
+            capacity: OnceCell::new(),
+        }
     }
 
-    /// The best worker by estimates of all: what [`Router::best`] finds by a search.
+    /// Returns the best worker by estimates of all workers, the same one that [`Router::best`] finds by a search.
     pub(super) fn best_of_all(
         &self,
         request: &Request,
@@ -364,21 +400,23 @@
         tie: f64,
         key: impl Fn(&Estimate) -> f64,
     ) -> Option<Estimate> {
-        let all = scan(self, request, known, &self.ranks(request.function, known.homes));
-        let least_cold = least(&all.cold, Estimate::key);
-        if least(&all.warm, Estimate::key) <= least_cold && !only_cold {
-            return least_of(&all.warm, key);
+        let ranks = self.home_ranks(request.function, known.homes);
+        let estimates = estimate_all(self, request, known, &ranks);
+        let min_cold = least(&estimates.cold, Estimate::key);
+        if least(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
+            return least_of(&estimates.warm, key);
         }
         let function = &self.functions[request.function].id;
-        let distance = |e: &Estimate| self.distance(function, e.worker);
-        all.cold.into_iter().filter(|e| e.key() <= least_cold + tie).min_by_key(distance)
+        let distance = |estimate: &Estimate| self.preference_distance(function, estimate.worker);
+        let tied = estimates.cold.into_iter().filter(|estimate| estimate.key() <= min_cold + tie);
+        tied.min_by_key(distance)
     }
 }
 
-/// The one whose key is least.
-pub(super) fn least_of(of: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
+/// Returns the estimate with the smallest key; of equal ones, that of the lowest slot.
+pub(super) fn least_of(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
     let order = |a: &&Estimate, b: &&Estimate| key(a).total_cmp(&key(b)).then(a.worker.cmp(&b.worker));
-    of.iter().min_by(order).copied()
+    estimates.iter().min_by(order).copied()
 }
 
 #[cfg(test)]
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -1,10 +1,10 @@
-//! The search against a look at every worker: two routers that differ in nothing else live through the same drawn
-//! histories, and must want the same at every event.
+//! Compares the search with estimating every worker: two routers that differ in nothing else process the same randomly
+//! generated histories and must return the same actions for every event.
 
 use super::*;
 use crate::api::*;
-use crate::control::fleet::Times;
-use crate::control::fleet::tests::{close, walked};
+use crate::control::fleet::TimeConstants;
+use crate::control::fleet::tests::{approx_eq, recompute_sums};
 use crate::control::{Budget, Tokens, ZoneGate};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -12,47 +12,48 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// Histories, and events of each: over a million in all.
+/// Number of histories, and events of each: over a million events in all.
 const HISTORIES: u64 = 208;
 const EVENTS: usize = 5_000;
-/// How often what is kept up to date is compared with what a walk over the tables finds.
-const AUDIT_EVERY: usize = 500;
+/// Events between two comparisons of the incrementally kept sums and indexes with a recomputation from the tables.
+const AUDIT_INTERVAL: usize = 500;
 const ZONES: usize = 3;
 
-/// What is out at a worker.
+/// An attempt without an outcome yet.
 #[derive(Clone)]
-struct Open {
+struct OpenAttempt {
     id: RequestId,
     attempt: usize,
     sent: Micros,
 }
 
-/// Two routers in one history.
+/// One generated history and the two routers that process it.
 struct History {
     rng: Pcg32,
     now: Micros,
     search: Router,
+    /// The reference, which estimates every worker.
     scan: Router,
     settings: Settings,
     workers: BTreeMap<usize, Listing>,
     next_worker: usize,
     next_request: RequestId,
     functions: u64,
-    open: Vec<Open>,
+    open: Vec<OpenAttempt>,
     attempts: BTreeMap<RequestId, usize>,
     orders: Vec<(WorkerId, FunctionId)>,
     timers: BTreeSet<(Micros, u64)>,
-    /// Choices that sent something, to show that histories are not empty.
+    /// Attempts sent, to show that the histories are not empty.
     sent: usize,
 }
 
 impl History {
     fn new(seed: u64) -> History {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let settings = drawn_settings(&mut rng);
+        let settings = random_settings(&mut rng);
         let router = || Router::new(settings.clone(), seed, 0);
         let (mut search, mut scan) = (router(), router());
-        // Small fleets and large ones prefer workers in orders of their own; some histories go from one to the other.
+        // Small and large fleets use different preference orders; some histories cross the limit between them.
         let most_ranked = [0, 0, 11, 40, usize::MAX][seed as usize % 5];
         (search.most_ranked, scan.most_ranked) = (most_ranked, most_ranked);
         scan.scan(true);
@@ -75,7 +76,7 @@
         };
         let count = [3, 12, 40, 120][(seed / 3) as usize % 4];
         let joins = (0..count).map(|_| history.join(None)).collect();
-        history.tell(&Event::Workers { complete: true, entries: joins });
+        history.handle(&Event::Workers { complete: true, entries: joins });
         history
     }
 
@@ -97,25 +98,25 @@
         listing
     }
 
-    /// Tells both the same; what they want must be the same.
-    fn tell(&mut self, event: &Event) {
-        let (mut wanted, mut other) = (Vec::new(), Vec::new());
-        self.search.handle(self.now, event, &mut wanted);
-        self.scan.handle(self.now, event, &mut other);
-        assert_eq!(wanted, other, "search and scan at {} us, {event:?}", self.now);
-        for action in wanted {
-            self.take(action);
+    /// Passes the event to both routers, whose actions must be equal, and applies the actions.
+    fn handle(&mut self, event: &Event) {
+        let (mut actions, mut expected) = (Vec::new(), Vec::new());
+        self.search.handle(self.now, event, &mut actions);
+        self.scan.handle(self.now, event, &mut expected);
+        assert_eq!(actions, expected, "search and scan at {} us, {event:?}", self.now);
+        for action in actions {
+            self.apply(action);
         }
     }
 
-    fn take(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Send { id, .. } => {
                 self.sent += 1;
                 let count = self.attempts.entry(id).or_default();
                 let attempt = *count;
                 *count += 1;
-                self.open.push(Open { id, attempt, sent: self.now });
+                self.open.push(OpenAttempt { id, attempt, sent: self.now });
             }
             Action::Load { worker, function, .. } => self.orders.push((worker, function)),
             Action::Timer { at, cookie } => drop(self.timers.insert((at, cookie))),
@@ -129,10 +130,10 @@
         }
     }
 
-    fn end(&mut self, open: &Open, outcome: Outcome, found: Found) {
+    fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: Found) {
         let report = if self.chance(50) { vec![self.below(30) as f64] } else { Vec::new() };
         let crowd = self.chance(60).then(|| self.below(5) as u32);
-        self.tell(&Event::Outcome {
+        self.handle(&Event::Outcome {
             id: open.id,
             attempt: open.attempt,
             last: false,
@@ -144,21 +145,21 @@
         });
     }
 
-    /// Lets time pass, and timers go off on their way.
-    fn pass(&mut self, time: Micros) {
-        let until = self.now + time;
+    /// Advances the clock and fires the timers that fall due.
+    fn advance(&mut self, duration: Micros) {
+        let until = self.now + duration;
         while let Some((at, cookie)) = self.timers.first().copied().filter(|(at, _)| *at <= until) {
             self.timers.pop_first();
             self.now = self.now.max(at);
-            self.tell(&Event::Timer { cookie });
+            self.handle(&Event::Timer { cookie });
         }
         self.now = until;
     }
 
-    fn ask(&mut self) {
-        // Half of all requests are for a few functions.
-        let few = if self.chance(50) { self.functions.div_ceil(8) } else { self.functions };
-        let function = format!("f{}", self.below(few)).as_str().into();
+    fn send_request(&mut self) {
+        // Half of all requests go to an eighth of the functions.
+        let candidates = if self.chance(50) { self.functions.div_ceil(8) } else { self.functions };
+        let function = format!("f{}", self.below(candidates)).as_str().into();
         let class = self.below(self.settings.classes.len() as u64) as usize;
         let time_left = if self.chance(10) { 200 * MS } else { 3 * S };
         let work = self.chance(30).then(|| 20 * MS + self.below(300 * MS));
@@ -166,7 +167,7 @@
         let (tenant, again) = (self.below(2) as usize, self.chance(10));
         let id = self.next_request;
         self.next_request += 1;
-        self.tell(&Event::Request {
+        self.handle(&Event::Request {
             id,
             class,
             tenant,
@@ -179,7 +180,7 @@
         });
     }
 
-    fn answer(&mut self) {
+    fn end_random_attempt(&mut self) {
         if self.open.is_empty() {
             return;
         }
@@ -203,37 +204,38 @@
         self.end(&open, outcome, found);
     }
 
-    fn loaded(&mut self) {
+    fn end_ordered_load(&mut self) {
         if let Some((worker, function)) = self.orders.pop() {
             let (outcome, copies) =
                 [(Outcome::Ok, 1), (Outcome::Full, 0), (Outcome::Error, 0)][self.below(3) as usize];
-            self.tell(&Event::Loaded { worker, function, outcome, latency: 300 * MS, copies });
+            self.handle(&Event::Loaded { worker, function, outcome, latency: 300 * MS, copies });
         }
     }
 
-    fn anyone(&mut self) -> Option<usize> {
+    fn random_worker(&mut self) -> Option<usize> {
         let all: Vec<usize> = self.workers.keys().copied().collect();
         if all.is_empty() { None } else { Some(all[self.below(all.len() as u64) as usize]) }
     }
 
-    fn change(&mut self, n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
+    fn set_standing(&mut self, n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
         let listing = self.workers.get_mut(&n).expect("a worker");
         listing.standing = standing;
         listing.ready_at = ready_at.or(listing.ready_at);
         listing.clone()
     }
 
-    /// Joins, drains, restarts, replacements, a zone lost and back, whole lists.
-    fn list(&mut self) {
-        let Some(n) = self.anyone() else { return };
+    /// Reports a random change of the worker list: a join, drain, restart or replacement, the loss or return of a zone, or a
+    /// complete list.
+    fn change_list(&mut self) {
+        let Some(n) = self.random_worker() else { return };
         let now = self.now;
         let (complete, entries) = match self.below(8) {
             0 => (false, vec![self.join(Some(now))]),
-            1 => (false, vec![self.change(n, Standing::Draining, None)]),
-            2 => (false, vec![self.change(n, Standing::Healthy, None)]),
-            3 => (false, vec![self.change(n, Standing::Healthy, Some(now))]),
+            1 => (false, vec![self.set_standing(n, Standing::Draining, None)]),
+            2 => (false, vec![self.set_standing(n, Standing::Healthy, None)]),
+            3 => (false, vec![self.set_standing(n, Standing::Healthy, Some(now))]),
             4 if self.workers.len() > 3 => {
-                let gone = self.change(n, Standing::Gone, None);
+                let gone = self.set_standing(n, Standing::Gone, None);
                 self.workers.remove(&n);
                 (false, vec![gone])
             }
@@ -242,27 +244,28 @@
                 let standing = if self.chance(50) { Standing::Gone } else { Standing::Healthy };
                 let there: Vec<usize> = self.workers.keys().copied().filter(|w| w % ZONES == zone).collect();
                 let ready_at = (standing == Standing::Healthy).then_some(now);
-                (false, there.into_iter().map(|w| self.change(w, standing, ready_at)).collect())
+                (false, there.into_iter().map(|w| self.set_standing(w, standing, ready_at)).collect())
             }
             6 => {
-                // A whole list, in another order, some replaced.
-                let leaves: Vec<usize> = self.workers.keys().copied().filter(|w| w % 7 == n % 7).collect();
-                if self.workers.len() > leaves.len() + 2 {
-                    leaves.iter().for_each(|w| drop(self.workers.remove(w)));
-                    leaves.iter().for_each(|_| drop(self.join(Some(now))));
+                // A complete list in another order, with some workers replaced.
+                let replaced: Vec<usize> = self.workers.keys().copied().filter(|w| w % 7 == n % 7).collect();
+                if self.workers.len() > replaced.len() + 2 {
+                    replaced.iter().for_each(|w| drop(self.workers.remove(w)));
+                    replaced.iter().for_each(|_| drop(self.join(Some(now))));
                 }
                 (true, self.workers.values().rev().cloned().collect())
             }
             _ => (true, self.workers.values().cloned().collect()),
         };
-        self.tell(&Event::Workers { complete, entries });
+        self.handle(&Event::Workers { complete, entries });
     }
 
-    /// Bans, gates of zones, a level of admission, budgets of resends; or none of it.
-    fn budget(&mut self) {
+    /// Sets a random budget, with gates of workers and zones, an admission level and tokens for resends and load orders; or
+    /// an empty one.
+    fn change_budget(&mut self) {
         let mut next = Budget::default();
         if self.chance(60) {
-            if let Some(n) = self.anyone() {
+            if let Some(n) = self.random_worker() {
                 next.gates.insert(self.workers[&n].worker.clone(), (self.below(3), 0));
             }
             if self.chance(50) {
@@ -273,12 +276,12 @@
             next.orders = self.chance(50).then(|| Tokens { left: self.below(5), ..Tokens::default() });
             (next.level, next.back) = (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
         }
-        let one = self.search.budget(next.clone());
-        let other = self.scan.budget(next);
-        assert_eq!(one, other, "what was spent");
+        let spent = self.search.budget(next.clone());
+        let expected = self.scan.budget(next);
+        assert_eq!(spent, expected, "budget spent since the last one");
     }
 
-    fn configure(&mut self) {
+    fn change_settings(&mut self) {
         self.settings.keep_alive = [4 * S, 10 * S, 14 * S][self.below(3) as usize];
         self.settings.may_duplicate = self.chance(50);
         let (search, scan) = (&mut self.search, &mut self.scan);
@@ -287,45 +290,45 @@
     }
 
     fn step(&mut self) {
-        let time = if self.chance(1) { 5 * S + self.below(20 * S) } else { self.below(20 * MS) };
-        self.pass(time);
+        let duration = if self.chance(1) { 5 * S + self.below(20 * S) } else { self.below(20 * MS) };
+        self.advance(duration);
         match self.below(1_000) {
-            0..480 => self.ask(),
-            480..930 => self.answer(),
-            930..950 => self.loaded(),
-            950..975 => self.list(),
-            975..985 => self.budget(),
+            0..480 => self.send_request(),
+            480..930 => self.end_random_attempt(),
+            930..950 => self.end_ordered_load(),
+            950..975 => self.change_list(),
+            975..985 => self.change_budget(),
             985..995 => {
                 let id = self.next_request.saturating_sub(1 + self.below(10));
-                self.tell(&Event::Abandoned { id });
+                self.handle(&Event::Abandoned { id });
             }
             995..997 => {
-                if let Some(worker) = self.anyone().map(|n| self.workers[&n].worker.clone()) {
+                if let Some(worker) = self.random_worker().map(|n| self.workers[&n].worker.clone()) {
                     self.search.unreached(self.now, &worker);
                     self.scan.unreached(self.now, &worker);
                 }
             }
-            997 => self.configure(),
+            997 => self.change_settings(),
             _ => {
                 let id = self.next_request.saturating_sub(1 + self.below(5));
-                self.tell(&Event::Streaming { id });
+                self.handle(&Event::Streaming { id });
             }
         }
     }
 
-    /// What is kept up to date is what a walk over the tables finds.
+    /// Compares the incrementally kept sums and indexes with a recomputation from the tables.
     fn audit(&mut self) {
         let now = self.now;
         let router = &mut self.search;
         router.fleet.advance(now);
-        let times = Times { half: router.half, warm_after: router.set.warm_after };
-        let walked = walked(&router.workers, times, |w| router.present_share(w), now);
-        let (sum, count) = router.fleet.slowness(now);
+        let times = TimeConstants { half_life: router.half, warm_after: router.set.warm_after };
+        let recomputed = recompute_sums(&router.workers, times, |w| router.present_share(w), now);
+        let (sum, weight) = router.fleet.slowness(now);
         let capacity = router.fleet.capacity(|slot| router.present_share(&router.workers[slot]));
-        let kept = [sum, count, capacity, router.fleet.up() as f64];
+        let kept = [sum, weight, capacity, router.fleet.up() as f64];
         assert!(
-            kept.iter().zip(walked).all(|(one, other)| close(*one, other)),
-            "{kept:?}, walked {walked:?}"
+            kept.iter().zip(recomputed).all(|(kept, recomputed)| approx_eq(*kept, recomputed)),
+            "{kept:?}, recomputed {recomputed:?}"
         );
         let mut marks: BTreeSet<(usize, u32)> = BTreeSet::new();
         for (slot, worker) in router.workers.iter().enumerate() {
@@ -334,7 +337,11 @@
             assert_eq!(router.unlisted.contains(&slot), !worker.listed, "{}", worker.id);
         }
         let holders = router.functions.iter().flat_map(|(slot, f)| f.holders.iter().map(move |w| (slot, *w)));
-        assert_eq!(holders.collect::<BTreeSet<_>>(), marks, "holders are those that hold a mark");
+        assert_eq!(
+            holders.collect::<BTreeSet<_>>(),
+            marks,
+            "the holders of a function are the workers with a mark of it"
+        );
         let mut in_flight: BTreeMap<usize, u32> = BTreeMap::new();
         router.requests.values().for_each(|r| *in_flight.entry(r.function).or_default() += 1);
         for (slot, function) in router.functions.iter() {
@@ -343,7 +350,7 @@
         let Some((slot, _)) = router.functions.iter().next() else { return };
         let function = router.functions[slot].id.clone();
         let mut sorted: Vec<usize> = (0..router.workers.len()).collect();
-        sorted.sort_by_key(|w| router.distance(&function, *w));
+        sorted.sort_by_key(|w| router.preference_distance(&function, *w));
         let homes = router.known(slot).homes;
         let mut expected = Vec::new();
         let mut up = 0.0;
@@ -355,13 +362,13 @@
             up += f64::from(u8::from(router.workers[*worker].up));
         }
         expected.sort_unstable();
-        let found: Vec<usize> = router.ranks(slot, homes).iter().map(|r| r.worker).collect();
-        assert_eq!(found, expected, "the first of those preferred");
-        assert_eq!(router.preferred(&router.functions[slot]).collect::<Vec<_>>(), sorted);
+        let homes: Vec<usize> = router.home_ranks(slot, homes).iter().map(|rank| rank.worker).collect();
+        assert_eq!(homes, expected, "homes come first in preference order");
+        assert_eq!(router.preferred_workers(&router.functions[slot]).collect::<Vec<_>>(), sorted);
     }
 }
 
-fn drawn_settings(rng: &mut Pcg32) -> Settings {
+fn random_settings(rng: &mut Pcg32) -> Settings {
     let mut below = |most: u32| rng.next_u32() % most;
     let class = |effect, key_scope| Class {
         aim: 800 * MS,
@@ -406,58 +413,62 @@
     }
 }
 
-/// Plays a history; `fault` is planted in the search's own tables before each event. A history with faults is not audited:
-/// the difference to the scan alone must show them.
-fn play(seed: u64, events: usize, fault: Option<&dyn Fn(&mut Router)>) -> usize {
+/// Runs a history and returns the number of attempts sent. `fault` is injected into the tables of the search before each
+/// event; such a history is not audited, since the comparison with the scan alone must reveal the fault.
+fn run_history(seed: u64, events: usize, fault: Option<&dyn Fn(&mut Router)>) -> usize {
     let mut history = History::new(seed);
     for n in 0..events {
-        fault.iter().for_each(|plant| plant(&mut history.search));
+        fault.iter().for_each(|inject| inject(&mut history.search));
         history.step();
-        if n % AUDIT_EVERY == 0 && fault.is_none() {
+        if n % AUDIT_INTERVAL == 0 && fault.is_none() {
             history.audit();
         }
     }
     history.sent
 }
 
-/// Plays so many histories on all cores.
-fn play_all(histories: u64, events: usize) -> usize {
+/// Runs the histories on all cores and returns the number of attempts sent in all of them.
+fn run_histories(histories: u64, events: usize) -> usize {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     std::thread::scope(|scope| {
         let part = |first: u64| {
-            (first..histories).step_by(threads as usize).map(|seed| play(seed, events, None)).sum::<usize>()
+            (first..histories)
+                .step_by(threads as usize)
+                .map(|seed| run_history(seed, events, None))
+                .sum::<usize>()
         };
         let parts: Vec<_> = (0..threads).map(|n| scope.spawn(move || part(n))).collect();
-        parts.into_iter().map(|p| p.join().expect("a history that held")).sum()
+        parts.into_iter().map(|p| p.join().expect("a history without a failed assertion")).sum()
     })
 }
 
 #[test]
-fn the_search_finds_what_a_look_at_every_worker_finds() {
-    let sent = play_all(HISTORIES, EVENTS);
+fn search_makes_the_same_choices_as_estimating_every_worker() {
+    let sent = run_histories(HISTORIES, EVENTS);
     println!("{HISTORIES} histories, {} events, {sent} sends", HISTORIES * EVENTS as u64);
-    assert!(sent > 200_000, "histories in which something is sent: {sent}");
+    assert!(sent > 200_000, "too few attempts sent in all histories: {sent}");
 }
 
-fn is_found(what: &str, fault: impl Fn(&mut Router) + std::panic::RefUnwindSafe) {
+fn assert_detected(what: &str, fault: impl Fn(&mut Router) + std::panic::RefUnwindSafe) {
     let hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
-    let found = (0..12).any(|seed| std::panic::catch_unwind(|| play(seed, 2_000, Some(&fault))).is_err());
+    let detected =
+        (0..12).any(|seed| std::panic::catch_unwind(|| run_history(seed, 2_000, Some(&fault))).is_err());
     std::panic::set_hook(hook);
-    assert!(found, "a planted fault was not found: {what}");
+    assert!(detected, "an injected fault was not detected: {what}");
 }
 
 #[test]
-fn faults_planted_in_the_index_are_found() {
-    is_found("workers that hold a function are missing", |router| {
+fn comparison_detects_faults_injected_into_the_indexes() {
+    assert_detected("a holder is missing from each function", |router| {
         let slots: Vec<usize> = router.functions.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
             router.functions[slot].holders.pop();
         }
     });
-    is_found("the order of preference is another", |router| {
+    assert_detected("cached preference orders are reversed", |router| {
         let slots: Vec<usize> = router.functions.iter().map(|(slot, _)| slot).collect();
         slots.into_iter().for_each(|slot| router.functions[slot].preferred.reverse());
     });
-    is_found("nobody is said to be fast", |router| router.fleet.claim_that_all_are_slow());
+    assert_detected("all workers are indexed as slow", |router| router.fleet.corrupt_slowness_index());
 }
--- a/src/control/evidence.rs
+++ b/src/control/evidence.rs
@@ -1,10 +1,11 @@
-//! Sums of samples that fade with time: the arithmetic of what a router learns. Nothing is decided here: how fast
-//! samples fade, how many count, and what is expected without them, the caller says.
+//! Exponentially decaying sums of samples, from which the router derives its estimates.
+//!
+//! The caller passes in the clock, the half-life, the limit of samples and the prior. No I/O and no decisions; constant size.
 
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A sum of samples that fade with time, and their weight.
+/// Sum of samples that decay exponentially with time, and their weight.
 #[derive(Default, Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Evidence {
     sum: f64,
@@ -13,57 +14,59 @@
 }
 
 impl Evidence {
-    /// The share of what was added that is left, `half` being the time in which half of it fades.
-    fn left(&self, now: Micros, half: f64) -> f64 {
-        // Without samples nothing is left, whatever the time; most workers are like that.
+    /// Returns the share of sum and weight that is left after decay with the half-life `half_life`.
+    fn remaining(&self, now: Micros, half_life: f64) -> f64 {
+        // Avoids the exponential for most workers, which have no samples.
         if self.weight == 0.0 {
             return 0.0;
         }
-        (-(now.saturating_sub(self.at) as f64) / half).exp2()
+        (-(now.saturating_sub(self.at) as f64) / half_life).exp2()
     }
 
-    /// Adds a sample.
-    pub fn add(&mut self, now: Micros, half: f64, sample: f64) {
-        let left = self.left(now, half);
-        *self = Evidence { sum: self.sum * left + sample, weight: self.weight * left + 1.0, at: now };
+    /// Adds a sample of weight 1.
+    pub fn add(&mut self, now: Micros, half_life: f64, sample: f64) {
+        let remaining = self.remaining(now, half_life);
+        *self =
+            Evidence { sum: self.sum * remaining + sample, weight: self.weight * remaining + 1.0, at: now };
     }
 
-    /// Like `add`, but only the `last` few samples count, however many come.
-    pub fn learn(&mut self, now: Micros, half: f64, sample: f64, last: f64) {
-        let keep = ((last - 1.0) / self.weight.max(1.0)).min(1.0);
+    /// Adds a sample like [`Evidence::add`], but limits the weight of all samples to `max_samples`, so that the mean follows a
+    /// change within about that many samples.
+    pub fn learn(&mut self, now: Micros, half_life: f64, sample: f64, max_samples: f64) {
+        let keep = ((max_samples - 1.0) / self.weight.max(1.0)).min(1.0);
         (self.sum, self.weight) = (self.sum * keep, self.weight * keep);
-        self.add(now, half, sample);
+        self.add(now, half_life, sample);
     }
 
-    /// The mean of the samples and of what is expected without them, which counts as `doubt` samples.
-    pub fn mean(&self, now: Micros, half: f64, expected: f64, doubt: f64) -> f64 {
-        let left = self.left(now, half);
-        (self.sum * left + doubt * expected) / (self.weight * left + doubt)
+    /// Returns the mean of the samples and of the prior mean `expected`, which counts as `prior_samples` samples.
+    pub fn mean(&self, now: Micros, half_life: f64, expected: f64, prior_samples: f64) -> f64 {
+        let remaining = self.remaining(now, half_life);
+        (self.sum * remaining + prior_samples * expected) / (self.weight * remaining + prior_samples)
     }
 
-    /// The mean of the samples alone, however old they are; `None` without any.
+    /// Returns the mean of the samples without a prior, however old they are; `None` without any.
     pub fn own_mean(&self) -> Option<f64> {
         (self.weight > 0.0).then(|| self.sum / self.weight)
     }
 
-    /// Samples that are left.
-    pub fn samples(&self, now: Micros, half: f64) -> f64 {
-        self.weight * self.left(now, half)
+    /// Returns the weight that is left after decay, in samples.
+    pub fn samples(&self, now: Micros, half_life: f64) -> f64 {
+        self.weight * self.remaining(now, half_life)
     }
 
-    /// Samples for each microsecond.
-    pub fn rate(&self, now: Micros, half: f64) -> f64 {
-        self.samples(now, half) * std::f64::consts::LN_2 / half
+    /// Returns the rate of samples per microsecond.
+    pub fn rate(&self, now: Micros, half_life: f64) -> f64 {
+        self.samples(now, half_life) * std::f64::consts::LN_2 / half_life
     }
 
-    /// The same, as it would be for a clock that is `behind`.
-    pub fn earlier(self, behind: Micros) -> Evidence {
+    /// Returns the same evidence for a clock that is `behind` this one by so many microseconds.
+    pub fn rebased(self, behind: Micros) -> Evidence {
         Evidence { at: self.at.saturating_sub(behind), ..self }
     }
 
-    /// Whether its figures are numbers of a sum of samples, none above `most` on the average.
-    pub fn sane(&self, most: f64) -> bool {
-        self.weight >= 0.0 && self.weight.is_finite() && self.sum.abs() <= most * self.weight.max(1.0)
+    /// Returns whether the weight is finite and not negative, and the sum at most `max` per sample in magnitude.
+    pub fn is_plausible(&self, max: f64) -> bool {
+        self.weight >= 0.0 && self.weight.is_finite() && self.sum.abs() <= max * self.weight.max(1.0)
     }
 }
 
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -1,212 +1,219 @@
-//! Sums over all workers that a decision needs, kept up to date worker by worker: how many are up, what those that are
-//! still cold can do, and how slow workers are on the whole. Nothing is decided here; the clock is passed in.
+//! Sums over all workers that decisions need: the number of workers up, their capacity, and their mean slowness. Each change
+//! of a worker updates them incrementally, so that a decision does not iterate over the fleet.
+//!
+//! No I/O and no decisions; the clock is passed in. The size is bounded by the number of workers.
 
 use super::Evidence;
 use super::tables::Worker;
 use crate::api::Micros;
 use std::collections::BTreeSet;
 
-/// What one worker tells of all counts as so many samples at the most.
-const ONE_VOICE: f64 = 1.0;
+/// Limit of the weight, in samples, that the observations of one worker have in the sums.
+const MAX_WORKER_WEIGHT: f64 = 1.0;
 
-/// The times by which samples fade and workers become warm.
+/// Times that govern the decay of samples and the warm-up of workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Times {
-    /// Half of what was observed is forgotten in this time.
-    pub(super) half: f64,
-    /// A worker is warm this long after its start.
+pub(super) struct TimeConstants {
+    /// Half-life of samples, in microseconds.
+    pub(super) half_life: f64,
+    /// Time from the start of a worker until it is warm.
     pub(super) warm_after: Micros,
 }
 
-/// What is counted of a worker.
+/// State of one worker as it is included in the sums.
 #[derive(Clone, Copy, Debug, Default)]
-struct Counted {
+struct WorkerTerms {
     up: bool,
-    /// When it is warm; `None`: it is.
+    /// Time at which it becomes warm; `None` if it is warm.
     warm_at: Option<Micros>,
-    slow: Evidence,
-    voice: Voice,
-    /// Its place in the order by slowness.
-    order: Option<u64>,
+    slowness: Evidence,
+    weight: Weight,
+    /// Its key in the order by slowness.
+    slowness_key: Option<u64>,
 }
 
-/// How much a worker tells of all.
+/// Weight of a worker's observations in the sums.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Voice {
-    /// Nothing.
+enum Weight {
+    /// The worker is cold or has no samples.
     #[default]
-    Silent,
-    /// As one whole sample, until then.
-    Whole { until: Micros },
-    /// As what is left of less than one.
-    Fading,
+    None,
+    /// The limit, until decay leaves fewer samples than that.
+    Full { until: Micros },
+    /// The samples that decay has left, fewer than the limit.
+    Decaying,
 }
 
-/// A sum whose parts all fade alike.
+/// A sum whose terms all decay with the same half-life.
 #[derive(Clone, Copy, Debug, Default)]
-struct FadingSum {
+struct DecayingSum {
     value: f64,
     at: Micros,
 }
 
-impl FadingSum {
-    fn at(&self, now: Micros, half: f64) -> f64 {
-        self.value * (-(now.saturating_sub(self.at) as f64) / half).exp2()
+impl DecayingSum {
+    fn value_at(&self, now: Micros, half_life: f64) -> f64 {
+        self.value * (-(now.saturating_sub(self.at) as f64) / half_life).exp2()
     }
 
-    fn add(&mut self, now: Micros, half: f64, part: f64) {
-        *self = FadingSum { value: self.at(now, half) + part, at: now };
+    fn add(&mut self, now: Micros, half_life: f64, term: f64) {
+        *self = DecayingSum { value: self.value_at(now, half_life) + term, at: now };
     }
 }
 
-/// The sums.
+/// The sums and the indexes by which they are kept up to date.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FleetSums {
-    times: Times,
-    workers: Vec<Counted>,
+    times: TimeConstants,
+    workers: Vec<WorkerTerms>,
     up: usize,
-    /// Workers that are not warm yet, by when they are.
-    young: BTreeSet<(Micros, usize)>,
-    /// Those that count as whole samples, by until when; and their sum.
-    whole: BTreeSet<(Micros, usize)>,
-    whole_sum: f64,
-    fading: usize,
-    fading_sum: FadingSum,
-    fading_weight: FadingSum,
-    /// All by their own mean slowness, those without any last; `f64`s of one sign are ordered as their bits are.
+    /// Workers that are not warm yet, by the time at which they become warm.
+    warming: BTreeSet<(Micros, usize)>,
+    /// Workers of full weight, by the time until which they have it.
+    full: BTreeSet<(Micros, usize)>,
+    full_sum: f64,
+    decaying: usize,
+    decaying_sum: DecayingSum,
+    decaying_weight: DecayingSum,
+    /// All workers by their own mean slowness, those without one last. Keys are the bits of the means: for non-negative `f64`
+    /// values both have the same order.
     by_slowness: BTreeSet<(u64, usize)>,
 }
 
 impl FleetSums {
-    /// Sums over these workers.
-    pub(super) fn of(times: Times, workers: &[Worker], now: Micros) -> FleetSums {
+    /// Builds the sums over these workers.
+    pub(super) fn of(times: TimeConstants, workers: &[Worker], now: Micros) -> FleetSums {
         let mut sums = FleetSums { times, ..FleetSums::default() };
         workers.iter().enumerate().for_each(|(slot, worker)| sums.update(slot, worker, now));
         sums
     }
 
-    /// A worker is another one than it was.
+    /// Replaces what the sums include of a worker by its present state.
     pub(super) fn update(&mut self, slot: usize, worker: &Worker, now: Micros) {
         self.advance(now);
         if self.workers.len() <= slot {
-            self.workers.resize(slot + 1, Counted::default());
+            self.workers.resize(slot + 1, WorkerTerms::default());
         }
-        self.count(slot, now, false);
+        self.apply(slot, now, false);
         let warm_at = worker.ready_at.map(|ready| ready.saturating_add(self.times.warm_after));
-        self.workers[slot] = Counted {
+        self.workers[slot] = WorkerTerms {
             up: worker.up,
             warm_at: warm_at.filter(|at| now < *at),
-            slow: worker.slow,
-            ..Counted::default()
+            slowness: worker.slow,
+            ..WorkerTerms::default()
         };
-        self.count(slot, now, true);
+        self.apply(slot, now, true);
     }
 
-    /// Lets time pass: who has become warm counts, and who is less than a whole sample fades.
+    /// Moves the sums on to `now`: includes workers that have become warm, and lets those decay whose weight has fallen below
+    /// the limit.
     pub(super) fn advance(&mut self, now: Micros) {
-        while let Some((_, slot)) = self.young.first().copied().filter(|(at, _)| *at <= now) {
-            self.count(slot, now, false);
+        while let Some((_, slot)) = self.warming.first().copied().filter(|(at, _)| *at <= now) {
+            self.apply(slot, now, false);
             self.workers[slot].warm_at = None;
-            self.count(slot, now, true);
+            self.apply(slot, now, true);
         }
-        while let Some((_, slot)) = self.whole.first().copied().filter(|(until, _)| *until <= now) {
-            self.count(slot, now, false);
-            self.count(slot, now, true);
+        while let Some((_, slot)) = self.full.first().copied().filter(|(until, _)| *until <= now) {
+            self.apply(slot, now, false);
+            self.apply(slot, now, true);
         }
     }
 
-    fn count(&mut self, slot: usize, now: Micros, adds: bool) {
-        let half = self.times.half;
-        let counted = &mut self.workers[slot];
-        let mean = counted.slow.own_mean();
+    /// Adds a worker to the sums and indexes, or removes it.
+    fn apply(&mut self, slot: usize, now: Micros, adds: bool) {
+        let half_life = self.times.half_life;
+        let terms = &mut self.workers[slot];
+        let mean = terms.slowness.own_mean();
         if adds {
-            counted.voice = voice(counted, now, half);
-            counted.order = Some(mean.map_or(f64::INFINITY, |m| m.max(0.0) + 0.0).to_bits());
+            terms.weight = weight(terms, now, half_life);
+            terms.slowness_key = Some(mean.map_or(f64::INFINITY, |m| m.max(0.0) + 0.0).to_bits());
         }
-        let Counted { up, warm_at, slow, voice, order } = *counted;
+        let WorkerTerms { up, warm_at, slowness, weight, slowness_key } = *terms;
         let sign = if adds { 1.0 } else { -1.0 };
         match (up, adds) {
             (true, true) => self.up += 1,
             (true, false) => self.up -= 1,
             (false, _) => {}
         }
-        let change = |set: &mut BTreeSet<(u64, usize)>, key: u64| {
+        let change = |index: &mut BTreeSet<(u64, usize)>, key: u64| {
             if adds {
-                set.insert((key, slot))
+                index.insert((key, slot))
             } else {
-                set.remove(&(key, slot))
+                index.remove(&(key, slot))
             };
         };
-        warm_at.into_iter().for_each(|at| change(&mut self.young, at));
-        order.into_iter().for_each(|bits| change(&mut self.by_slowness, bits));
-        match voice {
-            Voice::Silent => {}
-            Voice::Whole { until } => {
-                change(&mut self.whole, until);
-                self.whole_sum += sign * mean.unwrap_or_default();
+        warm_at.into_iter().for_each(|at| change(&mut self.warming, at));
+        slowness_key.into_iter().for_each(|bits| change(&mut self.by_slowness, bits));
+        match weight {
+            Weight::None => {}
+            Weight::Full { until } => {
+                change(&mut self.full, until);
+                self.full_sum += sign * mean.unwrap_or_default();
             }
-            Voice::Fading => {
-                let left = slow.samples(now, half);
-                self.fading_weight.add(now, half, sign * left);
-                self.fading_sum.add(now, half, sign * left * mean.unwrap_or_default());
-                self.fading = if adds { self.fading + 1 } else { self.fading.saturating_sub(1) };
+            Weight::Decaying => {
+                let samples = slowness.samples(now, half_life);
+                self.decaying_weight.add(now, half_life, sign * samples);
+                self.decaying_sum.add(now, half_life, sign * samples * mean.unwrap_or_default());
+                self.decaying = if adds { self.decaying + 1 } else { self.decaying.saturating_sub(1) };
             }
         }
-        // What rounding leaves of a sum of nothing must not stay.
-        if self.whole.is_empty() {
-            self.whole_sum = 0.0;
+        // An empty sum is exactly zero: rounding errors of additions and removals must not accumulate.
+        if self.full.is_empty() {
+            self.full_sum = 0.0;
         }
-        if self.fading == 0 {
-            (self.fading_sum, self.fading_weight) = Default::default();
+        if self.decaying == 0 {
+            (self.decaying_sum, self.decaying_weight) = Default::default();
         }
         if !adds {
-            self.workers[slot].order = None;
-            self.workers[slot].voice = Voice::Silent;
+            self.workers[slot].slowness_key = None;
+            self.workers[slot].weight = Weight::None;
         }
     }
 
-    /// Workers that are up.
+    /// Returns the number of workers that are up.
     pub(super) fn up(&self) -> usize {
         self.up
     }
 
-    /// The sum of the mean slowness of all that tell of it, each by how much it counts, and of how much they count;
-    /// [`FleetSums::advance`] must have been told the time.
+    /// Returns the sum of the workers' mean slowness, each multiplied by its weight, and the sum of the weights.
+    /// [`FleetSums::advance`] must have been called with the same time.
     pub(super) fn slowness(&self, now: Micros) -> (f64, f64) {
-        let half = self.times.half;
-        let fading = (self.fading_sum.at(now, half).max(0.0), self.fading_weight.at(now, half).max(0.0));
-        (self.whole_sum.max(0.0) + fading.0, self.whole.len() as f64 + fading.1)
+        let half_life = self.times.half_life;
+        let decaying_sum = self.decaying_sum.value_at(now, half_life).max(0.0);
+        let decaying_weight = self.decaying_weight.value_at(now, half_life).max(0.0);
+        (self.full_sum.max(0.0) + decaying_sum, self.full.len() as f64 + decaying_weight)
     }
 
-    /// What all that are up can do, in warm workers, where one that is not warm yet can do `share` of that.
+    /// Returns the capacity of all workers that are up, in units of one warm worker; `share` gives that of a worker which is
+    /// not warm yet.
     pub(super) fn capacity(&self, share: impl Fn(usize) -> f64) -> f64 {
-        let young = self.young.iter().map(|(_, slot)| *slot).filter(|slot| self.workers[*slot].up);
-        let (count, shares) = young.fold((0, 0.0), |(count, sum), slot| (count + 1, sum + share(slot)));
+        let warming = self.warming.iter().map(|(_, slot)| *slot).filter(|slot| self.workers[*slot].up);
+        let (count, shares) = warming.fold((0, 0.0), |(count, sum), slot| (count + 1, sum + share(slot)));
         (self.up - count) as f64 + shares
     }
 
-    /// All workers by their own mean slowness, the fastest first; those that nothing is known of come last, as
-    /// infinitely slow.
+    /// Iterates over all workers by their own mean slowness, the fastest first. Workers without samples come last, with an
+    /// infinite slowness.
     pub(super) fn by_slowness(&self) -> impl Iterator<Item = (f64, usize)> + '_ {
         self.by_slowness.iter().map(|(bits, slot)| (f64::from_bits(*bits), *slot))
     }
 
-    /// The fastest and the slowest mean of any worker that something is known of.
+    /// Returns the lowest and the highest mean slowness of all workers with samples.
     pub(super) fn slowness_range(&self) -> Option<(f64, f64)> {
-        let unknown = (f64::INFINITY.to_bits(), 0);
-        let most = self.by_slowness.range(..unknown).next_back()?;
-        let least = self.by_slowness.first()?;
-        Some((f64::from_bits(least.0), f64::from_bits(most.0)))
+        let without_samples = (f64::INFINITY.to_bits(), 0);
+        let max = self.by_slowness.range(..without_samples).next_back()?;
+        let min = self.by_slowness.first()?;
+        Some((f64::from_bits(min.0), f64::from_bits(max.0)))
     }
 }
 
-fn voice(counted: &Counted, now: Micros, half: f64) -> Voice {
-    let samples = counted.slow.samples(now, half);
-    if counted.warm_at.is_some() || samples <= 0.0 {
-        return Voice::Silent;
+fn weight(terms: &WorkerTerms, now: Micros, half_life: f64) -> Weight {
+    let samples = terms.slowness.samples(now, half_life);
+    if terms.warm_at.is_some() || samples <= 0.0 {
+        return Weight::None;
     }
-    let whole_for = (samples / ONE_VOICE).log2() * half;
-    if whole_for >= 1.0 { Voice::Whole { until: now + whole_for as Micros } } else { Voice::Fading }
+    let full_for = (samples / MAX_WORKER_WEIGHT).log2() * half_life;
+    if full_for >= 1.0 { Weight::Full { until: now + full_for as Micros } } else { Weight::Decaying }
 }
 
 #[cfg(test)]
--- a/src/control/functions.rs
+++ b/src/control/functions.rs
@@ -1,6 +1,7 @@
-//! The functions that a router knows, in a bounded number of bytes: in full while they are asked for, as compact records
-//! once they have been idle for a while, and forgotten by last use where there is no room. No request is decided here; the
-//! clock is passed in.
+//! Table of the functions that a router has seen, within a bounded number of bytes.
+//!
+//! A function is held in full while it is requested, becomes a compact dormant record once it has been idle for a while, and
+//! is evicted, least recently used first, when there is no room. No requests are decided here; the clock is passed in.
 
 use super::hints::Usual;
 use super::tables::Function;
@@ -10,23 +11,24 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// Bytes for functions where nobody says another number: with all else that a dispatcher holds, it fits 256 MB.
+/// Default bound of the table: together with the rest of a dispatcher's state it fits into 256 MB.
 pub const USUAL_FUNCTION_BYTES: usize = 96 << 20;
-/// Fewer bytes than this hold no function worth the name: a setting below it is a fault.
+/// Smallest accepted bound of the table. Less holds too few functions to be useful.
 pub const LEAST_FUNCTION_BYTES: usize = 64 << 10;
-/// Bytes of a function that is asked for, beside its name: the record, where it is listed, its preferred workers, and what
-/// those that hold it have of it. Measured by `cargo bench --bench routing`.
+/// Bytes of an active function besides its id: the record, its index entries, its preferred workers, and the marks that
+/// workers hold of it. Measured by `cargo bench --bench routing`.
 const ACTIVE_BYTES: usize = size_of::<Function>() + 512;
-/// Bytes of a compact record, beside the name: the record, its links, its place in the table, and the allocator's own.
-const DORMANT_BYTES: usize = size_of::<Dormant>() + 64;
-/// Bytes that a name takes beside its text.
-const NAME_BYTES: usize = 32;
-/// Steps of upkeep in one event: what falls due at once is spread over those that follow.
-const UPKEEP_STEPS: usize = 16;
-
-/// What is kept of a function that nobody asks for at the moment.
+/// Bytes of a dormant record besides its id: the record, its links, its table entry, and the allocator's overhead.
+const DORMANT_BYTES: usize = size_of::<DormantRecord>() + 64;
+/// Overhead of an id besides its text.
+const ID_OVERHEAD_BYTES: usize = 32;
+/// Functions moved or evicted per call of [`FunctionTable::maintain`]: work that falls due at once is spread over the events
+/// that follow.
+const MAX_MAINTENANCE_STEPS: usize = 16;
+
+/// Compact record of an idle function.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Dormant {
+struct DormantRecord {
     class: u32,
     answers: u32,
     lanes: f32,
@@ -36,20 +38,20 @@
     hinted: (f32, f32),
 }
 
-impl Dormant {
-    fn of(function: &Function) -> Dormant {
-        Dormant {
+impl DormantRecord {
+    fn of(function: &Function) -> DormantRecord {
+        DormantRecord {
             class: function.class as u32,
             answers: function.answers,
             lanes: function.lanes as f32,
-            told_load: function.told_load.map(|t| t as f32),
-            load: function.load.map(|t| t as f32),
+            told_load: function.told_load.map(|time| time as f32),
+            load: function.load.map(|time| time as f32),
             run: function.run as f32,
-            hinted: function.hinted.parts(),
+            hinted: function.hinted.to_compact(),
         }
     }
 
-    fn woken(self, id: FunctionId, served: bool) -> Function {
+    fn into_function(self, id: FunctionId, served: bool) -> Function {
         Function {
             id,
             served,
@@ -59,142 +61,149 @@
             told_load: self.told_load.map(f64::from),
             load: self.load.map(f64::from),
             run: f64::from(self.run),
-            hinted: Usual::of_parts(self.hinted),
+            hinted: Usual::from_compact(self.hinted),
             ..Function::default()
         }
     }
 }
 
-/// All functions that are known.
+/// All functions that the router has seen and not evicted.
 #[derive(Default)]
 pub(super) struct FunctionTable {
     active: Slab<Function>,
     slots: HashMap<FunctionId, usize>,
-    /// The active ones by last use, those that never were served and those that were.
-    used: [LinkedHashMap<usize, Micros>; 2],
-    /// The others by last use, likewise.
-    dormant: [LinkedHashMap<FunctionId, Dormant>; 2],
+    /// Active functions by last use: those that have never been served at index 0, the others at index 1.
+    last_used: [LinkedHashMap<usize, Micros>; 2],
+    /// Dormant functions by last use, at the same indexes.
+    dormant: [LinkedHashMap<FunctionId, DormantRecord>; 2],
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
-/// A function that was active and is not any more: what others hold of it by its slot must go.
+/// A function that is no longer active. All references to its slot must be removed, since the slot will be reused.
 #[derive(Debug)]
-pub(super) struct Retired {
-    /// Its slot.
+pub(super) struct RetiredFunction {
     pub(super) slot: usize,
-    /// Workers that hold something of it.
+    /// Workers that hold a mark of it.
     pub(super) holders: Vec<u32>,
 }
 
 impl FunctionTable {
-    /// An empty one.
-    pub(super) fn new(most_bytes: usize) -> FunctionTable {
-        FunctionTable { most_bytes, ..FunctionTable::default() }
+    pub(super) fn new(max_bytes: usize) -> FunctionTable {
+        FunctionTable { max_bytes, ..FunctionTable::default() }
     }
 
-    /// From now on so many bytes may be used.
-    pub(super) fn bound(&mut self, most_bytes: usize) {
-        self.most_bytes = most_bytes;
-        // A table that grows moves all that it holds at once, which no request should wait for.
-        let room = most_bytes / (DORMANT_BYTES + NAME_BYTES + 16);
-        self.dormant[1].reserve(room.saturating_sub(self.dormant[1].len()));
+    /// Sets the bound of the table in bytes.
+    pub(super) fn set_max_bytes(&mut self, max_bytes: usize) {
+        self.max_bytes = max_bytes;
+        // Reserved ahead, since a hash table that grows moves all entries at once, and a request would wait for that.
+        let max_records = max_bytes / (DORMANT_BYTES + ID_OVERHEAD_BYTES + 16);
+        self.dormant[1].reserve(max_records.saturating_sub(self.dormant[1].len()));
     }
 
-    /// Functions known in full, and as compact records.
+    /// Returns the numbers of active and of dormant functions.
     pub(super) fn counts(&self) -> (usize, usize) {
         (self.active.len(), self.dormant.iter().map(LinkedHashMap::len).sum())
     }
 
-    /// Bytes in use, by the table's own count.
+    /// Returns the estimated number of bytes in use, which the bound applies to.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The slot of a function that is known in full.
+    /// Returns the slot of an active function.
     pub(super) fn slot(&self, id: &FunctionId) -> Option<usize> {
         self.slots.get(id).copied()
     }
 
-    /// All that are known in full, by their slots.
+    /// Iterates over all active functions and their slots.
     pub(super) fn iter(&self) -> impl Iterator<Item = (usize, &Function)> {
         self.active.iter()
     }
 
-    /// Compact records, those used last first, as functions.
-    pub(super) fn dormant(&self) -> impl Iterator<Item = Function> + '_ {
-        let of = |served: usize| {
-            self.dormant[served].iter().rev().map(move |(id, d)| d.woken(id.clone(), served == 1))
+    /// Iterates over all dormant functions: those that have been served before the others, the most recently used first.
+    pub(super) fn dormant_functions(&self) -> impl Iterator<Item = Function> + '_ {
+        let functions = |served: usize| {
+            let records = self.dormant[served].iter().rev();
+            records.map(move |(id, record)| record.into_function(id.clone(), served == 1))
         };
-        of(1).chain(of(0))
+        functions(1).chain(functions(0))
     }
 
-    /// Forgets all and takes these in; their slots, in order.
+    /// Replaces all functions by these as active ones; returns their slots, in the same order.
     pub(super) fn replace(&mut self, now: Micros, functions: Vec<Function>) -> Vec<usize> {
-        *self = FunctionTable::new(self.most_bytes);
+        *self = FunctionTable::new(self.max_bytes);
         functions.into_iter().map(|function| self.insert(now, function)).collect()
     }
 
-    /// The slot of a function that is asked for now: one that is dormant wakes, one that is not known begins as `first` says.
-    pub(super) fn wake(&mut self, now: Micros, id: &FunctionId, first: impl FnOnce() -> Function) -> usize {
+    /// Returns the slot of a function that is requested now. A dormant function becomes active, an unknown one is created by
+    /// `create`.
+    pub(super) fn activate(
+        &mut self,
+        now: Micros,
+        id: &FunctionId,
+        create: impl FnOnce() -> Function,
+    ) -> usize {
         if let Some(slot) = self.slot(id) {
             self.touch(now, slot);
             return slot;
         }
-        let kept = (0..2).find_map(|served| Some((served == 1, self.dormant[served].remove(id)?)));
-        let function = match kept {
-            Some((served, dormant)) => {
+        let dormant = (0..2).find_map(|served| Some((served == 1, self.dormant[served].remove(id)?)));
+        let function = match dormant {
+            Some((served, record)) => {
                 self.bytes -= dormant_bytes(id);
-                dormant.woken(id.clone(), served)
+                record.into_function(id.clone(), served)
             }
-            None => first(),
+            None => create(),
         };
         self.insert(now, function)
     }
 
-    /// Takes in a function that is not known.
+    /// Inserts a function that is not in the table as an active one; returns its slot.
     pub(super) fn insert(&mut self, now: Micros, function: Function) -> usize {
         let (id, served) = (function.id.clone(), function.served);
         self.bytes += active_bytes(&id);
         let slot = self.active.insert(function);
         self.slots.insert(id, slot);
-        self.used[usize::from(served)].insert(slot, now);
+        self.last_used[usize::from(served)].insert(slot, now);
         slot
     }
 
+    /// Makes the function the most recently used one of its kind.
     fn touch(&mut self, now: Micros, slot: usize) {
         let served = usize::from(self.active[slot].served);
-        self.used[1 - served].remove(&slot);
-        self.used[served].insert(slot, now);
+        self.last_used[1 - served].remove(&slot);
+        self.last_used[served].insert(slot, now);
     }
 
-    /// An answer of it came: it is worth keeping longer.
+    /// Records that a request for the function was answered: it is evicted only after those never served.
     pub(super) fn served(&mut self, now: Micros, slot: usize) {
         if !std::mem::replace(&mut self.active[slot].served, true) {
             self.touch(now, slot);
         }
     }
 
-    /// Makes dormant what nobody has asked for since `idle_since`, and forgets what there is no room for: those that never
-    /// were served first, the longest unused first. A few at a time; what is in flight stays.
-    pub(super) fn maintain(&mut self, now: Micros, idle_since: Micros) -> Vec<Retired> {
+    /// Makes functions dormant that have not been requested since `idle_since`, and evicts functions while the table is over
+    /// its bound: first those that have never been served, and of these the least recently used first. Each call takes at
+    /// most [`MAX_MAINTENANCE_STEPS`] steps. Functions with requests in flight stay active.
+    pub(super) fn maintain(&mut self, now: Micros, idle_since: Micros) -> Vec<RetiredFunction> {
         let mut retired = Vec::new();
-        for _ in 0..UPKEEP_STEPS {
-            let over = self.bytes > self.most_bytes;
-            let idle = (0..2).find_map(|served| self.oldest(now, served, idle_since));
+        for _ in 0..MAX_MAINTENANCE_STEPS {
+            let over_bound = self.bytes > self.max_bytes;
+            let idle = (0..2).find_map(|served| self.least_recently_used(now, served, idle_since));
             if let Some((slot, served)) = idle {
-                let function = self.take_out(slot);
+                let function = self.remove_active(slot);
                 self.bytes += dormant_bytes(&function.id);
-                self.dormant[served].insert(function.id.clone(), Dormant::of(&function));
-                retired.push(Retired { slot, holders: function.holders });
-            } else if over && let Some((id, _)) = self.dormant[0].pop_front() {
+                self.dormant[served].insert(function.id.clone(), DormantRecord::of(&function));
+                retired.push(RetiredFunction { slot, holders: function.holders });
+            } else if over_bound && let Some((id, _)) = self.dormant[0].pop_front() {
                 self.bytes -= dormant_bytes(&id);
-            } else if over && let Some((slot, _)) = self.oldest(now, 0, now) {
-                retired.push(Retired { slot, holders: self.take_out(slot).holders });
-            } else if over && let Some((id, _)) = self.dormant[1].pop_front() {
+            } else if over_bound && let Some((slot, _)) = self.least_recently_used(now, 0, now) {
+                retired.push(RetiredFunction { slot, holders: self.remove_active(slot).holders });
+            } else if over_bound && let Some((id, _)) = self.dormant[1].pop_front() {
                 self.bytes -= dormant_bytes(&id);
-            } else if over && let Some((slot, _)) = self.oldest(now, 1, now) {
-                retired.push(Retired { slot, holders: self.take_out(slot).holders });
+            } else if over_bound && let Some((slot, _)) = self.least_recently_used(now, 1, now) {
+                retired.push(RetiredFunction { slot, holders: self.remove_active(slot).holders });
             } else {
                 break;
             }
@@ -202,10 +211,11 @@
         retired
     }
 
-    /// The active one that was used longest ago, before `since`. One in flight counts as used now.
-    fn oldest(&mut self, now: Micros, served: usize, since: Micros) -> Option<(usize, usize)> {
+    /// Returns the least recently used active function and `served`, if it was last used before `since`. If it has requests in
+    /// flight, it counts as used now instead.
+    fn least_recently_used(&mut self, now: Micros, served: usize, since: Micros) -> Option<(usize, usize)> {
         let (slot, _) =
-            self.used[served].front().map(|(slot, at)| (*slot, *at)).filter(|(_, at)| *at < since)?;
+            self.last_used[served].front().map(|(slot, at)| (*slot, *at)).filter(|(_, at)| *at < since)?;
         if self.active[slot].in_flight > 0 {
             self.touch(now, slot);
             return None;
@@ -213,11 +223,11 @@
         Some((slot, served))
     }
 
-    fn take_out(&mut self, slot: usize) -> Function {
+    fn remove_active(&mut self, slot: usize) -> Function {
         let function = self.active.remove(slot);
         self.slots.remove(&function.id);
-        for used in &mut self.used {
-            used.remove(&slot);
+        for last_used in &mut self.last_used {
+            last_used.remove(&slot);
         }
         self.bytes -= active_bytes(&function.id);
         function
@@ -239,11 +249,11 @@
 }
 
 fn active_bytes(id: &FunctionId) -> usize {
-    ACTIVE_BYTES + NAME_BYTES + id.len()
+    ACTIVE_BYTES + ID_OVERHEAD_BYTES + id.len()
 }
 
 fn dormant_bytes(id: &FunctionId) -> usize {
-    DORMANT_BYTES + NAME_BYTES + id.len()
+    DORMANT_BYTES + ID_OVERHEAD_BYTES + id.len()
 }
 
 #[cfg(test)]
--- a/src/control/hints.rs
+++ b/src/control/hints.rs
@@ -1,87 +1,92 @@
-//! What a client's rough hint at a request's work is worth: arithmetic alone, nothing is decided here.
+//! Relative sizes of requests, estimated from the clients' hints at their work.
 //!
-//! Hints are noisy, and nobody tells how noisy. A request's hint over what its function usually hints at gives its
-//! size; the power to which that ratio foretells run times is learned for each class by least squares on logarithms
-//! (run time over what was expected of a usual request, against the ratio). A hint that foretells nothing thus comes
-//! to a power of 0, and the request to a size of 1; so does a request without a hint.
+//! Hints are noisy to an unknown degree. The ratio of a request's hint to the usual hint of its function is raised to a power
+//! that gives the request's size. The power is learned for each class by least squares on logarithms (of the run time over
+//! that expected of a usual request, against the ratio). Hints that predict nothing thus lead to a power of 0 and a size of
+//! 1, as for a request without a hint. No I/O and no decisions; constant size.
 
 use crate::api::Micros;
 use serde::{Deserialize, Serialize};
 
-/// So many hints of a function tell what is usual; older ones fade.
-const LAST: f64 = 200.0;
-/// What the class usually hints at counts as this many of a function's own hints.
-const DOUBT: f64 = 2.0;
-/// A ratio outside of this and its inverse is taken for a slip.
-const MOST_RATIO: f64 = 10.0;
-/// A power of 0 counts as so much spread already seen, and each sample leaves so much of the older ones.
-const POWER_DOUBT: f64 = 20.0;
-const POWER_KEPT: f64 = 0.995;
-/// A run time outside of this and its inverse, over what was expected, tells no more than that.
-const MOST_ERROR: f64 = 20.0;
+/// Limit of the number of hints that a mean represents; beyond it, the mean becomes an exponential moving average.
+const MAX_SAMPLES: f64 = 200.0;
+/// The usual hint of the class counts as this many hints of a function.
+const CLASS_SAMPLES: f64 = 2.0;
+/// Ratios are limited to this value and its inverse, as larger ones are mistakes.
+const MAX_RATIO: f64 = 10.0;
+/// Prior for a power of 0, as a sum of squared logarithms of ratios.
+const POWER_PRIOR: f64 = 20.0;
+/// Share of the older samples' weight that is left after each new sample.
+const POWER_DECAY: f64 = 0.995;
+/// Run times relative to the expected ones are limited to this value and its inverse, so that an outlier counts no more.
+const MAX_ERROR: f64 = 20.0;
 
-/// The mean of the hints seen, in microseconds of work.
+/// Mean of the hints received, in microseconds of work.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Usual {
     mean: f64,
-    seen: f64,
+    /// Number of hints that the mean represents, at most [`MAX_SAMPLES`].
+    #[serde(rename = "seen")]
+    count: f64,
 }
 
 impl Usual {
-    /// Its figures in half the room: the mean, and how many hints it stands for.
-    pub fn parts(&self) -> (f32, f32) {
-        (self.mean as f32, self.seen as f32)
+    /// Returns the mean and the number of hints in single precision, for a compact record.
+    pub fn to_compact(self) -> (f32, f32) {
+        (self.mean as f32, self.count as f32)
     }
 
-    /// What [`Usual::parts`] told.
-    pub fn of_parts((mean, seen): (f32, f32)) -> Usual {
-        Usual { mean: f64::from(mean), seen: f64::from(seen) }
+    /// Restores the result of [`Usual::to_compact`].
+    pub fn from_compact((mean, count): (f32, f32)) -> Usual {
+        Usual { mean: f64::from(mean), count: f64::from(count) }
     }
 
-    /// Takes one more hint into account.
+    /// Includes a hint in the mean.
     pub fn add(&mut self, work: f64) {
-        self.seen = (self.seen + 1.0).min(LAST);
-        self.mean += (work - self.mean) / self.seen;
+        self.count = (self.count + 1.0).min(MAX_SAMPLES);
+        self.mean += (work - self.mean) / self.count;
     }
 
-    /// A hint over what is usual here, where `class` tells what is usual of any function of the class.
+    /// Returns the ratio of a hint to the usual one, with the mean of the class as prior.
     pub fn ratio(&self, work: f64, class: &Usual) -> f64 {
-        let beside = if class.seen > 0.0 { class.mean } else { work };
-        let usual = (self.mean * self.seen + beside * DOUBT) / (self.seen + DOUBT);
-        (work / usual.max(1.0)).clamp(1.0 / MOST_RATIO, MOST_RATIO)
+        let prior = if class.count > 0.0 { class.mean } else { work };
+        let usual = (self.mean * self.count + prior * CLASS_SAMPLES) / (self.count + CLASS_SAMPLES);
+        (work / usual.max(1.0)).clamp(1.0 / MAX_RATIO, MAX_RATIO)
     }
 }
 
-/// How far hints foretell run times: the power of the ratio.
+/// Learned power of the hint ratio that predicts run times: the slope of a regression line through the origin.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Power {
+    /// Decaying sum of products of the logarithms of ratio and relative run time.
     xy: f64,
+    /// Decaying sum of squared logarithms of ratios.
     xx: f64,
 }
 
 impl Power {
-    /// The power, from 0 (hints tell nothing) to 1 (they tell the run time).
-    pub fn get(&self) -> f64 {
-        (self.xy / (self.xx + POWER_DOUBT)).clamp(0.0, 1.0)
+    /// Returns the power, from 0 (hints predict nothing) to 1 (run times are proportional to hints).
+    pub fn exponent(&self) -> f64 {
+        (self.xy / (self.xx + POWER_PRIOR)).clamp(0.0, 1.0)
     }
 
-    /// A request of that ratio took `error` times what a usual one would have taken.
+    /// Includes the observation that a request with this hint ratio ran `error` times as long as a usual one.
     pub fn learn(&mut self, ratio: f64, error: f64) {
         let x = ratio.ln();
-        let y = error.clamp(1.0 / MOST_ERROR, MOST_ERROR).ln();
+        let y = error.clamp(1.0 / MAX_ERROR, MAX_ERROR).ln();
         if x.is_finite() && y.is_finite() {
-            self.xy = self.xy * POWER_KEPT + x * y;
-            self.xx = self.xx * POWER_KEPT + x * x;
+            self.xy = self.xy * POWER_DECAY + x * y;
+            self.xx = self.xx * POWER_DECAY + x * x;
         }
     }
 }
 
-/// A request's hint as it was weighed when it came.
+/// Relative size of a request, as estimated on its arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
-    /// Its hint over what its function usually hints at; 1 without a hint.
+    /// Ratio of its hint to the usual hint of its function; 1 without a hint.
     pub ratio: f64,
-    /// Its run time over that of a usual request, as far as the hint foretells it.
+    /// Predicted ratio of its run time to that of a usual request.
     pub size: f64,
 }
 
@@ -92,13 +97,15 @@
 }
 
 impl Size {
-    /// Weighs a hint, and takes it into account for those that follow.
+    /// Estimates the size of a request from its hint, and includes the hint in the means.
     pub fn weigh(work: Option<Micros>, function: &mut Usual, class: &mut Usual, power: Power) -> Size {
-        let Some(work) = work.filter(|w| *w > 0).map(|w| w as f64) else { return Size::default() };
+        let Some(work) = work.filter(|work| *work > 0).map(|work| work as f64) else {
+            return Size::default();
+        };
         let ratio = function.ratio(work, class);
         function.add(work);
         class.add(work);
-        Size { ratio, size: ratio.powf(power.get()) }
+        Size { ratio, size: ratio.powf(power.exponent()) }
     }
 }
 
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -1,4 +1,8 @@
-//! What a router has learned, as one process hands it to the next. Nothing is decided here.
+//! The state that a router has learned, as one process hands it over to its successor or to a peer.
+//!
+//! A successor takes over all of it, a peer only what holds for any router. The data comes from outside the process and is
+//! checked before it is used. The tables of the sender bound its size; dormant functions are limited to [`MAX_DORMANT`].
+//! No requests are decided here.
 
 use super::preference::PreferenceRing;
 use super::tables::{Function, Mark, Pool, Worker};
@@ -7,53 +11,58 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Times and counts above this are nonsense: three hours, in microseconds.
-const MOST_FIGURE: f64 = 1e10;
-/// Copies of one function at one worker, likewise.
-const MOST_COPIES: u32 = 1_024;
+/// Limit of plausible times and counts: about three hours, in microseconds.
+const MAX_FIGURE: f64 = 1e10;
+/// Limit of plausible replicas of one function at one worker.
+const MAX_COPIES: u32 = 1_024;
+/// Limit of the dormant functions that are handed over, which keeps the handover message short.
+const MAX_DORMANT: usize = 4_096;
 
-/// Compact records that are handed on at the most: a word to the next process must stay short.
-const MOST_DORMANT: usize = 4_096;
-
-/// What a router has learned.
+/// State that a router has learned. The field names and their order are the format of the handover.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Learned {
     workers: Vec<Worker>,
     functions: Vec<Function>,
     pools: Vec<Pool>,
-    /// Answers, and the store's slowness.
+    /// Evidence of the rate of answers, and of the slowness of the function store.
     rates: (Evidence, Evidence),
-    /// The requests and orders that the ration counts.
+    /// Times of the requests and of the load orders that the load ration counts.
     ration: (VecDeque<Micros>, VecDeque<Micros>),
 }
 
 impl Learned {
-    /// What of it another router may go on from, whose clock is `behind`: how long things take and where copies stand, by
-    /// age. What its owner alone may count on is left out: rations, own requests, breaks and refusals it met itself. None
-    /// where a figure is nonsense.
+    /// Returns the part of a peer's state that this router may start from: run and load times, and the replicas with their
+    /// ages. All times are moved back by `behind`, by which this router's clock is behind the peer's. State that holds for the peer alone is left out: its rations, requests in
+    /// progress, broken connections and refusals. Returns `None` if a figure is implausible.
     pub fn of_peer(self, behind: Micros) -> Option<Learned> {
-        let back = |at: Micros| at.saturating_sub(behind);
-        let time = |figure: f64| (0.0..=MOST_FIGURE).contains(&figure);
-        let sane = |e: &Evidence| e.sane(MOST_FIGURE);
-        let sound = |f: &Function| {
-            let told = f.told_load.iter().chain(&f.load).all(|t| time(*t));
-            told && time(f.run) && time(f.lanes) && sane(&f.seen) && sane(&f.found)
+        let rebased = |at: Micros| at.saturating_sub(behind);
+        let plausible = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
+        let plausible_evidence = |evidence: &Evidence| evidence.is_plausible(MAX_FIGURE);
+        let plausible_function = |f: &Function| {
+            let loads = f.told_load.iter().chain(&f.load).all(|load| plausible(*load));
+            let figures = loads && plausible(f.run) && plausible(f.lanes);
+            figures && plausible_evidence(&f.seen) && plausible_evidence(&f.found)
         };
-        let usual = |p: &Pool| p.load.is_none_or(time) && time(p.run) && sane(&p.found);
-        let marks = |w: &Worker| w.marks.values().all(|m| m.copies <= MOST_COPIES);
-        let good = self.functions.iter().all(sound)
-            && self.pools.iter().all(usual)
-            && self.workers.iter().all(|w| sane(&w.slow) && marks(w));
-        if !good {
+        let plausible_pool =
+            |p: &Pool| p.load.is_none_or(plausible) && plausible(p.run) && plausible_evidence(&p.found);
+        let plausible_marks = |w: &Worker| w.marks.values().all(|mark| mark.copies <= MAX_COPIES);
+        let all_plausible = self.functions.iter().all(plausible_function)
+            && self.pools.iter().all(plausible_pool)
+            && self.workers.iter().all(|w| plausible_evidence(&w.slow) && plausible_marks(w));
+        if !all_plausible {
             return None;
         }
         let classes = self.pools.len();
-        let mark =
-            |m: Mark| Mark { copies: m.copies, used: back(m.used), asked: back(m.asked), ..Mark::default() };
+        let mark = |m: Mark| Mark {
+            copies: m.copies,
+            used: rebased(m.used),
+            asked: rebased(m.asked),
+            ..Mark::default()
+        };
         let worker = |w: Worker| Worker {
-            ready_at: w.ready_at.map(back),
+            ready_at: w.ready_at.map(rebased),
             marks: w.marks.into_iter().map(|(f, m)| (f, mark(m))).collect(),
-            slow: w.slow.earlier(behind),
+            slow: w.slow.rebased(behind),
             lost: vec![Evidence::default(); classes],
             heard: vec![0; classes],
             id: w.id,
@@ -62,8 +71,8 @@
             ..Worker::default()
         };
         let function = |f: Function| Function {
-            seen: f.seen.earlier(behind),
-            found: f.found.earlier(behind),
+            seen: f.seen.rebased(behind),
+            found: f.found.rebased(behind),
             id: f.id,
             class: f.class,
             lanes: f.lanes,
@@ -75,7 +84,7 @@
             ..Function::default()
         };
         let pool =
-            |p: Pool| Pool { found: p.found.earlier(behind), run: p.run, load: p.load, ..Pool::default() };
+            |p: Pool| Pool { found: p.found.rebased(behind), run: p.run, load: p.load, ..Pool::default() };
         Some(Learned {
             workers: self.workers.into_iter().map(worker).collect(),
             functions: self.functions.into_iter().map(function).collect(),
@@ -84,39 +93,41 @@
         })
     }
 
-    /// Whether all that refers to something by its place refers to something that is there. Danger: a word from
-    /// outside the program may hold anything.
-    fn sound(&self, now: Micros) -> bool {
+    /// Returns whether all indexes refer to existing entries, all times are in the past and ids are unique. A message from
+    /// another process may contain anything.
+    fn is_consistent(&self, now: Micros) -> bool {
         let (functions, classes) = (self.functions.len(), self.pools.len());
         let worker = |w: &Worker| {
-            let told = w.lost.len() == classes && w.heard.len() == classes;
-            let marks = w.marks.iter().all(|(f, m)| {
-                let began = m.loading.is_none_or(|(began, due)| began <= now && began <= due);
-                *f < functions && began && m.used <= now && m.asked <= now
+            let per_class = w.lost.len() == classes && w.heard.len() == classes;
+            let marks = w.marks.iter().all(|(function, mark)| {
+                let loading = mark.loading.is_none_or(|(began, due)| began <= now && began <= due);
+                *function < functions && loading && mark.used <= now && mark.asked <= now
             });
-            told && marks && w.sent <= now
+            per_class && marks && w.sent <= now
         };
-        // Danger: two entries of one name would be two slots of one worker or function.
-        let workers: HashSet<&str> = self.workers.iter().map(|w| &*w.id).collect();
-        let names: HashSet<&str> = self.functions.iter().map(|f| &*f.id).collect();
-        let once = workers.len() == self.workers.len() && names.len() == functions;
+        // Two entries with one id would give one worker or function two slots.
+        let worker_ids: HashSet<&str> = self.workers.iter().map(|w| &*w.id).collect();
+        let function_ids: HashSet<&str> = self.functions.iter().map(|f| &*f.id).collect();
+        let unique = worker_ids.len() == self.workers.len() && function_ids.len() == functions;
         let times = self.ration.0.iter().chain(&self.ration.1);
-        once && self.workers.iter().all(worker)
+        unique
+            && self.workers.iter().all(worker)
             && self.functions.iter().all(|f| f.class < classes)
             && times.into_iter().all(|t| *t <= now)
     }
 }
 
 impl Router {
-    /// What it has learned.
+    /// Returns the learned state for a handover.
     pub fn learned(&self) -> Learned {
-        // Functions are numbered anew, without gaps: the successor puts them into slots of its own.
+        // Functions are renumbered without gaps; the successor assigns slots of its own.
         let numbers: HashMap<usize, usize> =
             self.functions.iter().enumerate().map(|(number, (slot, _))| (slot, number)).collect();
         let mut functions: Vec<Function> = self.functions.iter().map(|(_, f)| f.clone()).collect();
-        functions.extend(self.functions.dormant().take(MOST_DORMANT));
+        functions.extend(self.functions.dormant_functions().take(MAX_DORMANT));
         let renumbered = |w: &Worker| {
-            let marks = w.marks.iter().filter_map(|(slot, m)| Some((*numbers.get(slot)?, *m))).collect();
+            let marks =
+                w.marks.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
             Worker { marks, ..w.clone() }
         };
         Learned {
@@ -128,11 +139,12 @@
         }
     }
 
-    /// Goes on from what another has learned, whose requests stay its own; false, and nothing is taken, if that
-    /// can't be used. Settings, whose classes have the same places, and the list must follow.
+    /// Replaces the state of this router by the learned one, without requests in progress. Returns false and changes nothing
+    /// if this router has requests or the state is inconsistent. Settings whose classes have the same indexes, and a worker
+    /// list, must be applied afterwards.
     pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
-        let idle = self.requests.is_empty() && learned.sound(now);
-        if !idle {
+        let usable = self.requests.is_empty() && learned.is_consistent(now);
+        if !usable {
             return false;
         }
         let Learned { workers, functions, pools, rates, ration } = learned;
@@ -142,19 +154,22 @@
             times.make_contiguous().sort_unstable();
         }
         let slots = self.functions.replace(now, functions);
-        for (n, w) in self.workers.iter_mut().enumerate() {
-            w.open.clear();
-            let marks = std::mem::take(&mut w.marks).into_iter();
-            w.marks = marks.map(|(number, m)| (slots[number], Mark { own: 0, ..m })).collect();
-            w.marks.keys().for_each(|slot| self.functions[*slot].holders.push(n as u32));
+        for (worker_slot, worker) in self.workers.iter_mut().enumerate() {
+            worker.open.clear();
+            let marks = std::mem::take(&mut worker.marks).into_iter();
+            worker.marks = marks.map(|(number, mark)| (slots[number], Mark { own: 0, ..mark })).collect();
+            for function_slot in worker.marks.keys() {
+                self.functions[*function_slot].holders.push(worker_slot as u32);
+            }
         }
-        self.worker_ids = self.workers.iter().enumerate().map(|(n, w)| (w.id.clone(), n)).collect();
-        self.unlisted = (0..self.workers.len()).filter(|n| !self.workers[*n].listed).collect();
+        self.worker_ids =
+            self.workers.iter().enumerate().map(|(slot, worker)| (worker.id.clone(), slot)).collect();
+        self.unlisted = (0..self.workers.len()).filter(|slot| !self.workers[*slot].listed).collect();
         let all: Vec<(usize, WorkerId)> =
-            self.workers.iter().enumerate().map(|(n, w)| (n, w.id.clone())).collect();
+            self.workers.iter().enumerate().map(|(slot, worker)| (slot, worker.id.clone())).collect();
         self.ring = PreferenceRing::default();
-        self.ring.change(&[], &all);
-        self.choose_order();
+        self.ring.update(&[], &all);
+        self.update_preference_order();
         self.rebuild();
         true
     }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -1,69 +1,72 @@
-//! Where workers and functions are kept, by dense numbers, and which give theirs up so that both stay bounded.
-//! No request is decided here.
+//! Assigns slots to workers and functions and applies worker lists.
+//!
+//! Slots are dense indexes into the router's tables. Those of unlisted workers and of idle or evicted functions are reused,
+//! so that the tables stay bounded however many workers and functions come and go. No requests are decided here.
 
-use super::fleet::{FleetSums, Times};
-use super::functions::{LEAST_FUNCTION_BYTES, Retired};
+use super::fleet::{FleetSums, TimeConstants};
+use super::functions::{LEAST_FUNCTION_BYTES, RetiredFunction};
 use super::renewal::{RenewalQueue, Use};
 use super::tables::{Function, Mark, Worker};
 use super::{DORMANT, Evidence, Router, Warmth};
 use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
 use std::collections::HashSet;
 
-/// What a router did of its own accord, counted since it began.
+/// Counters of the router's decisions about cold workers and renewals, since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Attempts that took a turn at a cold worker.
+    /// Attempts that used one of this router's turns at a cold worker.
     pub cold_turns: u64,
-    /// Times that an idle copy was looked at, every twentieth of a second at the most, and left for others to keep.
+    /// Times that an idle replica was due for renewal but got no load order, since other routers use it often enough. One
+    /// replica may be counted repeatedly, at most once in a hundredth of the load window (50 ms with a window of 5 s).
     pub loads_left: u64,
 }
 
-/// How many entries each table of a router holds: all of its state that grows with what it is told.
+/// Number of entries in each table of a router: all of its state that can grow with the events it receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sizes {
-    /// Workers with a place, listed or not.
+    /// Workers with a slot, listed or not.
     pub workers: usize,
-    /// Functions known in full.
+    /// Active functions.
     pub functions: usize,
-    /// Functions known by a compact record.
+    /// Dormant functions, held as compact records.
     pub dormant: usize,
-    /// Bytes that functions take, by the table's own count: at most what [`Router::bound_functions`] says.
+    /// Estimated bytes of the function table, at most the bound set by [`Router::bound_functions`].
     pub function_bytes: usize,
-    /// Bytes of the ring by which workers are preferred.
+    /// Bytes of the preference ring.
     pub ring_bytes: usize,
-    /// Uses of replicas that may be due for renewal.
+    /// Queued uses of replicas that may become due for renewal.
     pub renewals: usize,
-    /// Requests under way.
+    /// Requests in progress.
     pub requests: usize,
-    /// Marks of copies, over all workers.
+    /// Marks of functions at workers, over all workers.
     pub marks: usize,
-    /// Attempts out, over all workers.
+    /// Attempts without an outcome yet, over all workers.
     pub open: usize,
-    /// Zones with evidence of late.
+    /// Zones with evidence of recent attempts.
     pub zones: usize,
-    /// Requests taken and loads ordered within the ration's window.
+    /// Requests received and loads ordered within the window of the load ration.
     pub window: usize,
 }
 
-/// Workers that leave the ring and that come to it, by slot.
+/// Workers to remove from the ring and to add to it, with their slots.
 #[derive(Default)]
 struct RingChanges {
-    gone: Vec<(usize, WorkerId)>,
-    new: Vec<(usize, WorkerId)>,
+    removed: Vec<(usize, WorkerId)>,
+    added: Vec<(usize, WorkerId)>,
 }
 
 impl Router {
-    /// From now on functions may take so many bytes, at least [`LEAST_FUNCTION_BYTES`].
+    /// Sets the bound of the function table in bytes, at least [`LEAST_FUNCTION_BYTES`].
     pub fn bound_functions(&mut self, bytes: usize) {
-        self.functions.bound(bytes.max(LEAST_FUNCTION_BYTES));
+        self.functions.set_max_bytes(bytes.max(LEAST_FUNCTION_BYTES));
     }
 
-    /// From now on every choice looks at every worker, or does no more: the choices are the same.
+    /// Sets whether each choice estimates every worker instead of searching; the choices are the same.
     pub fn scan(&mut self, scans: bool) {
         self.scans = scans;
     }
 
-    /// Takes a list of workers, whole or only what changed.
+    /// Applies a list of workers: a complete one, or one of changes only.
     pub(super) fn list(&mut self, complete: bool, entries: &[Listing], out: &mut Vec<Action>) {
         if self.worker_ids.is_empty() && self.set.list_on_request {
             out.push(Action::Watch);
@@ -72,28 +75,29 @@
             let named: HashSet<&WorkerId> = entries.iter().map(|e| &e.worker).collect();
             let workers = &mut self.workers;
             self.unlisted.retain(|slot| {
-                let w = &mut workers[*slot];
-                w.listed = named.contains(&w.id);
-                !w.listed
+                let worker = &mut workers[*slot];
+                worker.listed = named.contains(&worker.id);
+                !worker.listed
             });
-            for (index, w) in self.workers.iter_mut().enumerate().filter(|(_, w)| !named.contains(&w.id)) {
-                if w.up {
-                    (w.fell, w.up) = (self.now, false);
-                    self.fleet.update(index, w, self.now);
+            let workers = self.workers.iter_mut().enumerate();
+            for (slot, worker) in workers.filter(|(_, worker)| !named.contains(&worker.id)) {
+                if worker.up {
+                    (worker.fell, worker.up) = (self.now, false);
+                    self.fleet.update(slot, worker, self.now);
                 }
-                w.listed = false;
-                self.unlisted.insert(index);
+                worker.listed = false;
+                self.unlisted.insert(slot);
             }
         }
-        for (index, entry) in self.place_all(entries).into_iter().zip(entries) {
-            let worker = &mut self.workers[index];
+        for (slot, entry) in self.assign_slots(entries).into_iter().zip(entries) {
+            let worker = &mut self.workers[slot];
             worker.listed = entry.standing != Standing::Gone;
             if entry.standing != Standing::Gone {
-                // The last word on a machine that is gone tells nothing of where it stood.
+                // An entry that reports a worker as gone carries no valid zone or cell.
                 (worker.zone, worker.cell) = (entry.zone, entry.cell);
             }
             if entry.ready_at.is_some() && entry.ready_at != worker.ready_at {
-                // A restarted process holds no copies and owes nothing for its past.
+                // A restarted process holds no replicas, and what was observed of its predecessor does not apply to it.
                 worker.ready_at = entry.ready_at;
                 self.zones.remove(&entry.zone);
                 worker.forget_copies();
@@ -104,16 +108,16 @@
             let up = entry.standing == Standing::Healthy;
             (worker.fell, worker.up) = (if worker.up && !up { self.now } else { worker.fell }, up);
             if worker.listed {
-                self.unlisted.remove(&index)
+                self.unlisted.remove(&slot)
             } else {
-                self.unlisted.insert(index)
+                self.unlisted.insert(slot)
             };
-            self.fleet.update(index, worker, self.now);
+            self.fleet.update(slot, worker, self.now);
         }
-        self.choose_order();
+        self.update_preference_order();
     }
 
-    /// The size of each table, to show that all state is bounded.
+    /// Returns the size of each table, by which tests check that all state is bounded.
     pub fn sizes(&self) -> Sizes {
         Sizes {
             workers: self.workers.len(),
@@ -130,63 +134,64 @@
         }
     }
 
-    /// What it did of its own accord.
+    /// Returns the counters of decisions about cold workers and renewals.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// The slots of listed workers; new ones get one. Danger: workers replaced all day long would fill the memory; one
-    /// that is gone gives up its slot.
-    pub(super) fn place_all(&mut self, entries: &[Listing]) -> Vec<usize> {
+    /// Returns the slots of the workers in a list and assigns slots to new ones. Slots of unlisted workers are reused, since
+    /// otherwise a fleet whose workers are replaced all the time would fill the memory.
+    fn assign_slots(&mut self, entries: &[Listing]) -> Vec<usize> {
         let mut changes = RingChanges::default();
-        let mut free = self.free_slots().into_iter();
+        let mut reusable = self.reusable_slots().into_iter();
         let mut slots = Vec::with_capacity(entries.len());
         for entry in entries {
             let slot = match self.worker_ids.get(&entry.worker) {
                 Some(slot) => *slot,
-                None => self.place(entry, free.next(), &mut changes),
+                None => self.add_worker(entry, reusable.next(), &mut changes),
             };
             slots.push(slot);
         }
-        self.ring.change(&changes.gone, &changes.new);
+        self.ring.update(&changes.removed, &changes.added);
         slots
     }
 
-    /// Slots of workers that are not listed and of which nothing is owed.
-    fn free_slots(&self) -> Vec<usize> {
+    /// Returns the slots of unlisted workers that no request refers to and no budget still counts.
+    fn reusable_slots(&self) -> Vec<usize> {
         if self.unlisted.is_empty() {
             return Vec::new();
         }
         let attempts = self.requests.values().flat_map(|r| &r.attempts);
-        let named: HashSet<usize> = attempts.map(|a| a.e.worker).collect();
-        // What was sent to one that is back soon still counts against its budget.
-        let old = |w: &Worker| w.sent + self.set.warm_after < self.now && w.open.is_empty();
-        let over = |slot: &&usize| old(&self.workers[**slot]) && !named.contains(*slot);
-        self.unlisted.iter().filter(over).copied().collect()
+        let referenced: HashSet<usize> = attempts.map(|attempt| attempt.e.worker).collect();
+        // Requests sent recently still count against the cold budget of a worker that is listed again soon.
+        let settled =
+            |worker: &Worker| worker.sent + self.set.warm_after < self.now && worker.open.is_empty();
+        let reusable = |slot: &&usize| settled(&self.workers[**slot]) && !referenced.contains(*slot);
+        self.unlisted.iter().filter(reusable).copied().collect()
     }
 
-    fn place(&mut self, entry: &Listing, free: Option<usize>, changes: &mut RingChanges) -> usize {
+    fn add_worker(&mut self, entry: &Listing, reusable: Option<usize>, changes: &mut RingChanges) -> usize {
         let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.set.classes.len());
         let (lost, heard) = (vec![Evidence::default(); classes], vec![0; classes]);
         let worker = Worker { id: id.clone(), ready_at, lost, heard, ..Worker::default() };
-        let slot = free.unwrap_or(self.workers.len());
-        if free.is_some() {
+        let slot = reusable.unwrap_or(self.workers.len());
+        if reusable.is_some() {
             let old = std::mem::replace(&mut self.workers[slot], worker);
             for function in old.marks.keys() {
-                self.functions[*function].holders.retain(|w| *w as usize != slot);
+                self.functions[*function].holders.retain(|worker| *worker as usize != slot);
             }
             self.worker_ids.remove(&old.id);
             self.unlisted.remove(&slot);
-            changes.gone.push((slot, old.id));
+            changes.removed.push((slot, old.id));
         } else {
             self.workers.push(worker);
         }
         self.worker_ids.insert(id.clone(), slot);
-        changes.new.push((slot, id));
+        changes.added.push((slot, id));
         slot
     }
 
-    /// The slot of a function that a request names, with what the request tells of it.
+    /// Returns the slot of the function that a request names, after updating it with what the request states.
     pub(super) fn function(
         &mut self,
         id: &FunctionId,
@@ -195,24 +200,25 @@
         load: Option<Micros>,
     ) -> usize {
         let run = self.pools[class].run;
-        let first = || Function { id: id.clone(), class, lanes: 1.0, run, ..Function::default() };
-        let index = self.functions.wake(self.now, id, first);
-        self.drop_old_marks(index);
-        let function = &mut self.functions[index];
+        let create = || Function { id: id.clone(), class, lanes: 1.0, run, ..Function::default() };
+        let slot = self.functions.activate(self.now, id, create);
+        self.drop_expired_marks(slot);
+        let function = &mut self.functions[slot];
         function.class = class;
         function.lanes = if lanes.is_finite() { lanes.max(1.0) } else { 1.0 };
-        function.told_load = load.filter(|l| *l > 0).map(|l| l as f64).or(function.told_load);
-        index
+        function.told_load = load.filter(|load| *load > 0).map(|load| load as f64).or(function.told_load);
+        slot
     }
 
-    /// Marks of a function that have aged out go, so that those kept are bounded by one keep-alive.
-    fn drop_old_marks(&mut self, function: usize) {
-        let old = self.now.saturating_sub((DORMANT * self.set.keep_alive as f64) as Micros);
+    /// Removes marks of a function that have not been used for [`DORMANT`] keep-alives and stand for no replica, so that the
+    /// number of marks is bounded by recent use.
+    fn drop_expired_marks(&mut self, function: usize) {
+        let oldest = self.now.saturating_sub((DORMANT * self.set.keep_alive as f64) as Micros);
         let mut holders = std::mem::take(&mut self.functions[function].holders);
         holders.retain(|worker| {
             let mark = self.workers[*worker as usize].marks.get(&function);
-            let believed = |m: &Mark| !matches!(self.warmth(m), Warmth::Cold);
-            let kept = mark.is_some_and(|m| m.own > 0 || m.used >= old || believed(m));
+            let warm = |mark: &Mark| !matches!(self.warmth(mark), Warmth::Cold);
+            let kept = mark.is_some_and(|mark| mark.own > 0 || mark.used >= oldest || warm(mark));
             if !kept {
                 self.workers[*worker as usize].marks.remove(&function);
             }
@@ -221,25 +227,33 @@
         self.functions[function].holders = holders;
     }
 
-    /// Makes functions dormant that have been idle for long, and forgets those that there is no room for.
+    /// Makes functions dormant that have been idle for [`DORMANT`] keep-alives, evicts functions beyond the bound of the table,
+    /// and removes the marks of both.
     pub(super) fn retire_functions(&mut self) {
         let idle = (DORMANT * self.set.keep_alive as f64) as Micros;
-        for Retired { slot, holders } in self.functions.maintain(self.now, self.now.saturating_sub(idle)) {
+        for RetiredFunction { slot, holders } in
+            self.functions.maintain(self.now, self.now.saturating_sub(idle))
+        {
             for worker in holders {
                 self.workers[worker as usize].marks.remove(&slot);
             }
         }
     }
 
-    /// Makes anew what follows from the tables of workers and functions.
+    /// Rebuilds the fleet sums and the renewal queue from the workers and their marks.
     pub(super) fn rebuild(&mut self) {
-        let times = Times { half: self.half, warm_after: self.set.warm_after };
+        let times = TimeConstants { half_life: self.half, warm_after: self.set.warm_after };
         self.fleet = FleetSums::of(times, &self.workers, self.now);
         let mut uses = Vec::new();
-        for (worker, w) in self.workers.iter().enumerate() {
-            uses.extend(w.marks.iter().map(|(function, m)| Use { at: m.used, worker, function: *function }));
+        for (slot, worker) in self.workers.iter().enumerate() {
+            let marks = worker.marks.iter();
+            uses.extend(marks.map(|(function, mark)| Use {
+                at: mark.used,
+                worker: slot,
+                function: *function,
+            }));
         }
-        uses.sort_unstable_by_key(|u| (u.at, u.worker, u.function));
+        uses.sort_unstable_by_key(|used| (used.at, used.worker, used.function));
         self.renewals = RenewalQueue::default();
         uses.into_iter().for_each(|used| self.renewals.push(used));
     }
--- a/src/control/preference/tests.rs
+++ b/src/control/preference/tests.rs
@@ -12,12 +12,12 @@
 fn ring(workers: impl Iterator<Item = usize>) -> PreferenceRing {
     let all: Vec<(usize, WorkerId)> = workers.map(|n| (n, worker(n))).collect();
     let mut ring = PreferenceRing::default();
-    ring.change(&[], &all);
+    ring.update(&[], &all);
     ring
 }
 
 #[test]
-fn the_order_is_that_of_the_distances() {
+fn order_sorts_workers_by_distance() {
     let ring = ring(0..300);
     for n in 0..50 {
         let mut all: Vec<usize> = (0..300).collect();
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn a_ring_without_workers_prefers_none() {
+fn empty_ring_yields_no_workers() {
     assert_eq!(PreferenceRing::default().order(&function(1)).next(), None);
 }
 
 #[test]
-fn shares_are_even_for_few_workers_and_for_many() {
+fn shares_are_even_in_small_and_large_fleets() {
     for count in [2, 3, 12, 100, 400] {
         let ring = ring(0..count);
         let mut first = vec![0_u32; count];
@@ -42,7 +42,7 @@
         }
         let (least, most) = (first.iter().min(), first.iter().max());
         let share = |of: Option<&u32>| f64::from(*of.expect("a worker")) / 400.0;
-        // Of 400 drawn evenly, the least and the most of so many are 0.85 and 1.15 by chance alone.
+        // With 400 functions per worker placed uniformly at random, the extremes are about 0.85 and 1.15 by chance alone.
         assert!(
             share(least) > 0.6 && share(most) < 1.35,
             "{count} workers: {} to {}",
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn one_worker_more_moves_its_own_share_and_nothing_else() {
+fn added_worker_moves_only_its_own_share_of_functions() {
     for count in [12, 100, 1_000] {
         let (before, after) = (ring(0..count), ring(0..count + 1));
         let functions = 10_000;
@@ -61,7 +61,7 @@
         for n in 0..functions {
             let (old, new) = (before.order(&function(n)).next(), after.order(&function(n)).next());
             if old != new {
-                assert_eq!(new, Some(count), "what moves goes to the new worker");
+                assert_eq!(new, Some(count), "functions move only to the new worker");
                 moved += 1;
             }
         }
@@ -72,32 +72,32 @@
 
 proptest! {
     #[test]
-    fn the_order_is_the_same_however_the_list_came(
+    fn order_does_not_depend_on_the_history_of_the_worker_list(
         steps in prop::collection::vec((0_usize..40, any::<bool>(), 1_usize..30), 1..30),
         name in 0_usize..1_000,
     ) {
-        // Workers come and go one by one and many at once; slots differ from dispatcher to dispatcher.
-        let mut there = std::collections::BTreeMap::new();
-        let mut grown = PreferenceRing::default();
+        // Workers join and leave one by one and in groups; slots differ between dispatchers.
+        let mut present = std::collections::BTreeMap::new();
+        let mut updated = PreferenceRing::default();
         let mut next_slot = 1_000;
-        for (first, comes, count) in steps {
-            let mut gone = Vec::new();
-            let mut new = Vec::new();
+        for (first, joins, count) in steps {
+            let mut removed = Vec::new();
+            let mut added = Vec::new();
             for n in first..first + count {
-                if comes && !there.contains_key(&n) {
-                    there.insert(n, next_slot);
-                    new.push((next_slot, worker(n)));
+                if joins && !present.contains_key(&n) {
+                    present.insert(n, next_slot);
+                    added.push((next_slot, worker(n)));
                     next_slot += 1;
-                } else if !comes && let Some(slot) = there.remove(&n) {
-                    gone.push((slot, worker(n)));
+                } else if !joins && let Some(slot) = present.remove(&n) {
+                    removed.push((slot, worker(n)));
                 }
             }
-            grown.change(&gone, &new);
+            updated.update(&removed, &added);
         }
-        let whole = ring(there.keys().copied());
-        let names: std::collections::BTreeMap<usize, usize> = there.iter().map(|(n, slot)| (*slot, *n)).collect();
-        let order: Vec<usize> = grown.order(&function(name)).map(|slot| names[&slot]).collect();
-        prop_assert_eq!(order, whole.order(&function(name)).collect::<Vec<_>>());
-        prop_assert_eq!(grown.count(), there.len());
+        let rebuilt = ring(present.keys().copied());
+        let names: std::collections::BTreeMap<usize, usize> = present.iter().map(|(n, slot)| (*slot, *n)).collect();
+        let order: Vec<usize> = updated.order(&function(name)).map(|slot| names[&slot]).collect();
+        prop_assert_eq!(order, rebuilt.order(&function(name)).collect::<Vec<_>>());
+        prop_assert_eq!(updated.count(), present.len());
     }
 }
--- a/src/control/renewal.rs
+++ b/src/control/renewal.rs
@@ -1,50 +1,48 @@
-//! Which replicas may be due for renewal: each use is queued once, and the queue is read from its old end, so that what
-//! is due is found without looking at what is not. Whether a replica is renewed is decided elsewhere; no I/O, the clock is
-//! passed in.
+//! Queue of the uses of replicas, by which those due for renewal are found.
+//!
+//! Uses are queued in the order of time and read from the oldest on, so that replicas which are not due cost nothing. The
+//! caller decides whether a replica is renewed. No I/O; the clock is passed in. Uses past the age of renewal are dropped.
 
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// A use of a replica.
+/// A use of a replica, given by the slots of its worker and its function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Use {
-    /// When.
     pub(super) at: Micros,
-    /// The slot of its worker.
     pub(super) worker: usize,
-    /// The slot of its function.
     pub(super) function: usize,
 }
 
-/// Uses by age: those that are too young to matter, and those that may be due.
+/// Uses in the order of time: those too recent for a renewal, and those that may be due.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RenewalQueue {
-    young: VecDeque<Use>,
+    recent: VecDeque<Use>,
     due: VecDeque<Use>,
 }
 
 impl RenewalQueue {
-    /// Uses that are queued.
+    /// Returns the number of queued uses.
     pub(super) fn len(&self) -> usize {
-        self.young.len() + self.due.len()
+        self.recent.len() + self.due.len()
     }
 
-    /// Forgets all uses: nothing is renewed.
+    /// Drops all uses, so that nothing becomes due.
     pub(super) fn clear(&mut self) {
-        self.young.clear();
+        self.recent.clear();
         self.due.clear();
     }
 
-    /// A replica was used; uses must come in the order of their times.
+    /// Queues a use of a replica. Uses must be pushed in the order of their times.
     pub(super) fn push(&mut self, used: Use) {
-        // A second use in one moment says nothing new.
-        if self.young.back() != Some(&used) {
-            self.young.push_back(used);
+        // Repeated uses with the same time are queued once.
+        if self.recent.back() != Some(&used) {
+            self.recent.push_back(used);
         }
     }
 
-    /// Goes through the uses whose age in shares of `keep_alive` lies between `from` and `to`. `current` tells whether a use
-    /// is still the last one of its replica; one that is not is dropped, and so is one that is older.
+    /// Iterates over the uses whose age, as a share of `keep_alive`, is at least `from` and less than `to`. Drops older uses,
+    /// and those for which `current` returns false because the replica has been used again since.
     pub(super) fn due(
         &mut self,
         now: Micros,
@@ -53,7 +51,7 @@
         current: impl Fn(&Use) -> bool,
     ) -> impl Iterator<Item = &Use> {
         let age = |used: &Use| now.saturating_sub(used.at) as f64 / keep_alive;
-        while let Some(used) = self.young.pop_front_if(|used| age(used) >= from) {
+        while let Some(used) = self.recent.pop_front_if(|used| age(used) >= from) {
             self.due.push_back(used);
         }
         self.due.retain(|used| age(used) < to && current(used));
@@ -61,9 +59,9 @@
     }
 }
 
-/// Takes off the front what is over; times are in order.
-pub(super) fn drop_while(times: &mut VecDeque<Micros>, over: impl Fn(Micros) -> bool) {
-    while times.pop_front_if(|t| over(*t)).is_some() {}
+/// Removes times from the front for as long as `expired` holds; the times are in ascending order.
+pub(super) fn drop_while(times: &mut VecDeque<Micros>, expired: impl Fn(Micros) -> bool) {
+    while times.pop_front_if(|time| expired(*time)).is_some() {}
 }
 
 #[cfg(test)]
--- a/src/control/renewal/tests.rs
+++ b/src/control/renewal/tests.rs
@@ -9,12 +9,12 @@
 }
 
 #[test]
-fn uses_are_due_from_one_age_to_another() {
+fn uses_are_due_between_two_ages_and_dropped_afterwards() {
     let mut queue = RenewalQueue::default();
     queue.push(used(0, 1));
     queue.push(used(10, 2));
     queue.push(used(10, 2));
-    assert_eq!(queue.len(), 2, "the same use twice is one");
+    assert_eq!(queue.len(), 2, "a repeated use is queued once");
     assert_eq!(due(&mut queue, 74, |_| true), Vec::<usize>::new());
     assert_eq!(due(&mut queue, 75, |_| true), vec![1]);
     assert_eq!(due(&mut queue, 90, |_| true), vec![1, 2]);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_use_that_another_one_followed_is_dropped() {
+fn use_followed_by_a_later_one_is_dropped() {
     let mut queue = RenewalQueue::default();
     queue.push(used(0, 1));
     queue.push(used(5, 1));
--- a/src/control/reports.rs
+++ b/src/control/reports.rs
@@ -1,65 +1,69 @@
-//! What a worker's load report is worth by its age: arithmetic alone, nothing is decided here.
+//! Load reports of workers, weighted by their age.
 //!
-//! Where the settings say that answers carry load reports, a worker tells how many requests it holds. A report is
-//! refreshed now and then, comes late and is noisy, and the settings tell none of those figures; so it counts in full
-//! only at the moment it is heard and fades from then on. What this router has out there itself is known better and is
-//! taken off. A report that can't be read (no figure, negative, absurd) is as good as none: a worker may report wrongly
-//! or not at all, and is used as if nobody reported.
+//! Where the settings say that answers carry load reports, a report states how many requests the worker holds. Reports are
+//! refreshed now and then, arrive late and are noisy, and the settings state none of these figures. A report therefore has
+//! full weight only when it is received, and its weight decays from then on. This router's own requests at the worker are
+//! known exactly and are subtracted. A report without a valid figure (missing, negative or implausibly large) is ignored:
+//! such a worker is used as one that does not report. No I/O and no decisions; constant size per worker.
 
 use crate::api::{Micros, ReportField};
 use serde::{Deserialize, Serialize};
 
-/// A report has lost two thirds of its worth after this long: a few answers' time at a busy worker, and no more than
-/// the reports' own lateness (protocol, 'Load reports': refreshed now and then, late, a little noisy).
-const WORTH_FADES: f64 = 400_000.0;
-/// A report of more requests held than this is taken for a slip.
-const MOST_HELD: f64 = 10_000.0;
+/// Time constant of a report's weight, in microseconds: after it, nearly two thirds of the weight are gone. It is the time
+/// of a few answers at a busy worker, and no longer than the reports' own delay (protocol, 'Load reports': refreshed now and
+/// then, late, a little noisy).
+const WEIGHT_DECAY_US: f64 = 400_000.0;
+/// A report of more requests held than this is invalid.
+const MAX_HELD: f64 = 10_000.0;
 
-/// Where in a report the requests held stand, if the settings name them.
+/// Index of the number of requests held among the values of a report, if the settings name it.
 #[derive(Default, Clone, Copy, Debug, PartialEq)]
 pub struct Fields {
     held: Option<usize>,
 }
 
 impl Fields {
-    /// What the settings say of the values.
+    /// Finds the value among the report fields of the settings.
     pub fn of(fields: &[ReportField]) -> Fields {
         Fields { held: fields.iter().position(|f| *f == ReportField::Inflight) }
     }
 
-    /// Whether workers tell how many requests they hold.
+    /// Returns whether workers report how many requests they hold.
     pub fn told(&self) -> bool {
         self.held.is_some()
     }
 
-    /// The requests held, where the report tells them and they can be believed.
+    /// Returns the number of requests held, if the report contains a plausible one.
     pub fn held(&self, report: &[f64]) -> Option<f64> {
         let value = report.get(self.held?).copied()?;
-        (0.0..=MOST_HELD).contains(&value).then_some(value)
+        (0.0..=MAX_HELD).contains(&value).then_some(value)
     }
 }
 
-/// The last report of a worker.
+/// Last valid report of a worker.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    at: Micros,
-    /// Requests that it held for others.
+    #[serde(rename = "at")]
+    received_at: Micros,
+    /// Requests held for other routers.
     others: f64,
-    heard: bool,
+    /// False until the first report.
+    #[serde(rename = "heard")]
+    received: bool,
 }
 
 impl Report {
-    /// A worker that told `held` while this router had `own` requests out there.
+    /// Creates a report of `held` requests, received while this router had `own` requests at the worker.
     pub fn hear(now: Micros, held: f64, own: usize) -> Report {
-        Report { at: now, others: (held - own as f64).max(0.0), heard: true }
+        Report { received_at: now, others: (held - own as f64).max(0.0), received: true }
     }
 
-    /// Requests held for others, and what that is worth now, from 0 (nothing) to 1.
+    /// Returns the number of requests held for other routers and the weight of that figure, from 0 (no report) to 1.
     pub fn others(&self, now: Micros) -> (f64, f64) {
-        if !self.heard {
+        if !self.received {
             return (0.0, 0.0);
         }
-        (self.others, (-(now.saturating_sub(self.at) as f64) / WORTH_FADES).exp())
+        (self.others, (-(now.saturating_sub(self.received_at) as f64) / WEIGHT_DECAY_US).exp())
     }
 }
 
