--- a/src/api.rs
+++ b/src/api.rs
@@ -1,34 +1,35 @@
-//! The interface between a router and its host: settings, events, actions. Types only.
+//! The interface between a router and its host: settings, events and actions.
 //!
-//! Times are microseconds on the host's clock; durations are microseconds too.
+//! This module defines types only. The host passes [`Event`]s to the router and carries out the [`Action`]s
+//! that it returns. Times are microseconds on the host's clock; durations are microseconds too.
 
 use std::sync::Arc;
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// Identifies a request for as long as the router lives.
+/// Identifies a request; unique over the lifetime of the router.
 pub type RequestId = u64;
-/// Identifies a worker; says nothing of its zone, kind or age.
+/// Identifies a worker; an opaque value that encodes no zone, machine kind or age.
 pub type WorkerId = Arc<str>;
 /// Identifies a function.
 pub type FunctionId = Arc<str>;
 
-/// How often a request of a class may take effect.
+/// The delivery guarantee of a class: how often a request may take effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Repeats do no harm.
+    /// Running a request repeatedly is harmless.
     Idempotent,
-    /// Repeats inside a scope of workers are dropped for a while.
+    /// Workers within a [`KeyScope`] drop repeats of a key until the repeat window ends.
     Deduplicated,
-    /// Only one attempt may ever run.
+    /// At most one attempt may ever run.
     #[default]
     AtMostOnce,
 }
 
-/// The workers that drop each other's repeats of a keyed request.
+/// The set of workers that share deduplication state for a keyed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every worker.
+    /// All workers.
     All,
     /// The workers of one zone.
     Zone,
@@ -37,101 +38,103 @@
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests with its latency objective, delivery guarantee and value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// The latency objective: an answer within this time earns the full value.
     pub aim: Micros,
-    /// The client's whole patience.
+    /// The time after which the client stops waiting.
     pub deadline: Micros,
-    /// How often a request may take effect.
+    /// The delivery guarantee.
     pub effect: Effect,
-    /// Who drops repeats, for deduplicated classes.
+    /// Which workers drop repeats, for deduplicated classes.
     pub key_scope: KeyScope,
-    /// How long repeats are dropped, from the first attempt that may have run.
+    /// How long repeats are dropped, counted from the first attempt that may have run.
     pub repeat_window: Micros,
-    /// The worth of one request.
+    /// The value of one request.
     pub credit: f64,
-    /// The share of the worth that an answer after the aim still earns.
+    /// The fraction of the value that an answer after the latency objective still earns.
     pub late_worth: f64,
 }
 
-/// A value in a load report.
+/// The meaning of one value in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests held.
+    /// Requests in progress or queued at the worker.
     Inflight,
-    /// Requests waiting for service.
+    /// Requests queued at the worker.
     Queue,
-    /// Anything that the router does not use.
+    /// A value that the router ignores.
     Other,
 }
 
-/// Everything that a router is told at its start.
+/// The configuration of a router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Routers in this tier.
+    /// Number of routers in this tier.
     pub balancers: usize,
-    /// The number of this router among them, from 0.
+    /// Index of this router among them, from 0.
     pub me: usize,
     /// The zone of this router.
     pub my_zone: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Requests a second within share, per tenant, over all routers.
+    /// Quota of each tenant in requests per second, summed over all routers.
     pub tenant_quotas: Vec<f64>,
-    /// The share of the worth that a request beyond its tenant's quota keeps.
+    /// The fraction of its value that a request above its tenant's quota keeps.
     pub over_share_worth: f64,
-    /// What the values of a load report mean, in order.
+    /// The meaning of each value in a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// Attempts per request.
+    /// Maximum number of attempts per request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be out at once.
+    /// Whether two attempts of a request may be in flight at once (hedged requests).
     pub may_duplicate: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// The longest retry-after that clients heed; 0 where none is supplied.
+    /// The longest retry-after that clients honour; 0 if refusals carry none.
     pub max_retry_after: Micros,
-    /// The least time between two batches of events.
+    /// The minimum time between two batches of events.
     pub tick: Micros,
-    /// A worker starts with this share of its capacity or more.
+    /// The minimum fraction of its capacity that a worker has at its start.
     pub cold_share: f64,
-    /// A worker is warm this long after its start, at the latest.
+    /// The time after its start at which a worker has full capacity at the latest.
     pub warm_after: Micros,
-    /// A cold worker that gets more than this multiple of its present capacity ...
+    /// A worker in cold start fails if it receives more than this multiple of its present capacity throughout
+    /// `fall_window`.
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// How long that overload lasts before the worker fails.
     pub fall_window: Micros,
-    /// Loads and unloads may be ordered.
+    /// Whether the router may order workers to load and unload functions.
     pub orders: bool,
-    /// A worker lacking the function loads it while the request waits; else it answers a miss.
+    /// Whether a worker without the function loads it while the request waits; otherwise it answers with a
+    /// miss.
     pub loads_on_miss: bool,
-    /// The least time that an idle copy stays loaded.
+    /// The minimum time for which an idle copy stays loaded.
     pub keep_alive: Micros,
-    /// The window of the ration of loads; 0 where loads are not rationed.
+    /// The window of the rate limit on loads; 0 if loads are not limited.
     pub load_window: Micros,
-    /// Loads allowed in each window whatever the traffic.
+    /// Loads allowed in each window regardless of traffic.
     pub loads_anyway: f64,
-    /// Further loads allowed per request taken in the window.
+    /// Additional loads allowed per request accepted in the window.
     pub loads_per_request: f64,
-    /// The price of an attempt that crosses zones, in worth of a request.
+    /// The cost of an attempt that crosses zones, relative to the value of a request.
     pub cross_zone_price: f64,
-    /// The price of a fetch from the store, in worth of a request.
+    /// The cost of a fetch from the store, relative to the value of a request.
     pub fetch_price: f64,
-    /// The price of all memory held by copies with nothing running.
+    /// The cost of the memory held by idle copies.
     pub memory_price: f64,
-    /// The worker list comes only on request.
+    /// Whether the worker list is sent only on request ([`Action::Watch`]).
     pub list_on_request: bool,
 }
 
-/// What the list says of a worker.
+/// The state of a worker according to the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// May be sent to.
+    /// Accepts requests.
     Healthy,
-    /// Drains: nothing new may go there.
+    /// Draining: must receive no new requests.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
@@ -146,65 +149,65 @@
     pub kind: usize,
     /// Its cell.
     pub cell: usize,
-    /// What the list says of it.
+    /// Its listed state.
     pub standing: Standing,
-    /// When its process last started, if that is not long past.
+    /// When its process last started, if that was recent.
     pub ready_at: Option<Micros>,
 }
 
-/// How an attempt, a probe or a load order ended.
+/// The result of an attempt, a probe or a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served, or the copies stand.
+    /// The request was served, or the copies are loaded.
     Ok,
-    /// An error; it may have run.
+    /// The worker answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The worker was full and rejected the request before running any of it.
     Full,
-    /// No answer in time; it may have run or may still run.
+    /// No answer came in time; the request may have run or may still run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection could be established; the request never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
-    /// The function is not loaded there; it never ran.
+    /// The function is not loaded on the worker; the request never ran.
     Miss,
-    /// A word that the router does not know; it may have run.
+    /// The status is unknown to the router; the request may have run.
     Unknown,
 }
 
-/// What an answer tells of the copy that it found.
+/// What an answer reports about the copy that handled the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Nothing told.
+    /// Nothing was reported.
     Untold,
-    /// A copy stood loaded.
+    /// A copy was already loaded.
     Warm,
-    /// The request began a load.
+    /// The request started a load.
     BeganLoad,
-    /// The request waited for a load begun before.
+    /// The request waited for a load already in progress.
     WaitedForLoad,
-    /// The load that it waited for failed.
+    /// The load that the request waited for failed.
     LoadFailed,
 }
 
-/// What happens to a router.
+/// An input to the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The worker list, whole or only what changed.
+    /// The worker list, either complete or as a set of changes.
     Workers {
-        /// The list is whole: who is absent is gone.
+        /// Whether the list is complete: workers absent from it have been removed.
         complete: bool,
         /// Its entries.
         entries: Vec<Listing>,
     },
-    /// Asking for the list failed.
+    /// The request for the worker list failed.
     ListRefused,
-    /// A request; one final answer is owed from here on.
+    /// A new request; the router owes it exactly one final answer.
     Request {
         /// The request.
         id: RequestId,
@@ -214,37 +217,38 @@
         tenant: usize,
         /// Its function.
         function: FunctionId,
-        /// Requests that one copy runs at a time.
+        /// The number of requests that one copy runs concurrently.
         lanes: f64,
-        /// The usual time of a load, where told.
+        /// The typical load time, if known.
         load_time: Option<Micros>,
-        /// A rough hint at its work, where told.
+        /// A rough prediction of its run time, if known.
         work: Option<Micros>,
-        /// A client's own retry, where clients mark those: it belongs to a first try that was counted.
+        /// Whether the request is a client's retry, where clients mark retries; its first try was already
+        /// counted against the tenant's quota.
         again: bool,
-        /// The time until the client gives up.
+        /// The time until the client stops waiting.
         time_left: Micros,
     },
     /// An attempt ended.
     Outcome {
         /// The request.
         id: RequestId,
-        /// The number of the attempt, from 0.
+        /// The index of the attempt, from 0.
         attempt: usize,
-        /// The request has ended.
+        /// Whether the request has ended.
         last: bool,
         /// How the attempt ended.
         outcome: Outcome,
-        /// What it found.
+        /// What the answer reports about the copy.
         found: Found,
-        /// Requests for the function that the worker held, where told.
+        /// The number of requests for the function at the worker, if reported.
         crowd: Option<u32>,
         /// Time since the send.
         latency: Micros,
-        /// The load report that came with it.
+        /// The load report of the answer; empty if there is none.
         report: Vec<f64>,
     },
-    /// The answer of a streamed class began: the attempt belongs to the client.
+    /// The answer of a streamed class has begun: the router starts no further attempt of the request.
     Streaming {
         /// The request.
         id: RequestId,
@@ -255,70 +259,70 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// How it ended.
+        /// The result of the order.
         outcome: Outcome,
         /// Time since the order.
         latency: Micros,
-        /// Copies that stand there now.
+        /// The number of copies now loaded on the worker.
         copies: u32,
     },
-    /// The client left, or its request is past its time.
+    /// The client has disconnected, or the request's deadline has passed.
     Abandoned {
         /// The request.
         id: RequestId,
     },
-    /// A timer went off.
+    /// A timer has expired.
     Timer {
-        /// The router's own mark.
+        /// The value that the router gave with the timer.
         cookie: u64,
     },
 }
 
-/// What a router wants done, in order.
+/// An output of the router, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a worker; attempts are numbered by their sends.
+    /// Send the request to a worker. Attempts are numbered in the order of their `Send` actions.
     Send {
         /// The request.
         id: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// When the attempt is given up; `None`: with the client.
+        /// The deadline of the attempt; `None` means the deadline of the request.
         until: Option<Micros>,
     },
-    /// Turn the request away; a retry is harmless.
+    /// Refuse the request; a retry is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: no advice.
+        /// How long the client should wait before it retries; 0 gives no advice.
         retry_after: Micros,
     },
-    /// End the request unserved, with no promise of its effect.
+    /// Fail the request; whether it took effect is unspecified.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// The index of the attempt.
         attempt: usize,
     },
-    /// Hold at least so many copies; 0 only asks how many stand.
+    /// Order a worker to keep at least `copies` copies loaded; 0 only queries how many are loaded.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// Copies to hold.
+        /// The minimum number of copies.
         copies: u32,
     },
-    /// Wake the router.
+    /// Set a timer that wakes the router.
     Timer {
-        /// When.
+        /// When the timer expires.
         at: Micros,
-        /// The router's own mark.
+        /// The value that the router gave with the timer.
         cookie: u64,
     },
     /// Subscribe to changes of the worker list.
--- a/src/bin/ochreward-adapter/main.rs
+++ b/src/bin/ochreward-adapter/main.rs
@@ -1,4 +1,8 @@
-//! Drives one [`Router`] per instance from batches on standard input, one reply a line on standard output.
+//! Adapter between a simulator and the decision module.
+//!
+//! Reads batches of events as JSON, one per line, from standard input, passes each event to the [`Router`] of
+//! its instance, and writes one JSON line with the resulting actions per batch to standard output. Exits at
+//! the end of the input, or with an error at the first malformed line.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -8,31 +12,34 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The routers of this process; they share nothing.
+/// The routers of this process, by instance id; they share no state.
 #[derive(Default)]
 struct Host {
-    routers: BTreeMap<String, (Router, wire::Notes)>,
+    routers: BTreeMap<String, (Router, wire::RemarkSettings)>,
+    /// Scratch buffer for the actions of one event.
     actions: Vec<Action>,
 }
 
 impl Host {
-    fn answer(&mut self, batch: wire::Batch) -> wire::Reply {
+    /// Handles the events of a batch in order and returns the resulting actions.
+    fn handle_batch(&mut self, batch: wire::Batch) -> wire::Reply {
         let now = batch.clock_us;
         let mut reply = wire::Reply::default();
-        for wire::Arrival { i, body } in batch.arrivals {
+        for wire::Arrival { i: instance, body } in batch.arrivals {
             match body {
                 wire::Body::Spawn { rng_seed, config } => {
                     let router = Router::new(config.settings(), rng_seed, now);
-                    self.routers.insert(i, (router, config.notes()));
+                    self.routers.insert(instance, (router, config.remark_settings()));
                 }
                 wire::Body::Stop => {
-                    self.routers.remove(&i);
+                    self.routers.remove(&instance);
                 }
                 body => {
-                    let Some((router, notes)) = self.routers.get_mut(&i) else { continue };
-                    let Some(event) = wire::event(body, *notes) else { continue };
+                    let Some((router, remarks)) = self.routers.get_mut(&instance) else { continue };
+                    let Some(event) = wire::event(body, *remarks) else { continue };
                     router.handle(now, &event, &mut self.actions);
-                    reply.orders.extend(self.actions.drain(..).map(|action| wire::order(&i, action)));
+                    let orders = self.actions.drain(..).map(|action| wire::order(&instance, action));
+                    reply.orders.extend(orders);
                 }
             }
         }
@@ -40,30 +47,34 @@
     }
 }
 
-/// Why the adapter ends before its input does.
+/// The reason why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// A line can't be read, or is no batch.
-    #[error("standard input, line {line}, {why}: send one batch a line, as the simulator's wire says")]
-    Line { line: usize, why: serde_json::Error },
-    /// Standard input or output is broken.
-    #[error("line {line}, {why}: see that whoever started the adapter still reads and writes")]
-    Broken { line: usize, why: io::Error },
+    /// A line is not a valid batch.
+    #[error(
+        "input line {line} is not a valid batch, {error}: send one batch per line in the simulator's format"
+    )]
+    InvalidBatch { line: usize, error: serde_json::Error },
+    /// Reading standard input or writing standard output failed.
+    #[error(
+        "input or output failed at line {line}, {error}: check that the parent process still reads and writes"
+    )]
+    Io { line: usize, error: io::Error },
 }
 
 fn run() -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut out = io::BufWriter::new(io::stdout().lock());
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let broken = |why| AdapterError::Broken { line: number + 1, why };
-        let text = line.map_err(broken)?;
+        let io_error = |error| AdapterError::Io { line: number + 1, error };
+        let text = line.map_err(io_error)?;
         if text.trim().is_empty() {
             continue;
         }
-        let unread = |why| AdapterError::Line { line: number + 1, why };
-        let batch = serde_json::from_str(&text).map_err(unread)?;
-        serde_json::to_writer(&mut out, &host.answer(batch)).map_err(|e| broken(e.into()))?;
-        out.write_all(b"\n").and_then(|()| out.flush()).map_err(broken)?;
+        let invalid = |error| AdapterError::InvalidBatch { line: number + 1, error };
+        let batch = serde_json::from_str(&text).map_err(invalid)?;
+        serde_json::to_writer(&mut out, &host.handle_batch(batch)).map_err(|e| io_error(e.into()))?;
+        out.write_all(b"\n").and_then(|()| out.flush()).map_err(io_error)?;
     }
     Ok(())
 }
@@ -71,8 +82,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("ochreward-adapter: {message}");
+        Err(error) => {
+            eprintln!("ochreward-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -1,13 +1,19 @@
-//! The bench's wire, as serde sees it, and its translation to and from the library's types.
+//! The simulator's JSON format as serde types, and its conversion to and from the library's types.
+//!
+//! Unknown keys and event kinds are ignored, and most absent or null values take their defaults. The names of
+//! fields and variants are the wire format.
 
 use ochreward as api;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// An absent value and a null both take the default.
-fn or_default<'de, D: Deserializer<'de>, T: Default + Deserialize<'de>>(d: D) -> Result<T, D::Error> {
-    Ok(Option::<T>::deserialize(d)?.unwrap_or_default())
+/// Deserialises null as the default value; combined with `#[serde(default)]`, an absent value takes it too.
+fn or_default<'de, D: Deserializer<'de>, T: Default + Deserialize<'de>>(
+    deserializer: D,
+) -> Result<T, D::Error> {
+    Ok(Option::<T>::deserialize(deserializer)?.unwrap_or_default())
 }
 
+/// The events of one point in time.
 #[derive(Deserialize)]
 pub struct Batch {
     #[serde(default, deserialize_with = "or_default")]
@@ -16,6 +22,7 @@
     pub arrivals: Vec<Arrival>,
 }
 
+/// An event and the instance that it is addressed to.
 #[derive(Deserialize)]
 pub struct Arrival {
     #[serde(default, deserialize_with = "or_default")]
@@ -24,6 +31,7 @@
     pub body: Body,
 }
 
+/// An event, tagged by its `what` key.
 #[derive(Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Body {
@@ -97,6 +105,7 @@
     Other,
 }
 
+/// An entry of the worker list.
 #[derive(Deserialize)]
 pub struct Item {
     pub worker: String,
@@ -112,6 +121,7 @@
     ready_at_us: u64,
 }
 
+/// The configuration of an instance.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct Config {
@@ -142,6 +152,7 @@
     discovery: String,
 }
 
+/// A class of requests.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Lane {
@@ -155,6 +166,7 @@
     late_worth: f64,
 }
 
+/// A tenant.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Org {
@@ -162,6 +174,7 @@
     quota_per_s: f64,
 }
 
+/// How workers report their load, and the values in a report.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Report {
@@ -172,8 +185,9 @@
 }
 
 impl Report {
-    /// What answers tell; reports in probes alone are never asked for.
-    fn in_answers(&self) -> impl Iterator<Item = &String> {
+    /// Returns the values of load reports in answers; none if reports come only in probes, which the adapter
+    /// never sends.
+    fn fields_in_answers(&self) -> impl Iterator<Item = &String> {
         self.fields.iter().filter(|_| self.how == "inline")
     }
 }
@@ -219,28 +233,33 @@
     origin: f64,
 }
 
-/// What the adapter itself must know to read remarks.
+/// Which parts of the `remark` of an answer the instance's workers fill in.
 #[derive(Clone, Copy, Default)]
-pub struct Notes {
-    pub warm: bool,
-    pub crowd: bool,
+pub struct RemarkSettings {
+    /// Whether `remark % 8` reports what the request found.
+    pub reports_found: bool,
+    /// Whether `remark / 8` is the number of requests for the function at the worker.
+    pub reports_crowd: bool,
 }
 
 impl Config {
-    pub fn notes(&self) -> Notes {
-        Notes { warm: self.family_info.tells_warm, crowd: self.family_info.notes_peers_in_hand }
+    pub fn remark_settings(&self) -> RemarkSettings {
+        RemarkSettings {
+            reports_found: self.family_info.tells_warm,
+            reports_crowd: self.family_info.notes_peers_in_hand,
+        }
     }
 
     pub fn settings(&self) -> api::Settings {
-        let f = &self.family_info;
+        let family_info = &self.family_info;
         api::Settings {
             balancers: self.balancers,
             me: self.me,
             my_zone: self.my_zone,
             classes: self.lanes.iter().map(class).collect(),
-            tenant_quotas: self.orgs.iter().map(|o| o.quota_per_s).collect(),
+            tenant_quotas: self.orgs.iter().map(|org| org.quota_per_s).collect(),
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
-            report_fields: self.report.in_answers().map(|f| field(f)).collect(),
+            report_fields: self.report.fields_in_answers().map(|name| report_field(name)).collect(),
             max_attempts: self.limits.send_cap.unwrap_or(1),
             may_duplicate: self.limits.may_duplicate,
             may_cancel: self.limits.cancel,
@@ -250,41 +269,41 @@
             warm_after: self.rules.warm_after_us as u64,
             fall_multiple: self.rules.fall_multiple,
             fall_window: self.rules.fall_us as u64,
-            orders: f.orders,
-            loads_on_miss: f.miss_mode != "miss",
-            keep_alive: f.keep_alive_us as u64,
-            load_window: f.load_window_us as u64,
-            loads_anyway: f.loads_anyway,
-            loads_per_request: f.loads_per_request,
+            orders: family_info.orders,
+            loads_on_miss: family_info.miss_mode != "miss",
+            keep_alive: family_info.keep_alive_us as u64,
+            load_window: family_info.load_window_us as u64,
+            loads_anyway: family_info.loads_anyway,
+            loads_per_request: family_info.loads_per_request,
             cross_zone_price: self.costs.cross_zone,
             fetch_price: self.costs.origin,
-            memory_price: f.memory_price,
+            memory_price: family_info.memory_price,
             list_on_request: self.discovery == "on_request",
         }
     }
 }
 
-fn class(l: &Lane) -> api::Class {
+fn class(lane: &Lane) -> api::Class {
     api::Class {
-        aim: l.promise_us as u64,
-        deadline: l.deadline_us as u64,
-        effect: match l.effect.as_str() {
+        aim: lane.promise_us as u64,
+        deadline: lane.deadline_us as u64,
+        effect: match lane.effect.as_str() {
             "idempotent" => api::Effect::Idempotent,
             "deduplicated" => api::Effect::Deduplicated,
             _ => api::Effect::AtMostOnce,
         },
-        key_scope: match l.key_scope.as_str() {
+        key_scope: match lane.key_scope.as_str() {
             "all" => api::KeyScope::All,
             "zone" => api::KeyScope::Zone,
             _ => api::KeyScope::Cell,
         },
-        repeat_window: l.repeat_window_us as u64,
-        credit: l.credit,
-        late_worth: l.late_worth,
+        repeat_window: lane.repeat_window_us as u64,
+        credit: lane.credit,
+        late_worth: lane.late_worth,
     }
 }
 
-fn field(name: &str) -> api::ReportField {
+fn report_field(name: &str) -> api::ReportField {
     match name {
         "inflight" => api::ReportField::Inflight,
         "queue" => api::ReportField::Queue,
@@ -307,11 +326,11 @@
     }
 }
 
-fn found(status: &str, remark: u32, notes: Notes) -> api::Found {
+fn found(status: &str, remark: u32, settings: RemarkSettings) -> api::Found {
     match (status, remark % 8) {
-        ("S", 1) if notes.warm => api::Found::Warm,
-        ("S", 2) if notes.warm => api::Found::BeganLoad,
-        ("S", 3) if notes.warm => api::Found::WaitedForLoad,
+        ("S", 1) if settings.reports_found => api::Found::Warm,
+        ("S", 2) if settings.reports_found => api::Found::BeganLoad,
+        ("S", 3) if settings.reports_found => api::Found::WaitedForLoad,
         ("M" | "E", 4) => api::Found::LoadFailed,
         _ => api::Found::Untold,
     }
@@ -332,8 +351,8 @@
     }
 }
 
-/// The library's event for a wire event, if it has one.
-pub fn event(body: Body, notes: Notes) -> Option<api::Event> {
+/// Converts a wire event to an event of the library; returns `None` for those that have no counterpart.
+pub fn event(body: Body, remarks: RemarkSettings) -> Option<api::Event> {
     Some(match body {
         Body::Endpoints { how, .. } if how == "refused" => api::Event::ListRefused,
         Body::Endpoints { how, items } => {
@@ -359,8 +378,8 @@
             attempt: go,
             last,
             outcome: outcome(&status),
-            found: found(&status, remark, notes),
-            crowd: (notes.crowd && matches!(status.as_str(), "S" | "F")).then_some(remark / 8),
+            found: found(&status, remark, remarks),
+            crowd: (remarks.reports_crowd && matches!(status.as_str(), "S" | "F")).then_some(remark / 8),
             latency: lag_us,
             report: telemetry.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect(),
         },
@@ -377,11 +396,13 @@
     })
 }
 
+/// The actions that result from a batch, in order.
 #[derive(Serialize, Default)]
 pub struct Reply {
     pub orders: Vec<Order>,
 }
 
+/// An action and the instance that it comes from.
 #[derive(Serialize)]
 pub struct Order {
     i: String,
@@ -389,6 +410,7 @@
     body: OrderBody,
 }
 
+/// An action, tagged by its `what` key.
 #[derive(Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 enum OrderBody {
@@ -401,8 +423,8 @@
     Watch { enable: bool },
 }
 
-/// The wire's order for an action of the library.
-pub fn order(i: &str, action: api::Action) -> Order {
+/// Converts an action of the library to the wire format.
+pub fn order(instance: &str, action: api::Action) -> Order {
     let body = match action {
         api::Action::Send { id, worker, until } => {
             OrderBody::PassOn { rid: id, worker, abandon_at_us: until }
@@ -416,5 +438,5 @@
         api::Action::Timer { at, cookie } => OrderBody::SetTimer { alarm_time_us: at, cookie },
         api::Action::Watch => OrderBody::Watch { enable: true },
     };
-    Order { i: i.to_string(), body }
+    Order { i: instance.to_string(), body }
 }
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,34 +1,35 @@
-//! An attempt's name, and what it came to.
+//! The identifier of an attempt and the result it ended with.
 
 use crate::api::{Found, Outcome, RequestId};
 
-/// One attempt: the request and the attempt's number.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The number, from 0.
+    /// The index of the attempt, from 0.
     pub number: usize,
 }
 
-/// What an attempt came to.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
-pub struct Ended {
-    /// How it ended.
+pub struct AttemptResult {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// What it found.
+    /// What the answer reports about the copy.
     pub found: Found,
-    /// Requests for the function that the worker held, where told.
+    /// The number of requests for the function at the worker, if reported.
     pub crowd: Option<u32>,
-    /// The load report that came with it: the values that the settings name, in their order; empty without one.
+    /// The load report of the answer: one value per name in the settings, in their order; empty if there is
+    /// none.
     pub report: Vec<f64>,
-    /// The answer's body, where it ended well.
+    /// The body of the answer, if the request was served.
     pub body: Vec<u8>,
 }
 
-impl Ended {
-    /// An end that tells nothing but how.
-    pub fn bare(outcome: Outcome) -> Ended {
-        Ended { outcome, found: Found::Untold, crowd: None, report: Vec::new(), body: Vec::new() }
+impl AttemptResult {
+    /// Returns a result with an outcome and no further details.
+    pub fn from_outcome(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, found: Found::Untold, crowd: None, report: Vec::new(), body: Vec::new() }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,9 @@
-//! Requests, attempts and their outcomes: drives the decision module and knows no wire.
+//! The request engine: tracks requests, attempts and load orders, and drives the decision module.
 //!
-//! Fronts hand in requests under a ticket; the engine asks the [`Router`] and leaves [`Command`]s. It owes one
-//! final answer for each request that it took, and settles that debt by the deadline whatever else happens.
+//! Fronts submit requests under a [`Ticket`]. The engine passes events to the [`Router`] and turns its
+//! actions into [`Command`]s for the fronts and the executor pool; it does no I/O and handles no wire format.
+//! It gives exactly one final answer for each accepted request, by the request's deadline regardless of what
+//! executors do. [`Bounds`] limits the attempts per request, and the requests and bytes of bodies held.
 
 mod attempt;
 mod timers;
@@ -17,22 +19,22 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 use std::sync::Arc;
-use timers::{Due, Timers};
+use timers::{TimerKind, Timers};
 
-pub use attempt::{AttemptId, Ended};
+pub use attempt::{AttemptId, AttemptResult};
 
-/// Where a request came from and its answer goes: a front, a connection of it, and a number there.
+/// The origin of a request and the destination of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
     /// The front.
     pub front: u8,
-    /// Its connection.
+    /// The connection of that front.
     pub conn: u64,
-    /// The request's number there.
+    /// The sequence number of the request on that connection.
     pub seq: i64,
 }
 
-/// A request as a front hands it in.
+/// A request as submitted by a front.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Its class, by position in the settings.
@@ -41,170 +43,176 @@
     pub tenant: usize,
     /// Its function.
     pub function: FunctionId,
-    /// Requests that one copy runs at a time.
+    /// The number of requests that one copy runs concurrently.
     pub lanes: f64,
-    /// The usual time of a load, where told.
+    /// The typical load time, if known.
     pub load_time: Option<Micros>,
-    /// A rough hint at its work, where told.
+    /// A rough prediction of its run time, if known.
     pub work: Option<Micros>,
-    /// A client's own retry, where clients mark those.
+    /// Whether it is a client's retry, where clients mark retries.
     pub again: bool,
-    /// The time within which the final answer must be given.
+    /// The time left until the final answer is due.
     pub time_left: Micros,
-    /// The client's id for it.
+    /// The client's id for the request.
     pub call: Arc<str>,
     /// The client's idempotency key.
     pub key: Option<Arc<str>>,
-    /// Its body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// It may have run before, its client having sent it this long ago.
+    /// Set if the request may have run before: the time since the client sent it.
     pub repeat: Option<Micros>,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Final {
-    /// Served, with the executor's body.
+    /// The request was served; holds the executor's response body.
     Served(Vec<u8>),
-    /// Refused: a retry is harmless, after this long.
+    /// The request was refused. A retry is harmless after the given time.
     Refused(Micros),
-    /// Failed, and why.
+    /// The request failed for the given reason; it may have run.
     Failed(&'static str),
 }
 
-/// What the engine wants done.
+/// An operation that the host carries out for the engine.
 #[derive(Debug)]
 pub enum Command {
-    /// Begin an attempt.
+    /// Send an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// Where to.
+        /// The destination.
         worker: WorkerId,
-        /// How long its answer is waited for.
+        /// How long to wait for the answer.
         wait: Micros,
         /// The request.
         job: Rc<Job>,
     },
-    /// Give an attempt up.
+    /// Cancel an attempt.
     Halt {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Let an attempt go on only if it has begun to be sent; else it has ended as moot.
+    /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::Moot`].
     Recall {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Order a load.
+    /// Order a worker to load copies of a function.
     Load {
-        /// The order's number.
+        /// Identifies the order.
         order: u64,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// What.
+        /// The function.
         function: FunctionId,
-        /// Copies to hold.
+        /// The minimum number of copies to keep loaded.
         copies: u32,
     },
     /// Give the final answer.
     Answer {
-        /// Whose.
+        /// The destination of the answer.
         ticket: Ticket,
         /// The answer.
         answer: Final,
     },
 }
 
-/// What bounds the engine.
+/// Limits of the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Attempts for a request.
+    /// Maximum number of attempts per request.
     pub attempts: usize,
-    /// How long an order to load is waited for.
+    /// Time limit of a load order.
     pub load_wait: Micros,
-    /// Bytes of bodies held for requests.
+    /// Maximum total size of the request bodies held, in bytes.
     pub held_bytes: usize,
-    /// Requests held open.
+    /// Maximum number of requests held.
     pub held_requests: usize,
-    /// The longest time that clients stay away when told.
+    /// The longest retry-after that clients honour; refusals for lack of space carry it.
     pub retry_after: Micros,
-    /// The longest time from an attempt's send to its first byte.
+    /// The longest time from an attempt's `Send` command until its first byte is written.
     pub send_lag: Micros,
 }
 
 struct Attempt {
     worker: WorkerId,
-    sent: Micros,
+    sent_at: Micros,
     open: bool,
-    /// Nothing has proved that it did not run.
+    /// Set unless the outcome proves that the request did not run.
     may_have_run: bool,
 }
 
-struct Held {
+struct TrackedRequest {
     ticket: Ticket,
     job: Rc<Job>,
     deadline: Micros,
-    /// The final answer was given, or is owed no more.
-    settled: bool,
-    /// Attempts it may have.
-    most: usize,
+    /// The final answer has been given, or is no longer needed.
+    answered: bool,
+    max_attempts: usize,
     attempts: Vec<Attempt>,
 }
 
-struct Order {
+struct LoadOrder {
     worker: WorkerId,
     function: FunctionId,
-    sent: Micros,
+    sent_at: Micros,
 }
 
-/// Drives the module.
+/// Tracks requests, attempts and load orders, and drives the decision module.
 pub struct Engine {
     router: Router,
     bounds: Bounds,
     classes: Vec<Class>,
-    held: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    /// The requests that still need a final answer.
     tickets: BTreeMap<Ticket, RequestId>,
-    /// The clients' ids of the requests that are held.
-    calls: BTreeSet<Arc<str>>,
-    orders: BTreeMap<u64, Order>,
+    /// The client ids of the tracked requests.
+    open_calls: BTreeSet<Arc<str>>,
+    load_orders: BTreeMap<u64, LoadOrder>,
     timers: Timers,
-    next: u64,
+    /// The next id of a request or load order.
+    next_id: u64,
+    /// Total size of the request bodies held.
     held_bytes: usize,
-    /// Events that actions of the module gave rise to.
-    events: VecDeque<Event>,
+    /// Events not yet passed to the decision module, including those caused by its own actions.
+    pending_events: VecDeque<Event>,
     actions: Vec<Action>,
     counters: Rc<Counters>,
-    /// What is to be done, in order.
+    /// Operations for the host, in order.
     pub commands: VecDeque<Command>,
-    /// Answers of workers while that is watched: whose, of which kind, and after how long; none: turned away.
+    /// Answers of workers, recorded once [`Engine::budget`] has been called: the worker, a hash of the
+    /// function, and the latency, or `None` if the worker was full. Requests that started a load are left
+    /// out.
     pub answers: Vec<(WorkerId, u64, Option<Micros>)>,
-    watched: bool,
-    /// What became of attempts, while that is traced.
+    records_answers: bool,
+    /// Starts and ends of attempts, recorded once [`Engine::trace`] has been called.
     pub traces: Vec<Trace>,
-    traced: bool,
+    records_traces: bool,
 }
 
-/// An attempt that was sent, or came to its end.
+/// The start or the end of an attempt.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// Where it went.
+    /// The worker.
     pub worker: WorkerId,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent: Micros,
-    /// How it ended, of which kind it was, and after how long where a copy stood; none while it is out.
+    /// `None` for a start. For an end: the outcome, a hash of the function (0 where the decision module
+    /// cancelled the attempt), and the latency if a copy was already loaded.
     pub end: Option<(Outcome, u64, Option<Micros>)>,
 }
 
-/// Share of a keyed class's window within which a repeat is sent at the latest: the rest is for its way.
-const WINDOW_SENT: f64 = 0.95;
-/// Traces that the host has not taken, at the most.
-const MOST_TRACES: usize = 4_096;
-/// Answers that the host has not taken, at the most.
-const MOST_ANSWERS: usize = 1_024;
+/// Fraction of a class's repeat window within which a repeat must be sent: the rest allows for its transit
+/// time.
+const REPEAT_SEND_FRACTION: f64 = 0.95;
+/// Maximum number of traces that the host has not yet collected; further ones are dropped.
+const MAX_TRACES: usize = 4_096;
+/// Maximum number of recorded answers that the host has not yet collected; further ones are dropped.
+const MAX_RECORDED_ANSWERS: usize = 1_024;
 
 impl Engine {
-    /// An engine that holds nothing.
+    /// Returns an engine without requests.
     pub fn new(
         settings: &Settings,
         seed: u64,
@@ -216,111 +224,114 @@
             router: Router::new(settings.clone(), seed, now),
             bounds,
             classes: settings.classes.clone(),
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            calls: BTreeSet::new(),
-            orders: BTreeMap::new(),
+            open_calls: BTreeSet::new(),
+            load_orders: BTreeMap::new(),
             timers: Timers::default(),
-            next: 1,
+            next_id: 1,
             held_bytes: 0,
-            events: VecDeque::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
             counters,
             commands: VecDeque::new(),
             answers: Vec::new(),
-            watched: false,
+            records_answers: false,
             traces: Vec::new(),
-            traced: false,
+            records_traces: false,
         }
     }
 
-    /// New settings and bounds. Classes are known by their places; the `fresh` ones mean other classes than before.
+    /// Applies new settings and bounds. Classes are identified by their index; the indices in `fresh` now
+    /// denote other classes than before.
     pub fn configure(&mut self, settings: &Settings, fresh: &[usize], bounds: Bounds) {
         self.router.configure(settings.clone(), fresh);
         self.classes = settings.classes.clone();
         self.bounds = bounds;
     }
 
-    /// How a cold worker's budget is divided from now on, where dispatchers know each other: how many serve, into how
-    /// many parts it goes, and which is ours.
+    /// Sets how the budget of a worker in cold start is divided among dispatchers that know of each other:
+    /// the number of serving dispatchers, the number of parts, and the index of this dispatcher's part.
+    /// `None` restores the division of the settings.
     pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
         self.router.divide(division);
     }
 
-    /// What the module may spend of the fleet's budgets from now on; what it spent before. From here on answers are watched.
+    /// Sets what the decision module may spend of the fleet's budgets from now on, and returns what remains
+    /// of the previous budget. Starts the recording of `answers`.
     pub fn budget(&mut self, next: Budget) -> Budget {
-        self.watched = true;
+        self.records_answers = true;
         self.router.budget(next)
     }
 
-    /// From here on attempts are traced.
+    /// Starts the recording of `traces`.
     pub fn trace(&mut self) {
-        self.traced = true;
+        self.records_traces = true;
     }
 
-    /// No connection to a worker came up that was only to be looked at.
+    /// Handles a failed connection probe of a worker.
     pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
         self.router.unreached(now, worker);
     }
 
-    /// The places of the classes that requests under way belong to.
+    /// Returns the indices of the classes that have open requests.
     pub fn classes_in_use(&self) -> BTreeSet<usize> {
-        self.held.values().map(|h| h.job.class).collect()
+        self.requests.values().map(|r| r.job.class).collect()
     }
 
-    /// What the module has learned, for the process that takes over.
+    /// Returns the decision module's learned state, for a handover to another process.
     pub fn learned(&self) -> Learned {
         self.router.learned()
     }
 
-    /// Goes on from what another process has learned; false if that can't be used. `configure` and the list must
-    /// follow.
+    /// Adopts the learned state of another process; returns false if it cannot be used. The caller must then
+    /// call `configure` and `list`.
     pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
         self.router.inherit(now, learned)
     }
 
-    /// Requests that are owed an answer.
+    /// Returns the number of requests that still need a final answer.
     pub fn owed(&self) -> usize {
         self.tickets.len()
     }
 
-    /// Bytes of bodies held.
+    /// Returns the total size of the request bodies held, in bytes.
     pub fn held_bytes(&self) -> usize {
         self.held_bytes
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer expires.
     pub fn due(&self) -> Option<Micros> {
-        self.timers.due()
+        self.timers.next_expiry()
     }
 
-    /// From now on the module may keep functions in so many bytes.
+    /// Limits the memory that the decision module may use for functions.
     pub fn bound_functions(&mut self, bytes: usize) {
         self.router.bound_functions(bytes);
     }
 
-    /// Tells the module the list of workers; who is absent is gone.
+    /// Passes the complete worker list to the decision module; workers absent from it have been removed.
     pub fn list(&mut self, now: Micros, entries: Vec<Listing>) {
-        self.tell(now, Event::Workers { complete: true, entries });
+        self.handle_event(now, Event::Workers { complete: true, entries });
     }
 
-    /// Takes a request in. From here on one final answer is owed under the ticket.
+    /// Accepts a request. Exactly one final answer follows for the ticket, unless `forget` is called for it.
     pub fn take(&mut self, now: Micros, ticket: Ticket, job: Job) {
         count(&self.counters.requests_taken);
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.tickets.insert(ticket, id);
         let deadline = now.saturating_add(job.time_left);
-        // Danger: bodies that wait for slow workers fill the memory limit and the process is killed. What does
-        // not fit is refused before anything ran.
+        // Bodies that wait for slow workers could exceed the memory limit, and the process would be killed.
+        // Requests that do not fit are refused before they run.
         let full = self.held_bytes + job.body.len() > self.bounds.held_bytes
-            || self.held.len() >= self.bounds.held_requests;
+            || self.requests.len() >= self.bounds.held_requests;
         self.held_bytes += job.body.len();
-        let (mut barred, attempts) = self.repeat(&job);
-        // Danger: executors know a request by its client's id. A second one under an id that is out could be
-        // given up, or answered, in place of the first.
-        if barred.is_none() && self.calls.contains(&job.call) {
-            barred = Some("its id is that of a request which is open");
+        let (mut rejection, max_attempts) = self.check_repeat(&job);
+        // Executors identify a request by its client's id. A second request under an open id could be
+        // cancelled or answered in place of the first.
+        if rejection.is_none() && self.open_calls.contains(&job.call) {
+            rejection = Some("its id is that of a request which is open");
         }
         let call = job.call.clone();
         let event = Event::Request {
@@ -334,291 +345,328 @@
             again: job.again,
             time_left: job.time_left,
         };
-        let held =
-            Held { ticket, job: Rc::new(job), deadline, settled: false, most: attempts, attempts: vec![] };
-        self.held.insert(id, held);
-        if let Some(why) = barred {
-            self.settle(id, Final::Failed(why));
-            return self.drop_held(id);
+        let request = TrackedRequest {
+            ticket,
+            job: Rc::new(job),
+            deadline,
+            answered: false,
+            max_attempts,
+            attempts: vec![],
+        };
+        self.requests.insert(id, request);
+        if let Some(reason) = rejection {
+            self.answer(id, Final::Failed(reason));
+            return self.remove(id);
         }
         if full {
-            self.settle(id, Final::Refused(self.bounds.retry_after));
-            return self.drop_held(id);
+            self.answer(id, Final::Refused(self.bounds.retry_after));
+            return self.remove(id);
         }
-        self.calls.insert(call);
-        self.timers.add(deadline, Due::Deadline(id));
-        self.tell(now, event);
+        self.open_calls.insert(call);
+        self.timers.add(deadline, TimerKind::RequestDeadline(id));
+        self.handle_event(now, event);
     }
 
-    /// Why a request that may have run before must not run, and how many attempts it may have.
-    fn repeat(&self, job: &Job) -> (Option<&'static str>, usize) {
-        let most = self.bounds.attempts;
-        let (Some(age), Some(class)) = (job.repeat, self.classes.get(job.class)) else { return (None, most) };
+    /// Returns the reason why a request that may have run before must not run again, if there is one, and the
+    /// maximum number of its attempts.
+    fn check_repeat(&self, job: &Job) -> (Option<&'static str>, usize) {
+        let max_attempts = self.bounds.attempts;
+        let (Some(age), Some(class)) = (job.repeat, self.classes.get(job.class)) else {
+            return (None, max_attempts);
+        };
         match class.effect {
-            Effect::Idempotent => (None, most),
-            Effect::AtMostOnce => (Some("may have run before"), most),
-            // Danger: executors drop repeats for a while only, and the first attempt may have gone out as soon
-            // as the client had sent. A second attempt of this one could come too late for them.
+            Effect::Idempotent => (None, max_attempts),
+            Effect::AtMostOnce => (Some("may have run before"), max_attempts),
+            // Executors drop repeats only within the repeat window, and the first attempt may have been sent
+            // as soon as the client sent the request. A second attempt of this repeat could arrive after the
+            // window, so the repeat gets one attempt.
             Effect::Deduplicated => {
-                let known = class.key_scope == KeyScope::All && job.key.is_some();
-                let late = age.saturating_add(self.bounds.send_lag) >= class.repeat_window;
-                (Some("may have run before, too long ago to repeat").filter(|_| late || !known), 1)
+                let recognised = class.key_scope == KeyScope::All && job.key.is_some();
+                let too_late = age.saturating_add(self.bounds.send_lag) >= class.repeat_window;
+                (Some("may have run before, too long ago to repeat").filter(|_| too_late || !recognised), 1)
             }
         }
     }
 
-    /// The client waits no more: nothing is owed.
+    /// Drops a request whose client no longer waits: no answer is given, and unsent attempts are cancelled.
     pub fn forget(&mut self, now: Micros, ticket: Ticket) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         count(&self.counters.requests_forgotten);
-        if let Some(held) = self.held.get_mut(&id) {
-            held.settled = true;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.answered = true;
         }
-        self.tell(now, Event::Abandoned { id });
-        self.recall(id);
-        self.tidy(id);
+        self.handle_event(now, Event::Abandoned { id });
+        self.recall_unsent(id);
+        self.remove_if_finished(id);
     }
 
-    /// The client has closed its end, and has probably gone: nothing is begun for the request from here on. What runs
-    /// may still be answered.
+    /// Handles a client that has closed its end of the connection and has probably gone: no further attempt
+    /// is sent for the request. Attempts already sent may still be answered.
     pub fn hung_up(&mut self, ticket: Ticket) {
         let Some(id) = self.tickets.get(&ticket).copied() else { return };
         count(&self.counters.requests_hung_up);
-        if let Some(held) = self.held.get_mut(&id) {
-            held.most = held.attempts.len();
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.max_attempts = request.attempts.len();
         }
-        self.recall(id);
+        self.recall_unsent(id);
     }
 
-    /// Has no attempt of the request begin that has not begun yet. Danger: one may wait for its connection to come up
-    /// long after the client has gone.
-    fn recall(&mut self, id: RequestId) {
-        let attempts = self.held.get(&id).map_or(&[][..], |h| &h.attempts);
+    /// Cancels the attempts of a request of which nothing has been sent. Otherwise an attempt that waits for
+    /// its connection could still be sent long after the client has gone.
+    fn recall_unsent(&mut self, id: RequestId) {
+        let attempts = self.requests.get(&id).map_or(&[][..], |r| &r.attempts);
         let open = attempts.iter().enumerate().filter(|(_, a)| a.open);
-        let recall = |(number, _)| Command::Recall { attempt: AttemptId { request: id, number } };
-        self.commands.extend(open.map(recall));
+        let command = |(number, _)| Command::Recall { attempt: AttemptId { request: id, number } };
+        self.commands.extend(open.map(command));
     }
 
-    /// Settles all that is still owed: the process is about to end.
+    /// Fails every request that still needs an answer, because the process is about to exit.
     pub fn give_up(&mut self, now: Micros) {
-        let owed: Vec<RequestId> = self.tickets.values().copied().collect();
-        for id in owed {
-            self.settle(id, Final::Failed("the dispatcher is being stopped"));
-            self.tell(now, Event::Abandoned { id });
-            self.tidy(id);
+        let unanswered: Vec<RequestId> = self.tickets.values().copied().collect();
+        for id in unanswered {
+            self.answer(id, Final::Failed("the dispatcher is being stopped"));
+            self.handle_event(now, Event::Abandoned { id });
+            self.remove_if_finished(id);
         }
     }
 
-    /// An attempt has come to its end.
-    pub fn ended(&mut self, now: Micros, id: AttemptId, ended: Ended) {
-        let c = self.counters.clone();
-        let Some(held) = self.held.get_mut(&id.request) else { return count(&c.late_answers) };
-        let Some(attempt) = held.attempts.get_mut(id.number).filter(|a| a.open) else {
-            return count(&c.late_answers);
+    /// Handles the end of an attempt.
+    pub fn ended(&mut self, now: Micros, id: AttemptId, result: AttemptResult) {
+        let counters = self.counters.clone();
+        let Some(request) = self.requests.get_mut(&id.request) else { return count(&counters.late_answers) };
+        let Some(attempt) = request.attempts.get_mut(id.number).filter(|a| a.open) else {
+            return count(&counters.late_answers);
         };
         attempt.open = false;
         attempt.may_have_run =
-            !matches!(ended.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
-        count(match ended.outcome {
-            Outcome::Ok => &c.ended_ok,
-            Outcome::Error | Outcome::Unknown => &c.ended_error,
-            Outcome::Full => &c.ended_full,
-            Outcome::Timeout => &c.ended_timeout,
-            Outcome::ConnectFailed => &c.ended_no_connect,
-            Outcome::Reset => &c.ended_reset,
-            Outcome::Cancelled => &c.ended_cancelled,
-            Outcome::Moot => &c.ended_moot,
-            Outcome::Miss => &c.ended_miss,
+            !matches!(result.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+        count(match result.outcome {
+            Outcome::Ok => &counters.ended_ok,
+            Outcome::Error | Outcome::Unknown => &counters.ended_error,
+            Outcome::Full => &counters.ended_full,
+            Outcome::Timeout => &counters.ended_timeout,
+            Outcome::ConnectFailed => &counters.ended_no_connect,
+            Outcome::Reset => &counters.ended_reset,
+            Outcome::Cancelled => &counters.ended_cancelled,
+            Outcome::Moot => &counters.ended_moot,
+            Outcome::Miss => &counters.ended_miss,
         });
-        let latency = now.saturating_sub(attempt.sent);
-        if self.watched
-            && self.answers.len() < MOST_ANSWERS
-            && matches!(ended.outcome, Outcome::Ok | Outcome::Full)
+        let latency = now.saturating_sub(attempt.sent_at);
+        if self.records_answers
+            && self.answers.len() < MAX_RECORDED_ANSWERS
+            && matches!(result.outcome, Outcome::Ok | Outcome::Full)
         {
-            let mut kind = SipHasher13::new();
-            held.job.function.hash(&mut kind);
-            let took = (ended.outcome == Outcome::Ok && ended.found != Found::BeganLoad).then_some(latency);
-            if took.is_some() || ended.outcome == Outcome::Full {
-                self.answers.push((attempt.worker.clone(), kind.finish(), took));
+            let mut function_hash = SipHasher13::new();
+            request.job.function.hash(&mut function_hash);
+            let sample =
+                (result.outcome == Outcome::Ok && result.found != Found::BeganLoad).then_some(latency);
+            if sample.is_some() || result.outcome == Outcome::Full {
+                self.answers.push((attempt.worker.clone(), function_hash.finish(), sample));
             }
         }
-        if self.traced && self.traces.len() < MOST_TRACES {
-            let mut kind = SipHasher13::new();
-            held.job.function.hash(&mut kind);
-            let took = (ended.found == Found::Warm).then_some(latency);
-            let end = Some((ended.outcome, kind.finish(), took));
-            self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent, end });
+        if self.records_traces && self.traces.len() < MAX_TRACES {
+            let mut function_hash = SipHasher13::new();
+            request.job.function.hash(&mut function_hash);
+            let sample = (result.found == Found::Warm).then_some(latency);
+            let end = Some((result.outcome, function_hash.finish(), sample));
+            self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
         }
-        if ended.outcome == Outcome::Ok {
-            self.settle(id.request, Final::Served(ended.body));
+        if result.outcome == Outcome::Ok {
+            self.answer(id.request, Final::Served(result.body));
         }
-        let last = self.held.get(&id.request).is_none_or(|h| h.settled);
-        let Ended { outcome, found, crowd, report, .. } = ended;
-        let (request, attempt) = (id.request, id.number);
-        self.tell(now, Event::Outcome { id: request, attempt, last, outcome, found, crowd, latency, report });
-        self.tidy(id.request);
+        let last = self.requests.get(&id.request).is_none_or(|r| r.answered);
+        let AttemptResult { outcome, found, crowd, report, .. } = result;
+        let AttemptId { request: id, number: attempt } = id;
+        self.handle_event(now, Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.remove_if_finished(id);
     }
 
-    /// An order to load has come to its end.
+    /// Handles the end of a load order.
     pub fn loaded(&mut self, now: Micros, order: u64, outcome: Outcome, copies: u32) {
-        let Some(Order { worker, function, sent }) = self.orders.remove(&order) else { return };
-        self.tell(now, Event::Loaded { worker, function, outcome, latency: now - sent, copies });
+        let Some(LoadOrder { worker, function, sent_at }) = self.load_orders.remove(&order) else { return };
+        self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, copies });
     }
 
-    /// Handles the timers that are due.
+    /// Handles the timers that have expired.
     pub fn advance(&mut self, now: Micros) {
-        while let Some(due) = self.timers.pop(now) {
-            match due {
-                Due::Attempt(attempt) => {
-                    let open = self.held.get(&attempt.request).and_then(|h| h.attempts.get(attempt.number));
-                    if open.is_some_and(|a| a.open) {
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                TimerKind::AttemptTimeout(attempt) => {
+                    let state =
+                        self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
+                    if state.is_some_and(|a| a.open) {
                         self.commands.push_back(Command::Halt { attempt });
-                        self.ended(now, attempt, Ended::bare(Outcome::Timeout));
+                        self.ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
                     }
                 }
-                Due::Window(attempt) => {
-                    let open = self.held.get(&attempt.request).and_then(|h| h.attempts.get(attempt.number));
-                    if open.is_some_and(|a| a.open) {
+                TimerKind::RepeatSendDeadline(attempt) => {
+                    let state =
+                        self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
+                    if state.is_some_and(|a| a.open) {
                         self.commands.push_back(Command::Recall { attempt });
                     }
                 }
-                Due::Router(cookie) => self.tell(now, Event::Timer { cookie }),
-                Due::Deadline(id) => {
-                    // Danger: a request that the module holds past its time breaks the first rule.
-                    if self.held.get(&id).is_some_and(|h| !h.settled) {
-                        self.settle(id, Final::Failed("out of time"));
-                        self.tell(now, Event::Abandoned { id });
-                        self.tidy(id);
+                TimerKind::RouterWakeup(cookie) => self.handle_event(now, Event::Timer { cookie }),
+                TimerKind::RequestDeadline(id) => {
+                    // The engine enforces the deadline itself, so that a request the decision module keeps
+                    // for too long still gets its final answer in time.
+                    if self.requests.get(&id).is_some_and(|r| !r.answered) {
+                        self.answer(id, Final::Failed("out of time"));
+                        self.handle_event(now, Event::Abandoned { id });
+                        self.remove_if_finished(id);
                     }
                 }
-                Due::Order(order) => self.loaded(now, order, Outcome::Timeout, 0),
+                TimerKind::LoadOrderTimeout(order) => self.loaded(now, order, Outcome::Timeout, 0),
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, event: Event) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
+    /// Passes an event to the decision module and carries out its actions, until no events are pending.
+    fn handle_event(&mut self, now: Micros, event: Event) {
+        self.pending_events.push_back(event);
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, &event, &mut actions);
             let tally = self.router.tally();
             self.counters.cold_turns.set(tally.cold_turns);
             self.counters.loads_left.set(tally.loads_left);
-            actions.drain(..).for_each(|action| self.act(now, action));
+            actions.drain(..).for_each(|action| self.apply(now, action));
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Micros, action: Action) {
+    /// Carries out one action of the decision module.
+    fn apply(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.send(now, id, worker, until),
+            Action::Send { id, worker, until } => self.start_attempt(now, id, worker, until),
             Action::Refuse { id, retry_after } => {
-                self.settle(id, Final::Refused(retry_after));
-                self.tidy(id);
+                self.answer(id, Final::Refused(retry_after));
+                self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.settle(id, Final::Failed("not served in time"));
-                self.tidy(id);
+                self.answer(id, Final::Failed("not served in time"));
+                self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt: number } => {
-                let Some(held) = self.held.get_mut(&id) else { return };
-                let Some(attempt) = held.attempts.get_mut(number).filter(|a| a.open) else { return };
+                let Some(request) = self.requests.get_mut(&id) else { return };
+                let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.open) else { return };
                 attempt.open = false;
-                let (latency, last) = (now - attempt.sent, held.settled);
-                if self.traced && self.traces.len() < MOST_TRACES {
+                let (latency, last) = (now - attempt.sent_at, request.answered);
+                if self.records_traces && self.traces.len() < MAX_TRACES {
                     let end = Some((Outcome::Cancelled, 0, None));
-                    self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent, end });
+                    self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
                 }
                 count(&self.counters.ended_cancelled);
                 self.commands.push_back(Command::Halt { attempt: AttemptId { request: id, number } });
-                self.outcome(id, number, last, Outcome::Cancelled, latency);
-                self.tidy(id);
+                self.queue_outcome(id, number, last, Outcome::Cancelled, latency);
+                self.remove_if_finished(id);
             }
             Action::Load { worker, function, copies } => {
-                let order = self.next;
-                self.next += 1;
-                let (w, f) = (worker.clone(), function.clone());
-                self.orders.insert(order, Order { worker: w, function: f, sent: now });
-                self.timers.add(now + self.bounds.load_wait, Due::Order(order));
+                let order = self.next_id;
+                self.next_id += 1;
+                let load_order =
+                    LoadOrder { worker: worker.clone(), function: function.clone(), sent_at: now };
+                self.load_orders.insert(order, load_order);
+                self.timers.add(now + self.bounds.load_wait, TimerKind::LoadOrderTimeout(order));
                 self.commands.push_back(Command::Load { order, worker, function, copies });
             }
-            Action::Timer { at, cookie } => self.timers.add(at, Due::Router(cookie)),
-            // The list of workers comes by itself.
+            Action::Timer { at, cookie } => self.timers.add(at, TimerKind::RouterWakeup(cookie)),
+            // The host passes the worker list without being asked.
             Action::Watch => {}
         }
     }
 
-    fn outcome(&mut self, id: RequestId, attempt: usize, last: bool, outcome: Outcome, latency: Micros) {
+    /// Queues the end of an attempt that no executor answered as an event for the decision module.
+    fn queue_outcome(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        last: bool,
+        outcome: Outcome,
+        latency: Micros,
+    ) {
         let (found, crowd, report) = (Found::Untold, None, vec![]);
-        self.events.push_back(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.pending_events.push_back(Event::Outcome {
+            id,
+            attempt,
+            last,
+            outcome,
+            found,
+            crowd,
+            latency,
+            report,
+        });
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, worker: WorkerId, until: Option<Micros>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let number = held.attempts.len();
-        let until = until.unwrap_or(held.deadline).min(held.deadline);
-        let legal = !held.settled && number < held.most && until > now;
-        held.attempts.push(Attempt { worker: worker.clone(), sent: now, open: legal, may_have_run: legal });
-        if !legal {
-            let last = held.settled;
+    /// Starts an attempt, or ends it as moot if the request's deadline, answer or number of attempts rules it
+    /// out.
+    fn start_attempt(&mut self, now: Micros, id: RequestId, worker: WorkerId, until: Option<Micros>) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let number = request.attempts.len();
+        let until = until.unwrap_or(request.deadline).min(request.deadline);
+        let allowed = !request.answered && number < request.max_attempts && until > now;
+        let attempt = Attempt { worker: worker.clone(), sent_at: now, open: allowed, may_have_run: allowed };
+        request.attempts.push(attempt);
+        if !allowed {
+            let last = request.answered;
             count(&self.counters.ended_moot);
-            return self.outcome(id, number, last, Outcome::Moot, 0);
+            return self.queue_outcome(id, number, last, Outcome::Moot, 0);
         }
         count(&self.counters.attempts_sent);
-        if self.traced && self.traces.len() < MOST_TRACES {
+        if self.records_traces && self.traces.len() < MAX_TRACES {
             self.traces.push(Trace { worker: worker.clone(), sent: now, end: None });
         }
         let attempt = AttemptId { request: id, number };
-        let job = held.job.clone();
-        self.timers.add(until, Due::Attempt(attempt));
-        if let Some(last) = self.window(id, now) {
-            self.timers.add(last, Due::Window(attempt));
+        let job = request.job.clone();
+        self.timers.add(until, TimerKind::AttemptTimeout(attempt));
+        if let Some(send_deadline) = self.repeat_send_deadline(id, now) {
+            self.timers.add(send_deadline, TimerKind::RepeatSendDeadline(attempt));
         }
         self.commands.push_back(Command::Send { attempt, worker, wait: until - now, job });
     }
 
-    /// The last moment at which the attempt just begun may be sent, where one before it may have run. Danger: executors
-    /// drop repeats by their key for a while only, counted from the first run that was possible, and a connection may
-    /// take long to come up.
-    fn window(&self, id: RequestId, now: Micros) -> Option<Micros> {
-        let held = self.held.get(&id)?;
-        let class = self.classes.get(held.job.class).filter(|c| c.effect == Effect::Deduplicated)?;
-        let first = held.attempts.first().map_or(now, |a| a.sent);
-        let before = held.attempts.split_last().map_or(&[][..], |(_, before)| before);
-        let began = match held.job.repeat {
-            Some(age) => first.saturating_sub(age),
-            None if before.iter().any(|a| a.may_have_run) => first,
+    /// Returns the latest time at which the attempt just started may be sent, if an earlier one may have run.
+    /// Executors drop repeats of a key only within the repeat window, which starts at the first possible run,
+    /// and the attempt may wait long for its connection; sent after the window, it could run a second time.
+    fn repeat_send_deadline(&self, id: RequestId, now: Micros) -> Option<Micros> {
+        let request = self.requests.get(&id)?;
+        let class = self.classes.get(request.job.class).filter(|c| c.effect == Effect::Deduplicated)?;
+        let first_sent_at = request.attempts.first().map_or(now, |a| a.sent_at);
+        let earlier = request.attempts.split_last().map_or(&[][..], |(_, earlier)| earlier);
+        let window_start = match request.job.repeat {
+            Some(age) => first_sent_at.saturating_sub(age),
+            None if earlier.iter().any(|a| a.may_have_run) => first_sent_at,
             None => return None,
         };
-        Some(began.saturating_add((WINDOW_SENT * class.repeat_window as f64) as Micros))
+        Some(window_start.saturating_add((REPEAT_SEND_FRACTION * class.repeat_window as f64) as Micros))
     }
 
-    /// Gives the final answer, unless it was given or is owed no more.
-    fn settle(&mut self, id: RequestId, answer: Final) {
-        let Some(held) = self.held.get_mut(&id).filter(|h| !h.settled) else { return };
-        held.settled = true;
+    /// Gives the final answer, unless it has been given or is no longer needed.
+    fn answer(&mut self, id: RequestId, answer: Final) {
+        let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
+        request.answered = true;
         count(match answer {
             Final::Served(_) => &self.counters.answers_served,
             Final::Refused(_) => &self.counters.answers_refused,
             Final::Failed(_) => &self.counters.answers_failed,
         });
-        self.tickets.remove(&held.ticket);
-        self.commands.push_back(Command::Answer { ticket: held.ticket, answer });
+        self.tickets.remove(&request.ticket);
+        self.commands.push_back(Command::Answer { ticket: request.ticket, answer });
     }
 
-    /// Drops a request once nothing is owed and nothing is out.
-    fn tidy(&mut self, id: RequestId) {
-        if self.held.get(&id).is_some_and(|h| h.settled && h.attempts.iter().all(|a| !a.open)) {
-            if let Some(held) = self.held.get(&id) {
-                self.calls.remove(&held.job.call);
+    /// Removes a request once it is answered and none of its attempts is open.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|r| r.answered && r.attempts.iter().all(|a| !a.open)) {
+            if let Some(request) = self.requests.get(&id) {
+                self.open_calls.remove(&request.job.call);
             }
-            self.drop_held(id);
+            self.remove(id);
         }
     }
 
-    fn drop_held(&mut self, id: RequestId) {
-        let held = self.held.remove(&id);
-        self.held_bytes -= held.map_or(0, |h| h.job.body.len());
+    fn remove(&mut self, id: RequestId) {
+        let request = self.requests.remove(&id);
+        self.held_bytes -= request.map_or(0, |r| r.job.body.len());
     }
 }
 
--- a/src/executor/json.rs
+++ b/src/executor/json.rs
@@ -1,31 +1,34 @@
-//! Reads one JSON value, bounded in depth; writes JSON text.
+//! A parser for a single JSON value of bounded depth, and a writer for JSON strings.
+//!
+//! The parser keeps only what the executor protocol uses: strings, numbers and objects. It borrows from the
+//! input, so its memory is bounded by the length of the line; [`MAX_DEPTH`] bounds the recursion.
 
 use std::borrow::Cow;
 
-/// The deepest nesting read.
-const MOST_DEPTH: usize = 16;
+/// Maximum nesting depth that the parser accepts.
+const MAX_DEPTH: usize = 16;
 
-/// A value, as far as the protocol needs it.
+/// A JSON value, reduced to what the executor protocol uses.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Json<'a> {
-    /// Text.
+    /// A string.
     Text(Cow<'a, str>),
-    /// A number, as it was written.
+    /// A number, in its original notation.
     Number(&'a str),
-    /// An object's members, in order.
+    /// The members of an object, in order.
     Object(Vec<(Cow<'a, str>, Json<'a>)>),
-    /// An array, true, false or null: nothing in the protocol has them.
+    /// An array, true, false or null; the protocol does not use them.
     Other,
 }
 
 impl<'a> Json<'a> {
-    /// The member of an object.
+    /// Returns the member of an object with the given name; `None` for values other than objects.
     pub fn get(&self, name: &str) -> Option<&Json<'a>> {
         let Json::Object(members) = self else { return None };
-        members.iter().find(|(n, _)| n == name).map(|(_, v)| v)
+        members.iter().find(|(key, _)| key == name).map(|(_, value)| value)
     }
 
-    /// Text, or a number as it was written: fields may be either.
+    /// Returns a string, or a number in its original notation: the protocol allows either for its fields.
     pub fn text(&self) -> Option<&str> {
         match self {
             Json::Text(text) => Some(text),
@@ -35,58 +38,59 @@
     }
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    position: usize,
 }
 
-/// Reads a text that is one value and nothing else.
-pub fn read(text: &str) -> Option<Json<'_>> {
-    let mut r = Reader { text, at: 0 };
-    let value = r.value(0)?;
-    r.space();
-    (r.at == text.len()).then_some(value)
+/// Parses a text that consists of exactly one value.
+pub fn parse(text: &str) -> Option<Json<'_>> {
+    let mut parser = Parser { text, position: 0 };
+    let value = parser.value(0)?;
+    parser.skip_whitespace();
+    (parser.position == text.len()).then_some(value)
 }
 
-impl<'a> Reader<'a> {
+impl<'a> Parser<'a> {
     fn peek(&self) -> Option<u8> {
-        self.text.as_bytes().get(self.at).copied()
+        self.text.as_bytes().get(self.position).copied()
     }
 
-    fn space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\r' | b'\n')) {
-            self.at += 1;
+            self.position += 1;
         }
     }
 
-    fn eat(&mut self, byte: u8) -> Option<()> {
-        self.space();
-        (self.peek()? == byte).then(|| self.at += 1)
+    /// Skips whitespace and consumes the given byte; returns `None` if another byte follows.
+    fn expect(&mut self, byte: u8) -> Option<()> {
+        self.skip_whitespace();
+        (self.peek()? == byte).then(|| self.position += 1)
     }
 
-    fn word(&mut self, word: &str) -> Option<Json<'a>> {
-        self.text[self.at..].starts_with(word).then(|| self.at += word.len())?;
+    fn literal(&mut self, literal: &str) -> Option<Json<'a>> {
+        self.text[self.position..].starts_with(literal).then(|| self.position += literal.len())?;
         Some(Json::Other)
     }
 
     fn value(&mut self, depth: usize) -> Option<Json<'a>> {
-        if depth > MOST_DEPTH {
+        if depth > MAX_DEPTH {
             return None;
         }
-        self.space();
+        self.skip_whitespace();
         match self.peek()? {
             b'"' => self.string().map(Json::Text),
             b'{' => self.object(depth),
             b'[' => self.array(depth),
-            b't' => self.word("true"),
-            b'f' => self.word("false"),
-            b'n' => self.word("null"),
+            b't' => self.literal("true"),
+            b'f' => self.literal("false"),
+            b'n' => self.literal("null"),
             b'-' | b'0'..=b'9' => {
-                let start = self.at;
+                let start = self.position;
                 while matches!(self.peek(), Some(b'-' | b'+' | b'.' | b'e' | b'E' | b'0'..=b'9')) {
-                    self.at += 1;
+                    self.position += 1;
                 }
-                let number = &self.text[start..self.at];
+                let number = &self.text[start..self.position];
                 number.parse::<f64>().is_ok().then_some(Json::Number(number))
             }
             _ => None,
@@ -94,61 +98,61 @@
     }
 
     fn object(&mut self, depth: usize) -> Option<Json<'a>> {
-        self.eat(b'{')?;
+        self.expect(b'{')?;
         let mut members = Vec::new();
-        if self.eat(b'}').is_some() {
+        if self.expect(b'}').is_some() {
             return Some(Json::Object(members));
         }
         loop {
-            self.space();
+            self.skip_whitespace();
             let name = self.string()?;
-            self.eat(b':')?;
+            self.expect(b':')?;
             members.push((name, self.value(depth + 1)?));
-            if self.eat(b',').is_none() {
-                self.eat(b'}')?;
+            if self.expect(b',').is_none() {
+                self.expect(b'}')?;
                 return Some(Json::Object(members));
             }
         }
     }
 
     fn array(&mut self, depth: usize) -> Option<Json<'a>> {
-        self.eat(b'[')?;
-        if self.eat(b']').is_some() {
+        self.expect(b'[')?;
+        if self.expect(b']').is_some() {
             return Some(Json::Other);
         }
         loop {
             self.value(depth + 1)?;
-            if self.eat(b',').is_none() {
-                self.eat(b']')?;
+            if self.expect(b',').is_none() {
+                self.expect(b']')?;
                 return Some(Json::Other);
             }
         }
     }
 
     fn string(&mut self) -> Option<Cow<'a, str>> {
-        self.eat(b'"')?;
-        let start = self.at;
+        self.expect(b'"')?;
+        let start = self.position;
         loop {
             match self.peek()? {
                 b'"' => {
-                    let text = &self.text[start..self.at];
-                    self.at += 1;
+                    let text = &self.text[start..self.position];
+                    self.position += 1;
                     return Some(Cow::Borrowed(text));
                 }
-                b'\\' => return self.escaped(start).map(Cow::Owned),
+                b'\\' => return self.string_with_escapes(start).map(Cow::Owned),
                 0..=31 => return None,
-                _ => self.at += 1,
+                _ => self.position += 1,
             }
         }
     }
 
-    /// The rest of a string whose text so far began at `start`, from its first escape on.
-    fn escaped(&mut self, start: usize) -> Option<String> {
-        let mut text = self.text[start..self.at].to_string();
+    /// Parses the rest of a string that began at `start`, from its first escape sequence on.
+    fn string_with_escapes(&mut self, start: usize) -> Option<String> {
+        let mut text = self.text[start..self.position].to_string();
         loop {
-            let rest = self.text.get(self.at..)?;
+            let rest = self.text.get(self.position..)?;
             let c = rest.chars().next()?;
-            self.at += c.len_utf8();
+            self.position += c.len_utf8();
             match c {
                 '"' => return Some(text),
                 '\\' => text.push(self.escape()?),
@@ -158,9 +162,10 @@
         }
     }
 
+    /// Parses an escape sequence after its backslash, including surrogate pairs.
     fn escape(&mut self) -> Option<char> {
         let c = self.peek()?;
-        self.at += 1;
+        self.position += 1;
         Some(match c {
             b'"' | b'\\' | b'/' => char::from(c),
             b'b' => '\x08',
@@ -173,8 +178,8 @@
                 if !(0xd800..0xdc00).contains(&high) {
                     return char::from_u32(high);
                 }
-                let rest = self.text.get(self.at..)?;
-                self.at += rest.starts_with("\\u").then_some(2)?;
+                let rest = self.text.get(self.position..)?;
+                self.position += rest.starts_with("\\u").then_some(2)?;
                 let low = self.hex()?.checked_sub(0xdc00).filter(|l| *l < 0x400)?;
                 char::from_u32(0x10000 + ((high - 0xd800) << 10) + low)?
             }
@@ -182,15 +187,16 @@
         })
     }
 
+    /// Parses four hexadecimal digits.
     fn hex(&mut self) -> Option<u32> {
-        let digits = self.text.get(self.at..self.at + 4)?;
-        self.at += 4;
+        let digits = self.text.get(self.position..self.position + 4)?;
+        self.position += 4;
         digits.bytes().all(|b| b.is_ascii_hexdigit()).then(|| u32::from_str_radix(digits, 16).ok())?
     }
 }
 
-/// Appends a string in quotes.
-pub fn quote(out: &mut String, text: &str) {
+/// Appends a quoted and escaped string.
+pub fn write_string(out: &mut String, text: &str) {
     out.push('"');
     for c in text.chars() {
         match c {
--- a/src/executor/line.rs
+++ b/src/executor/line.rs
@@ -1,4 +1,6 @@
-//! The lines exchanged with executors: commands written, answers read.
+//! The lines of the executor protocol: serialises commands and parses answers.
+//!
+//! Each line is one JSON object. The length of an answer line is bounded by the connection that receives it.
 
 use super::json::{self, Json};
 use crate::api::{Found, Outcome};
@@ -6,104 +8,106 @@
 use base64::engine::general_purpose::STANDARD;
 use std::ops::Range;
 
-/// How long an answer is waited for, in milliseconds, as it stands in a line, at least `width` bytes wide: a smaller
-/// figure fills the place of a larger one with blanks, which mean nothing in JSON.
-pub fn wait_figure(wait_us: u64, width: usize) -> String {
-    format!("{:>width$}", wait_us / 1000)
+/// Formats the time-out of an attempt as it appears in its line: in milliseconds, padded to at least `width`
+/// bytes. The padding lets a smaller number overwrite a larger one in place; JSON ignores the leading spaces.
+pub fn format_timeout(timeout_us: u64, width: usize) -> String {
+    format!("{:>width$}", timeout_us / 1000)
 }
 
-/// A `go` line, and the bytes in it that are the figure of [`wait_figure`].
-pub fn go(
+/// Returns a `go` line, and the byte range in it that holds the time-out written by [`format_timeout`].
+pub fn go_line(
     rid: &str,
     class: &str,
     function: &str,
-    wait_us: u64,
+    timeout_us: u64,
     key: Option<&str>,
     body: &[u8],
 ) -> (Vec<u8>, Range<usize>) {
-    let mut out = start("go", rid);
+    let mut out = begin_line("go", rid);
     out.push_str(",\"attrs\":{\"c\":");
-    json::quote(&mut out, class);
+    json::write_string(&mut out, class);
     out.push_str(",\"k\":");
-    json::quote(&mut out, function);
+    json::write_string(&mut out, function);
     out.push_str(",\"w\":");
-    let wait_at = out.len();
-    out.push_str(&wait_figure(wait_us, 0));
-    let wait = wait_at..out.len();
+    let timeout_start = out.len();
+    out.push_str(&format_timeout(timeout_us, 0));
+    let timeout_range = timeout_start..out.len();
     if let Some(key) = key {
         out.push_str(",\"i\":");
-        json::quote(&mut out, key);
+        json::write_string(&mut out, key);
     }
     out.push_str("},\"content\":\"");
     STANDARD.encode_string(body, &mut out);
     out.push_str("\"}\n");
-    (out.into_bytes(), wait)
+    (out.into_bytes(), timeout_range)
 }
 
-/// A `halt` line.
-pub fn halt(rid: &str) -> Vec<u8> {
-    end(start("halt", rid))
+/// Returns a `halt` line, which cancels an attempt.
+pub fn halt_line(rid: &str) -> Vec<u8> {
+    end_line(begin_line("halt", rid))
 }
 
-/// A `stage` line: an order to load.
-pub fn stage(tag: &str, function: &str, copies: u32) -> Vec<u8> {
-    let mut out = start("stage", tag);
+/// Returns a `stage` line, which orders an executor to load copies of a function.
+pub fn stage_line(tag: &str, function: &str, copies: u32) -> Vec<u8> {
+    let mut out = begin_line("stage", tag);
     out.push_str(",\"attrs\":{\"k\":");
-    json::quote(&mut out, function);
+    json::write_string(&mut out, function);
     out.push_str(&format!(",\"pods\":{copies}}}"));
-    end(out)
+    end_line(out)
 }
 
-fn start(verb: &str, rid: &str) -> String {
+fn begin_line(verb: &str, rid: &str) -> String {
     let mut out = format!("{{\"verb\":\"{verb}\",\"rid\":");
-    json::quote(&mut out, rid);
+    json::write_string(&mut out, rid);
     out
 }
 
-fn end(mut line: String) -> Vec<u8> {
+fn end_line(mut line: String) -> Vec<u8> {
     line.push_str("}\n");
     line.into_bytes()
 }
 
-/// The longest load report read, in bytes: four figures with their names (protocol, 'The settings').
-pub const MOST_REPORT: usize = 256;
+/// Maximum length of a load report that is parsed: it holds at most four values with their names (protocol,
+/// 'The settings').
+pub const MAX_LOAD_REPORT_BYTES: usize = 256;
 
-/// The values that a load report (`inflight:7;util:0.61`) tells under `names`, in the order of those; what it leaves
-/// out, or what is no figure, is no number (NaN). Empty where the settings name none.
-pub fn report(names: &[String], load: Option<&str>) -> Vec<f64> {
+/// Returns the values of a load report (`inflight:7;util:0.61`) for `names`, in the same order. A missing or
+/// malformed value is NaN. The result is empty if there is no report or the settings name no values.
+pub fn load_values(names: &[String], load: Option<&str>) -> Vec<f64> {
     let Some(load) = load.filter(|_| !names.is_empty()) else { return Vec::new() };
-    let told =
+    let field =
         |name: &str| load.split(';').find_map(|part| part.trim().strip_prefix(name)?.strip_prefix(':'));
-    let figure = |name: &String| told(name).and_then(|v| v.trim().parse().ok()).unwrap_or(f64::NAN);
-    names.iter().map(figure).collect()
+    let value = |name: &String| field(name).and_then(|v| v.trim().parse().ok()).unwrap_or(f64::NAN);
+    names.iter().map(value).collect()
 }
 
-/// An answer of an executor.
+/// An answer from an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    /// What it answers.
+    /// The id of the request or load order that it answers.
     pub rid: String,
-    /// How it ended.
+    /// The result.
     pub outcome: Outcome,
-    /// What it found.
+    /// What the answer reports about the copy.
     pub found: Found,
-    /// Requests for the function held there, where the word tells it.
+    /// The number of requests for the function at the executor, for outcomes that report it.
     pub crowd: Option<u32>,
-    /// The load report as it was told, if it is no longer than [`MOST_REPORT`].
+    /// The load report in its original notation, if it is no longer than [`MAX_LOAD_REPORT_BYTES`].
     pub load: Option<String>,
-    /// Copies that stand, for an order.
+    /// The number of copies loaded, in answers to load orders.
     pub copies: u32,
-    /// The body.
+    /// The response body.
     pub body: Vec<u8>,
 }
 
-/// Reads an answer. An unknown word is an answer all the same: the attempt has ended and may have run.
-pub fn read(line: &[u8]) -> Option<Answer> {
-    let value = json::read(std::str::from_utf8(line).ok()?)?;
+/// Parses an answer line; returns `None` if it is malformed. An unknown verb still counts as an answer: the
+/// attempt has ended and may have run.
+pub fn parse_answer(line: &[u8]) -> Option<Answer> {
+    let value = json::parse(std::str::from_utf8(line).ok()?)?;
     let rid = value.get("rid")?.text()?.to_string();
     let verb = value.get("verb")?.text()?;
     let attr = |name: &str| value.get("attrs").and_then(|a| a.get(name)).and_then(Json::text);
-    let figure = |name: &str| attr(name).and_then(|t| t.parse().ok()).unwrap_or(0);
+    let number = |name: &str| attr(name).and_then(|t| t.parse().ok()).unwrap_or(0);
     let outcome = match verb {
         "OK" | "UP" => Outcome::Ok,
         "MISS" => Outcome::Miss,
@@ -119,14 +123,14 @@
         (Outcome::Miss | Outcome::Error, Some("crashed")) => Found::LoadFailed,
         _ => Found::Untold,
     };
-    let crowd = matches!(outcome, Outcome::Ok | Outcome::Full).then(|| figure("depth"));
+    let crowd = matches!(outcome, Outcome::Ok | Outcome::Full).then(|| number("depth"));
     let body = match value.get("content") {
         None => Vec::new(),
         Some(Json::Text(text)) => STANDARD.decode(text.as_bytes()).ok()?,
         Some(_) => return None,
     };
-    let load = attr("load").filter(|l| l.len() <= MOST_REPORT).map(str::to_string);
-    Some(Answer { rid, outcome, found, crowd, load, copies: figure("pods"), body })
+    let load = attr("load").filter(|l| l.len() <= MAX_LOAD_REPORT_BYTES).map(str::to_string);
+    Some(Answer { rid, outcome, found, crowd, load, copies: number("pods"), body })
 }
 
 #[cfg(test)]
--- a/src/executor/mod.rs
+++ b/src/executor/mod.rs
@@ -1,4 +1,7 @@
-//! Executors: their connections, and the JSON lines spoken on them.
+//! The client side of the executor protocol: connections to executors and the JSON lines exchanged on them.
+//!
+//! [`Pool`] is given attempts and load orders and reports how each one ended; [`Limits`] bounds its
+//! connections, the requests open on each, and the memory for partially received answers.
 
 mod json;
 mod line;
--- a/src/executor/peer.rs
+++ b/src/executor/peer.rs
@@ -1,4 +1,5 @@
-//! One connection to an executor: what is open on it, and the reading of its lines.
+//! The protocol state of one connection to an executor: the requests open on it, and the splitting of its
+//! input into answer lines of at most [`MAX_LINE_BYTES`].
 
 use super::line::{self, Answer};
 use crate::api::WorkerId;
@@ -6,103 +7,107 @@
 use crate::net::{Callbacks, Malformed, Ring};
 use std::collections::BTreeMap;
 
-/// The largest line read: a body of 230,000 bytes in base64, its attributes, and room to spare.
-pub const MOST_LINE: usize = 400 * 1024;
-/// Bytes that may wait to be sent.
-pub const MOST_UNSENT: usize = 2 * 1024 * 1024;
+/// Maximum length of an answer line: a body of 230,000 bytes in base64, its attributes, and a margin.
+pub const MAX_LINE_BYTES: usize = 400 * 1024;
+/// Maximum number of bytes queued for sending on a connection.
+pub const MAX_UNSENT_BYTES: usize = 2 * 1024 * 1024;
 
-/// What an entry on the connection is for.
+/// What a command line was sent for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Purpose {
     /// An attempt.
     Attempt(AttemptId),
-    /// An order to load.
-    Order(u64),
-    /// An attempt that was given up or has failed: an answer may still cross the halt, or come a second time.
-    Halted,
+    /// A load order.
+    LoadOrder(u64),
+    /// An attempt that was cancelled or has failed. The entry is kept because an answer may cross the `halt`
+    /// on its way, or arrive a second time.
+    Tombstone,
 }
 
-/// Something written to the connection, to which an answer may come.
+/// A command line on the connection that may still be answered.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct PendingLine {
     pub purpose: Purpose,
-    /// Where its line begins and ends in all that was ever queued.
-    pub begins: u64,
-    pub ends: u64,
-    /// Until when answers to it are known as late ones, once nothing waits for it.
-    pub until: u64,
-    /// Of an attempt's line: the figure that tells how long its answer is waited for.
-    pub wait: Option<Wait>,
+    /// The start and end of the line, as offsets in all bytes ever queued on the connection.
+    pub start: u64,
+    pub end: u64,
+    /// When a tombstone expires.
+    pub expires_at: u64,
+    /// The time-out in the line, if it carries an attempt.
+    pub timeout: Option<TimeoutField>,
 }
 
-/// How long the answer to a line is waited for, as the line tells it.
+/// The field of a queued line that tells the executor how long its answer is waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wait {
-    /// Where the figure begins, from the line's beginning, and its width.
-    pub at: u64,
+pub struct TimeoutField {
+    /// The offset of the number from the start of the line, and its width in bytes.
+    pub offset: u64,
     pub width: usize,
-    /// When the wait is over, and when the figure was written.
+    /// When the wait ends, and when the number was last written.
     pub deadline: u64,
-    pub written: u64,
+    pub written_at: u64,
 }
 
-/// The speaker on a connection to an executor.
-pub struct Peer {
+/// The protocol state of a connection to an executor.
+pub struct ExecutorConnection {
     pub worker: WorkerId,
-    pub open: BTreeMap<String, Entry>,
-    pub begun: u64,
-    /// When it last had something open, or began.
-    pub used: u64,
-    /// The first send since it was last heard.
-    pub unheard: Option<u64>,
-    /// Since when a line has been there in part, and when bytes of it last came.
-    pub half_read: Option<u64>,
-    pub piece: u64,
-    /// Bytes of it that were looked through for its end. Danger: looked through anew with each small piece, a long
-    /// line would take the loop's time without end.
+    /// The lines that may still be answered, by request id.
+    pub open: BTreeMap<String, PendingLine>,
+    /// When the connection attempt started.
+    pub connect_started_at: u64,
+    /// When a line was last written or answered, or the connection attempt started.
+    pub last_used_at: u64,
+    /// When the first line was queued after the executor last sent anything.
+    pub unanswered_since: Option<u64>,
+    /// When the first bytes of a partially received line arrived.
+    pub partial_line_since: Option<u64>,
+    /// When bytes last arrived.
+    pub last_read_at: u64,
+    /// Bytes of the partial line already searched for its end. If each small fragment caused a search from
+    /// the start, a long line would take quadratic time and stall the event loop.
     scanned: usize,
-    /// It takes nothing new and ends with what is open.
+    /// The connection takes no new lines and is closed once nothing on it awaits an answer.
     pub closing: bool,
 }
 
-impl Peer {
-    pub fn new(worker: WorkerId, now: u64) -> Peer {
-        Peer {
+impl ExecutorConnection {
+    pub fn new(worker: WorkerId, now: u64) -> ExecutorConnection {
+        ExecutorConnection {
             worker,
             open: BTreeMap::new(),
-            begun: now,
-            used: now,
-            unheard: None,
-            half_read: None,
-            piece: now,
+            connect_started_at: now,
+            last_used_at: now,
+            unanswered_since: None,
+            partial_line_since: None,
+            last_read_at: now,
             scanned: 0,
             closing: false,
         }
     }
 
-    /// Requests and orders that await an answer.
+    /// Returns the number of attempts and load orders that await an answer.
     pub fn awaiting(&self) -> usize {
-        self.open.values().filter(|e| e.purpose != Purpose::Halted).count()
+        self.open.values().filter(|e| e.purpose != Purpose::Tombstone).count()
     }
 }
 
-impl Callbacks for Peer {
+impl Callbacks for ExecutorConnection {
     type Out = Vec<Answer>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Answer>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
-        let mut done = 0;
-        let mut from = self.scanned.min(bytes.len());
-        while let Some(length) = bytes[from..].iter().position(|b| *b == b'\n') {
-            let line = &bytes[done..from + length];
-            done = from + length + 1;
-            from = done;
+        let mut consumed = 0;
+        let mut search_from = self.scanned.min(bytes.len());
+        while let Some(length) = bytes[search_from..].iter().position(|b| *b == b'\n') {
+            let line = &bytes[consumed..search_from + length];
+            consumed = search_from + length + 1;
+            search_from = consumed;
             if !line.trim_ascii().is_empty() {
-                out.push(line::read(line).ok_or(Malformed("a line that is no answer"))?);
+                out.push(line::parse_answer(line).ok_or(Malformed("a line that is not a valid answer"))?);
             }
         }
-        self.scanned = bytes.len() - done;
-        input.consume(done);
+        self.scanned = bytes.len() - consumed;
+        input.consume(consumed);
         Ok(())
     }
 }
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -1,9 +1,15 @@
-//! The connections to all executors: which one a request goes out on, and how its attempt ends.
+//! The pool of connections to executors.
+//!
+//! The pool chooses the connection for each attempt and load order, opens and closes connections, matches
+//! answers to requests, and reports how each attempt and order ended. It is given the list of executors by
+//! the name service and writes nothing to one that the list does not show as ready. [`Limits`] bounds the
+//! connections, the requests open on each, and the bytes of partially received answers. Times are in
+//! microseconds.
 
 use super::line::{self, Answer};
-use super::peer::{Entry, MOST_LINE, MOST_UNSENT, Peer, Purpose, Wait};
+use super::peer::{ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField};
 use crate::api::{Found, FunctionId, Outcome, WorkerId};
-use crate::core::{AttemptId, Ended, Job};
+use crate::core::{AttemptId, AttemptResult, Job};
 use crate::counters::{Counters, count};
 use crate::names::{Executor, State};
 use crate::net::{Closed, Link, Poll, Ready};
@@ -13,108 +19,116 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection idle for longer than the executors' limit less this is not used: they may be closing it. A short
-/// limit is cut by a quarter at the most.
-const IDLE_MARGIN: u64 = 1_000_000;
-/// A connection on which something was sent this long ago, and nothing heard since, gets nothing new: its machine
-/// may have vanished, which only a new connection shows.
-const SILENT: u64 = 500_000;
-/// A line of which nothing has come for this long has broken off, and nothing that can be read will follow it: its
-/// connection is done for all that is open on it. A long line in pieces takes longer than that in all.
-const BROKEN_OFF: u64 = 120_000;
-/// A connection on which a line has been half read for this long gets nothing new.
-const HALF_READ: u64 = 20_000;
-/// An answer that proves nothing done may come a second time for this long: its id is not used again here meanwhile.
-/// Danger: taken for that of a second attempt under the same id, it would let an unsafe request run twice.
-const SECOND_ANSWER: u64 = 2_000_000;
-/// A line that has waited for its connection for longer than this tells its executor anew how long its answer is
-/// waited for. The platform allows 150 ms of slack in that figure.
-const WAIT_STALE: u64 = 20_000;
-/// Entries given up whose answers may still cross the halt; a connection with more of them is used up.
-const MOST_HALTED: usize = 4_096;
-
-/// Nothing is written to an executor this long after the answers of the name service were last read, until they are read
-/// again: the process may have been stopped, or a call of the system may have taken long, and an answer that came meanwhile may
-/// tell of a drain. A turn of the loop takes far less.
-const LIST_READ_MOST: Duration = Duration::from_millis(50);
-
-/// What bounds the pool.
+/// Margin by which idle connections are closed before the executors' own idle limit, so that no request is
+/// sent on a connection that its executor is closing. At most a quarter of that limit.
+const IDLE_MARGIN_US: u64 = 1_000_000;
+/// Time without any data after a send from which a connection gets no new lines. Its machine may have
+/// vanished, which only a new connection attempt reveals.
+const UNRESPONSIVE_AFTER_US: u64 = 500_000;
+/// Time without further data after which a partially received line counts as broken off. Nothing after it can
+/// be parsed, so the connection is closed for everything open on it. The time runs from the last bytes
+/// received, since a long line in fragments may take longer in total.
+const LINE_STALL_TIMEOUT_US: u64 = 120_000;
+/// Time for which a line may be partially received before its connection gets no new lines.
+const PARTIAL_LINE_GRACE_US: u64 = 20_000;
+/// Time for which the id of a failed attempt is not reused on its connection. An answer which proves that
+/// nothing ran may arrive a second time; taken for the answer to a second attempt under the same id, it would
+/// let a request that is not idempotent run twice.
+const DUPLICATE_ANSWER_WINDOW_US: u64 = 2_000_000;
+/// Time that a line may wait for its connection before the time-out in it is rewritten. The platform allows a
+/// slack of 150 ms in that value.
+const TIMEOUT_REFRESH_AFTER_US: u64 = 20_000;
+/// Maximum number of tombstones on a connection. One with more takes no new lines, and is closed once nothing
+/// on it awaits an answer.
+const MAX_TOMBSTONES: usize = 4_096;
+
+/// Maximum age of the last read of the name service's answers at which lines may be written to executors.
+/// After a longer gap (the process may have been stopped, or a system call may have taken long) an unread
+/// answer may report that an executor drains, so writes wait until the answers have been read. An iteration
+/// of the event loop takes far less.
+const MAX_LIST_READ_AGE: Duration = Duration::from_millis(50);
+
+/// Limits and protocol settings of the pool.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections at a time.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Bytes of answers that may be half read on all connections together.
+    /// Maximum number of bytes of partially received answers, over all connections.
     pub unread: usize,
-    /// Requests open on a connection.
+    /// Maximum number of attempts and load orders that await an answer on a connection.
     pub streams: usize,
-    /// How long a connection may take to come up.
+    /// Time limit for establishing a connection.
     pub connect_timeout: u64,
-    /// Executors close a connection idle for this long.
+    /// The idle time after which executors close a connection.
     pub keepalive: u64,
-    /// The names of the classes, by position.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// Answers tell what they found.
+    /// Whether answers report if a copy was loaded.
     pub tells_warm: bool,
-    /// Answers tell how many requests were held.
+    /// Whether answers report the number of requests for the function at the executor.
     pub tells_crowd: bool,
-    /// What the load reports in answers tell, in order; empty where answers carry none.
+    /// The names of the values in load reports, in order; empty if answers carry none.
     pub report: Vec<String>,
 }
 
 impl Limits {
-    /// How long an idle connection is kept.
-    fn idle(&self) -> u64 {
-        self.keepalive - IDLE_MARGIN.min(self.keepalive / 4)
+    /// Returns how long an idle connection is kept.
+    fn idle_timeout(&self) -> u64 {
+        self.keepalive - IDLE_MARGIN_US.min(self.keepalive / 4)
     }
 }
 
-/// What came of something sent.
+/// The end of an attempt or a load order.
 #[derive(Debug)]
 pub enum Report {
-    /// An attempt has ended.
-    Attempt(AttemptId, Ended),
-    /// An order to load has ended, with so many copies standing.
+    /// An attempt ended.
+    Attempt(AttemptId, AttemptResult),
+    /// A load order ended, with the number of copies now loaded.
     Order(u64, Outcome, u32),
 }
 
-/// Sightings that the host has not taken, at the most.
-const MOST_SIGHTINGS: usize = 64;
+/// Maximum number of sightings that the host has not yet collected; further ones are dropped.
+const MAX_SIGHTINGS: usize = 64;
 
-/// What a connection's end tells of its executor, beside what it tells of the attempts on it.
+/// A connection failure that indicates a fault of the executor itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sighting {
     /// The executor.
     pub worker: WorkerId,
-    /// No connection came up.
+    /// Whether the connection could not be established.
     pub refused: bool,
-    /// Nor was anything to be sent on it: it was only looked at.
+    /// Whether the failed connection was a probe, with nothing to send.
     pub looked: bool,
 }
 
 /// The connections to all executors.
 pub struct Pool {
+    /// The owner id of the pool's sockets in the event loop.
     owner: u8,
     limits: Limits,
     listed: BTreeMap<WorkerId, (SocketAddr, State)>,
-    links: Slab<Link<Peer>>,
+    links: Slab<Link<ExecutorConnection>>,
+    /// The connection and request id of each attempt that awaits an answer.
     attempts: BTreeMap<AttemptId, (usize, String)>,
+    /// Scratch buffer for parsed answers.
     answers: Vec<Answer>,
-    /// Bytes of answers that are half read.
-    unread: usize,
-    /// When the answers of the name service that had come were last read.
+    /// Bytes of partially received answers on all connections.
+    unread_bytes: usize,
+    /// When all received answers of the name service were last read.
     list_read_at: Instant,
-    /// Nothing is written for now, and something has waited for that or for the list.
-    writes_wait: bool,
-    has_held: bool,
+    /// Set between `hold_writes` and `release_writes`.
+    writes_on_hold: bool,
+    /// Whether any connection has lines whose write was held back.
+    has_held_lines: bool,
     counters: Rc<Counters>,
-    /// What has come to its end, in order.
+    /// Ended attempts and load orders, in order.
     pub reports: Vec<Report>,
-    /// Executors whose connections broke with something open on them, or did not come up.
+    /// Executors whose connections broke while an answer was awaited, or could not be established.
     pub sightings: Vec<Sighting>,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Returns a pool without connections.
     pub fn new(owner: u8, limits: Limits, counters: Rc<Counters>) -> Pool {
         Pool {
             owner,
@@ -123,77 +137,83 @@
             links: Slab::new(),
             attempts: BTreeMap::new(),
             answers: Vec::new(),
-            unread: 0,
+            unread_bytes: 0,
             list_read_at: Instant::now(),
-            writes_wait: false,
-            has_held: false,
+            writes_on_hold: false,
+            has_held_lines: false,
             counters,
             reports: Vec::new(),
             sightings: Vec::new(),
         }
     }
 
-    /// Connections to executors.
+    /// Returns the number of connections.
     pub fn connections(&self) -> usize {
         self.links.len()
     }
 
-    /// New bounds, for what is begun from now on.
+    /// Applies new limits and closes idle connections beyond them; connections in use are kept.
     pub fn bound(&mut self, limits: Limits) {
         self.limits = limits;
-        while self.links.len() > self.limits.connections && self.make_room() {}
+        while self.links.len() > self.limits.connections && self.evict_idle() {}
     }
 
-    /// Closes the connection on which nothing has been awaited for longest.
-    fn make_room(&mut self) -> bool {
+    /// Closes the least recently used connection on which no answer is awaited; returns false if there is
+    /// none.
+    fn evict_idle(&mut self) -> bool {
         let idle = self.links.iter().filter(|(_, l)| l.peer.awaiting() == 0);
-        let Some(slot) = idle.min_by_key(|(_, l)| l.peer.used).map(|(slot, _)| slot) else { return false };
+        let Some(slot) = idle.min_by_key(|(_, l)| l.peer.last_used_at).map(|(slot, _)| slot) else {
+            return false;
+        };
         self.close(slot, Closed::Broken);
         true
     }
 
-    /// All answers of the name service that had come by now are read before anything else is done.
+    /// Records that all answers of the name service received so far have been read.
     pub fn list_was_read(&mut self) {
         self.list_read_at = Instant::now();
     }
 
-    /// Has all writes wait until `release_writes`.
+    /// Holds back all writes until `release_writes`.
     pub fn hold_writes(&mut self) {
-        self.writes_wait = true;
+        self.writes_on_hold = true;
     }
 
-    /// Whether writes wait, for `hold_writes` or since the list was not read for a while.
+    /// Returns whether writes are held back, by `hold_writes` or because the executor list was not read
+    /// recently.
     pub fn holds_writes(&self) -> bool {
-        self.writes_wait || self.has_held
+        self.writes_on_hold || self.has_held_lines
     }
 
-    /// Writes what has waited and was not withdrawn. The answers of the name service must have been read just before.
+    /// Writes the lines that were held back and not withdrawn. The caller must have read the name service's
+    /// answers just before.
     pub fn release_writes(&mut self, poll: &Poll, now: u64) {
-        (self.writes_wait, self.has_held) = (false, false);
+        (self.writes_on_hold, self.has_held_lines) = (false, false);
         let held: Vec<usize> =
             self.links.iter().filter(|(_, link)| link.io.is_held()).map(|(slot, _)| slot).collect();
         for slot in held {
-            self.push(poll, now, slot);
+            self.flush(poll, now, slot);
         }
     }
 
-    /// Whether a write to an executor must wait now: all of them ask here. What waits stays queued, and is withdrawn if the
-    /// answers that are read next tell that its executor drains.
-    fn must_wait(&self) -> bool {
-        self.writes_wait || self.list_read_at.elapsed() > LIST_READ_MOST
+    /// Returns whether writes to executors must be held back now; every write checks this. Lines held back
+    /// stay queued, and are withdrawn if the name service's next answers show that their executor drains.
+    fn must_hold_writes(&self) -> bool {
+        self.writes_on_hold || self.list_read_at.elapsed() > MAX_LIST_READ_AGE
     }
 
-    /// Has what is queued on a connection wait, if it must.
-    fn hold(link: &mut Link<Peer>, wait: bool, counters: &Counters) -> bool {
-        let wait = wait && link.io.unsent() > 0;
-        if wait {
+    /// Sets whether the queued lines of a connection are held back; returns whether there are any that are.
+    fn set_hold(link: &mut Link<ExecutorConnection>, hold: bool, counters: &Counters) -> bool {
+        let hold = hold && link.io.unsent() > 0;
+        if hold {
             count(&counters.writes_held);
         }
-        link.io.hold(wait);
-        wait
+        link.io.hold(hold);
+        hold
     }
 
-    /// Takes the whole list. What is still queued for an executor that drains or is gone is withdrawn.
+    /// Applies the complete executor list. Lines still queued for an executor that drains or has been removed
+    /// are withdrawn.
     pub fn list(&mut self, executors: &[Executor]) {
         let new = executors.iter().map(|e| (e.id.clone(), (e.address, e.state))).collect();
         let old = std::mem::replace(&mut self.listed, new);
@@ -202,27 +222,28 @@
             let worker = self.links[slot].peer.worker.clone();
             match self.listed.get(&worker) {
                 Some((address, State::Ready)) if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
-                // Danger: a line queued on a connecting or blocked socket would go out after the drain was told.
-                _ => self.withdraw(slot),
+                // A line queued on a connecting or blocked socket would otherwise be sent after the drain was
+                // announced.
+                _ => self.withdraw_unsent(slot),
             }
         }
     }
 
-    /// Takes back what has not begun to go out on a connection, and lets nothing new on it.
-    fn withdraw(&mut self, slot: usize) {
+    /// Stops using a connection for new lines and withdraws the queued lines of which nothing has been sent.
+    fn withdraw_unsent(&mut self, slot: usize) {
         let link = &mut self.links[slot];
         link.peer.closing = true;
         let written = if link.io.connecting() { 0 } else { link.io.written };
-        let begun = |e: &Entry| e.begins < written;
-        // A line that has begun goes out whole: half of one would make nonsense of the connection.
-        let keep = link.peer.open.values().filter(|e| begun(e)).map(|e| e.ends).max().unwrap_or(0);
+        let started = |e: &PendingLine| e.start < written;
+        // A partially sent line is sent to its end: a truncated line would corrupt the connection's framing.
+        let keep = link.peer.open.values().filter(|e| started(e)).map(|e| e.end).max().unwrap_or(0);
         link.io.unqueue_after(keep);
-        let unsent: Vec<(String, Entry)> =
-            link.peer.open.iter().filter(|(_, e)| !begun(e)).map(|(r, e)| (r.clone(), *e)).collect();
-        for (rid, entry) in unsent {
+        let unsent: Vec<(String, PendingLine)> =
+            link.peer.open.iter().filter(|(_, e)| !started(e)).map(|(rid, e)| (rid.clone(), *e)).collect();
+        for (rid, pending_line) in unsent {
             self.links[slot].peer.open.remove(&rid);
             count(&self.counters.attempts_withdrawn);
-            self.over(entry.purpose, Outcome::Moot);
+            self.end_unanswered(pending_line.purpose, Outcome::Moot);
         }
         self.close_if_idle(slot);
     }
@@ -238,23 +259,25 @@
         job: &Job,
     ) {
         let Some(class) = self.limits.classes.get(job.class) else {
-            return self.end(id, Outcome::Moot);
+            return self.end_attempt(id, Outcome::Moot);
         };
-        let (line, figure) = line::go(&job.call, class, &job.function, wait, job.key.as_deref(), &job.body);
+        let (line, timeout) =
+            line::go_line(&job.call, class, &job.function, wait, job.key.as_deref(), &job.body);
         let deadline = now.saturating_add(wait);
-        let wait = Wait { at: figure.start as u64, width: figure.len(), deadline, written: now };
-        match self.queue(poll, now, worker, &job.call, Purpose::Attempt(id), &line) {
+        let timeout =
+            TimeoutField { offset: timeout.start as u64, width: timeout.len(), deadline, written_at: now };
+        match self.queue_line(poll, now, worker, &job.call, Purpose::Attempt(id), &line) {
             Ok(slot) => {
-                let entry = self.links[slot].peer.open.get_mut(&*job.call);
-                entry.into_iter().for_each(|e| e.wait = Some(wait));
+                let pending_line = self.links[slot].peer.open.get_mut(&*job.call);
+                pending_line.into_iter().for_each(|e| e.timeout = Some(timeout));
                 self.attempts.insert(id, (slot, job.call.to_string()));
-                self.push(poll, now, slot);
+                self.flush(poll, now, slot);
             }
-            Err(outcome) => self.end(id, outcome),
+            Err(outcome) => self.end_attempt(id, outcome),
         }
     }
 
-    /// Orders a load.
+    /// Sends a load order.
     pub fn load(
         &mut self,
         poll: &mut Poll,
@@ -265,81 +288,81 @@
         copies: u32,
     ) {
         let tag = format!("L{order}");
-        let line = line::stage(&tag, function, copies);
-        match self.queue(poll, now, worker, &tag, Purpose::Order(order), &line) {
+        let line = line::stage_line(&tag, function, copies);
+        match self.queue_line(poll, now, worker, &tag, Purpose::LoadOrder(order), &line) {
             Ok(slot) => {
                 count(&self.counters.loads_ordered);
-                self.push(poll, now, slot);
+                self.flush(poll, now, slot);
             }
             Err(outcome) => self.reports.push(Report::Order(order, outcome, 0)),
         }
     }
 
-    /// Begins a connection to an executor to which none stands, to find out whether one comes up; false where there is
-    /// nothing to find out.
+    /// Probes an executor to which there is no connection by opening one. Returns false if no probe is made:
+    /// the executor is not ready or already connected, or the limit on connections is reached.
     pub fn look(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
         let Some((address, State::Ready)) = self.listed.get(worker).copied() else { return false };
-        let stands = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
-        // Danger: a look must not cost a request its connection.
-        if stands || self.links.len() >= self.limits.connections {
+        let connected = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
+        // A probe must not take up a connection that a request may need.
+        if connected || self.links.len() >= self.limits.connections {
             return false;
         }
         if self.connect(poll, now, worker, address).is_err() {
-            self.sight(worker, true, true);
+            self.record_sighting(worker, true, true);
         }
         true
     }
 
-    fn sight(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
-        if self.sightings.len() < MOST_SIGHTINGS {
+    fn record_sighting(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
+        if self.sightings.len() < MAX_SIGHTINGS {
             self.sightings.push(Sighting { worker: worker.clone(), refused, looked });
         }
     }
 
-    /// Gives an attempt up: its answer is waited for no more.
+    /// Cancels an attempt: its answer is no longer awaited.
     pub fn halt(&mut self, poll: &Poll, now: u64, id: AttemptId) {
-        // Danger: a line that is still queued would go out, and run, long after its request was over.
-        if self.unqueue(id) {
+        // A line that is still queued would otherwise be sent, and run, long after its request ended.
+        if self.unqueue_attempt(id) {
             return;
         }
         let Some((slot, rid)) = self.attempts.remove(&id) else { return };
         let Some(link) = self.links.get_mut(slot) else { return };
-        let Some(entry) = link.peer.open.get_mut(&rid) else { return };
+        let Some(pending_line) = link.peer.open.get_mut(&rid) else { return };
         count(&self.counters.attempts_cancelled);
-        entry.purpose = Purpose::Halted;
-        entry.until = now + self.limits.idle();
-        // What does not fit is left out: a halt only spares work.
-        let _ = link.io.queue(&line::halt(&rid));
-        self.push(poll, now, slot);
+        pending_line.purpose = Purpose::Tombstone;
+        pending_line.expires_at = now + self.limits.idle_timeout();
+        // A `halt` that does not fit in the queue is dropped: it only saves the executor work.
+        let _ = link.io.queue(&line::halt_line(&rid));
+        self.flush(poll, now, slot);
     }
 
-    /// Ends an attempt of which nothing has been sent yet; one that has begun goes on.
+    /// Ends an attempt as moot if nothing of it has been sent; otherwise the attempt continues.
     pub fn recall(&mut self, id: AttemptId) {
-        if self.unqueue(id) {
-            self.end(id, Outcome::Moot);
+        if self.unqueue_attempt(id) {
+            self.end_attempt(id, Outcome::Moot);
         }
     }
 
-    /// Takes an attempt's line back, if none of it has been sent.
-    fn unqueue(&mut self, id: AttemptId) -> bool {
+    /// Removes an attempt's line from the send queue; returns false if part of it has been sent.
+    fn unqueue_attempt(&mut self, id: AttemptId) -> bool {
         let Some((slot, rid)) = self.attempts.get(&id) else { return false };
         let Some(link) = self.links.get_mut(*slot) else { return false };
-        let Some(Entry { begins, ends, .. }) = link.peer.open.get(rid).copied() else { return false };
-        if !link.io.unqueue(begins, ends) {
+        let Some(PendingLine { start, end, .. }) = link.peer.open.get(rid).copied() else { return false };
+        if !link.io.unqueue(start, end) {
             return false;
         }
         count(&self.counters.attempts_withdrawn);
         link.peer.open.remove(rid);
         self.attempts.remove(&id);
-        for later in link.peer.open.values_mut().filter(|e| e.begins >= ends) {
-            later.begins -= ends - begins;
-            later.ends -= ends - begins;
+        for later in link.peer.open.values_mut().filter(|e| e.start >= end) {
+            later.start -= end - start;
+            later.end -= end - start;
         }
         true
     }
 
-    /// Puts a line on a connection to the executor, on a new one if need be.
-    fn queue(
+    /// Queues a line on a connection to the executor, opening a new connection if none is usable.
+    fn queue_line(
         &mut self,
         poll: &mut Poll,
         now: u64,
@@ -352,15 +375,15 @@
             return Err(Outcome::Moot);
         };
         let limits = &self.limits;
-        let usable = |link: &Link<Peer>| {
+        let usable = |link: &Link<ExecutorConnection>| {
             let peer = &link.peer;
             !peer.closing
                 && peer.awaiting() < limits.streams
                 && !peer.open.contains_key(rid)
-                && (peer.awaiting() > 0 || now < peer.used + limits.idle())
-                && peer.unheard.is_none_or(|since| now < since + SILENT)
-                && peer.half_read.is_none_or(|since| now < since + HALF_READ)
-                && link.io.unsent() + line.len() <= MOST_UNSENT
+                && (peer.awaiting() > 0 || now < peer.last_used_at + limits.idle_timeout())
+                && peer.unanswered_since.is_none_or(|since| now < since + UNRESPONSIVE_AFTER_US)
+                && peer.partial_line_since.is_none_or(|since| now < since + PARTIAL_LINE_GRACE_US)
+                && link.io.unsent() + line.len() <= MAX_UNSENT_BYTES
         };
         let found = (self.links.iter())
             .filter(|(_, link)| link.peer.worker == *worker && usable(link))
@@ -371,16 +394,18 @@
             None => self.connect(poll, now, worker, address)?,
         };
         let link = &mut self.links[slot];
-        let begins = link.io.queued;
+        let start = link.io.queued;
         if !link.io.queue(line) {
             return Err(Outcome::Moot);
         }
-        let entry = Entry { purpose, begins, ends: link.io.queued, until: u64::MAX, wait: None };
-        link.peer.open.insert(rid.to_string(), entry);
-        link.peer.unheard.get_or_insert(now);
+        let pending_line =
+            PendingLine { purpose, start, end: link.io.queued, expires_at: u64::MAX, timeout: None };
+        link.peer.open.insert(rid.to_string(), pending_line);
+        link.peer.unanswered_since.get_or_insert(now);
         Ok(slot)
     }
 
+    /// Opens a connection, evicting an idle one if the limit on connections is reached.
     fn connect(
         &mut self,
         poll: &mut Poll,
@@ -388,15 +413,16 @@
         worker: &WorkerId,
         address: SocketAddr,
     ) -> Result<usize, Outcome> {
-        // Danger: the budget of descriptors is used up. An idle connection gives way to one that is needed.
-        if self.links.len() >= self.limits.connections && !self.make_room() {
+        // The limit keeps the process within its file descriptors; at the limit an idle connection is
+        // evicted.
+        if self.links.len() >= self.limits.connections && !self.evict_idle() {
             return Err(Outcome::ConnectFailed);
         }
         count(&self.counters.executor_connects);
         let entry = self.links.vacant_entry();
         let token = poll.token(self.owner, entry.key());
-        let peer = Peer::new(worker.clone(), now);
-        match Link::connect(poll, address, token, peer, (MOST_LINE, MOST_UNSENT)) {
+        let peer = ExecutorConnection::new(worker.clone(), now);
+        match Link::connect(poll, address, token, peer, (MAX_LINE_BYTES, MAX_UNSENT_BYTES)) {
             Ok(link) => Ok(entry.insert(link).io.token().slot as usize),
             Err(_) => {
                 count(&self.counters.executor_connects_failed);
@@ -405,181 +431,195 @@
         }
     }
 
-    fn push(&mut self, poll: &Poll, now: u64, slot: usize) {
-        let wait = self.must_wait();
+    /// Writes the queued lines of a connection as far as the socket accepts them, unless writes are held
+    /// back.
+    fn flush(&mut self, poll: &Poll, now: u64, slot: usize) {
+        let hold = self.must_hold_writes();
         let Some(link) = self.links.get_mut(slot) else { return };
-        link.peer.used = now;
-        Self::renew_waits(link, now);
-        self.has_held |= Self::hold(link, wait, &self.counters);
+        link.peer.last_used_at = now;
+        Self::refresh_timeouts(link, now);
+        self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
         if link.flush(poll).is_err() {
-            // Danger: an answer may have come before the reset that broke the send, and not have been read. The
-            // connection takes nothing new; its end is an event of its own, which reads first.
+            // An answer may have arrived before the reset that broke the send, and not have been read yet.
+            // The connection therefore only stops taking new lines; the event for its end reads the remaining
+            // input first.
             link.peer.closing = true;
         }
     }
 
-    /// Lines that have waited for their connection are told how long their answers are waited for now. An executor that
-    /// is told more than the client has left would work for one that has gone.
-    fn renew_waits(link: &mut Link<Peer>, now: u64) {
+    /// Rewrites the time-outs in lines that have waited for their connection. An executor given more time
+    /// than the client has left would work for a client that has gone.
+    fn refresh_timeouts(link: &mut Link<ExecutorConnection>, now: u64) {
         if link.io.unsent() == 0 {
             return;
         }
-        for entry in link.peer.open.values_mut() {
-            let Some(wait) = entry.wait.as_mut().filter(|w| now > w.written + WAIT_STALE) else { continue };
-            let figure = line::wait_figure(wait.deadline.saturating_sub(now), wait.width);
-            if entry.begins >= link.io.written && link.io.overwrite(entry.begins + wait.at, figure.as_bytes())
+        for pending_line in link.peer.open.values_mut() {
+            let stale = |t: &&mut TimeoutField| now > t.written_at + TIMEOUT_REFRESH_AFTER_US;
+            let Some(timeout) = pending_line.timeout.as_mut().filter(stale) else { continue };
+            let number = line::format_timeout(timeout.deadline.saturating_sub(now), timeout.width);
+            if pending_line.start >= link.io.written
+                && link.io.overwrite(pending_line.start + timeout.offset, number.as_bytes())
             {
-                wait.written = now;
+                timeout.written_at = now;
             }
         }
     }
 
-    /// Handles what happened to a connection.
+    /// Handles an I/O event on a connection.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        let (slot, wait) = (ready.token.slot as usize, self.must_wait());
+        let (slot, hold) = (ready.token.slot as usize, self.must_hold_writes());
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = std::mem::take(&mut self.answers);
-        let before = link.io.unread();
-        Self::renew_waits(link, now);
-        self.has_held |= Self::hold(link, wait, &self.counters);
+        let unread_before = link.io.unread();
+        Self::refresh_timeouts(link, now);
+        self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
         let result = link.ready(poll, ready, &mut answers);
-        self.unread = self.unread + link.io.unread() - before;
+        self.unread_bytes = self.unread_bytes + link.io.unread() - unread_before;
         if ready.read {
-            link.peer.unheard = None;
-            // The time runs from the line's first bytes, or from the last whole one before it.
-            let began = link.peer.half_read.filter(|_| answers.is_empty()).unwrap_or(now);
-            link.peer.half_read = (link.io.unread() > 0).then_some(began);
-            link.peer.piece = now;
+            link.peer.unanswered_since = None;
+            // The time runs from the line's first bytes, or from the last complete line before it.
+            let since = link.peer.partial_line_since.filter(|_| answers.is_empty()).unwrap_or(now);
+            link.peer.partial_line_since = (link.io.unread() > 0).then_some(since);
+            link.peer.last_read_at = now;
         }
         for answer in answers.drain(..) {
-            self.answer(now, slot, answer);
+            self.handle_answer(now, slot, answer);
         }
         self.answers = answers;
         match result {
-            Err(why) => self.close(slot, why),
+            Err(reason) => self.close(slot, reason),
             Ok(()) if self.links[slot].io.ended => self.close(slot, Closed::Broken),
             Ok(()) => self.close_if_idle(slot),
         }
-        // Danger: long answers on many connections at once must not fill the memory. The longest goes.
-        while self.unread > self.limits.unread {
+        // Long answers on many connections at once must not exhaust the memory: closes the connection that
+        // holds most.
+        while self.unread_bytes > self.limits.unread {
             let longest = self.links.iter().max_by_key(|(_, l)| l.io.unread()).map(|(slot, _)| slot);
             let Some(longest) = longest else { return };
-            self.close(longest, Closed::Malformed("more than there is memory for"));
+            self.close(longest, Closed::Malformed("partially received answers exceed the memory limit"));
         }
     }
 
-    fn answer(&mut self, now: u64, slot: usize, answer: Answer) {
+    /// Matches an answer to its attempt or load order and reports the result.
+    fn handle_answer(&mut self, now: u64, slot: usize, answer: Answer) {
         let peer = &mut self.links[slot].peer;
-        peer.used = now;
-        let Some(entry) = peer.open.remove(&answer.rid) else {
+        peer.last_used_at = now;
+        let Some(pending_line) = peer.open.remove(&answer.rid) else {
             return count(&self.counters.late_answers);
         };
         let Answer { outcome, found, crowd, load, copies, body, .. } = answer;
-        if let Purpose::Attempt(id) = entry.purpose {
+        if let Purpose::Attempt(id) = pending_line.purpose {
             self.attempts.remove(&id);
             if outcome != Outcome::Ok {
-                let halted = Entry { purpose: Purpose::Halted, until: now + SECOND_ANSWER, ..entry };
-                peer.open.insert(answer.rid.clone(), halted);
+                let expires_at = now + DUPLICATE_ANSWER_WINDOW_US;
+                let tombstone = PendingLine { purpose: Purpose::Tombstone, expires_at, ..pending_line };
+                peer.open.insert(answer.rid.clone(), tombstone);
             }
-        } else if entry.purpose == Purpose::Halted {
+        } else if pending_line.purpose == Purpose::Tombstone {
             count(&self.counters.late_answers);
         }
         let found = if self.limits.tells_warm || found == Found::LoadFailed { found } else { Found::Untold };
-        let report = line::report(&self.limits.report, load.as_deref());
+        let report = line::load_values(&self.limits.report, load.as_deref());
         let crowd = crowd.filter(|_| self.limits.tells_crowd);
-        let ended = Ended { outcome, found, crowd, report, body };
-        Self::report(&mut self.reports, entry.purpose, ended, copies);
+        let result = AttemptResult { outcome, found, crowd, report, body };
+        Self::push_report(&mut self.reports, pending_line.purpose, result, copies);
     }
 
-    fn report(reports: &mut Vec<Report>, purpose: Purpose, ended: Ended, copies: u32) {
+    fn push_report(reports: &mut Vec<Report>, purpose: Purpose, result: AttemptResult, copies: u32) {
         match purpose {
-            Purpose::Attempt(id) => reports.push(Report::Attempt(id, ended)),
-            Purpose::Order(order) => reports.push(Report::Order(order, ended.outcome, copies)),
-            Purpose::Halted => {}
+            Purpose::Attempt(id) => reports.push(Report::Attempt(id, result)),
+            Purpose::LoadOrder(order) => reports.push(Report::Order(order, result.outcome, copies)),
+            Purpose::Tombstone => {}
         }
     }
 
-    /// Ends what got no answer.
-    fn over(&mut self, purpose: Purpose, outcome: Outcome) {
+    /// Reports the end of an attempt or load order that got no answer.
+    fn end_unanswered(&mut self, purpose: Purpose, outcome: Outcome) {
         if let Purpose::Attempt(id) = purpose {
             self.attempts.remove(&id);
         }
-        Self::report(&mut self.reports, purpose, Ended::bare(outcome), 0);
+        Self::push_report(&mut self.reports, purpose, AttemptResult::from_outcome(outcome), 0);
     }
 
-    fn end(&mut self, id: AttemptId, outcome: Outcome) {
-        self.reports.push(Report::Attempt(id, Ended::bare(outcome)));
+    fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        self.reports.push(Report::Attempt(id, AttemptResult::from_outcome(outcome)));
     }
 
-    /// Drops a connection and ends what was open on it.
-    fn close(&mut self, slot: usize, why: Closed) {
+    /// Closes a connection and ends the attempts and load orders open on it.
+    fn close(&mut self, slot: usize, reason: Closed) {
         let Some(link) = self.links.try_remove(slot) else { return };
-        self.unread -= link.io.unread();
-        match why {
+        self.unread_bytes -= link.io.unread();
+        match reason {
             Closed::NoConnect => count(&self.counters.executor_connects_failed),
             Closed::Malformed(_) => count(&self.counters.executors_malformed),
             Closed::Broken => {}
         }
-        let refused = why == Closed::NoConnect;
-        if refused || (why == Closed::Broken && link.peer.awaiting() > 0 && !link.peer.closing) {
-            self.sight(&link.peer.worker, refused, refused && link.peer.open.is_empty());
+        let refused = reason == Closed::NoConnect;
+        if refused || (reason == Closed::Broken && link.peer.awaiting() > 0 && !link.peer.closing) {
+            self.record_sighting(&link.peer.worker, refused, refused && link.peer.open.is_empty());
         }
         let written = if link.io.connecting() { 0 } else { link.io.written };
-        // Danger: a spoilt answer, or one cut off in the middle, ends the connection for all on it, but it does
-        // not tell that the process died; taken for that, each would have all copies there believed lost.
-        let spoilt = matches!(why, Closed::Malformed(_)) || link.io.unread() > 0;
-        for entry in link.peer.open.into_values() {
-            // A line that did not go out whole proves that nothing ran; a whole one may have run.
-            let outcome = match entry.ends > written {
+        // A malformed or truncated answer ends the connection for everything on it, but does not show that
+        // the executor's process died. Reported as a reset, it would make the router assume that all copies
+        // there are lost.
+        let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unread() > 0;
+        for pending_line in link.peer.open.into_values() {
+            // A line that was not sent completely cannot have run; one that was sent completely may have.
+            let outcome = match pending_line.end > written {
                 true => Outcome::ConnectFailed,
-                false if spoilt => Outcome::Unknown,
+                false if malformed => Outcome::Unknown,
                 false => Outcome::Reset,
             };
-            self.over(entry.purpose, outcome);
+            self.end_unanswered(pending_line.purpose, outcome);
         }
     }
 
-    /// Closes a connection that takes nothing new once nothing is awaited on it.
+    /// Closes a connection marked as closing once no answer is awaited on it and nothing is left to send.
     fn close_if_idle(&mut self, slot: usize) {
-        let done = |l: &Link<Peer>| l.peer.closing && l.peer.awaiting() == 0 && l.io.unsent() == 0;
-        if self.links.get(slot).is_some_and(done) {
+        let finished =
+            |l: &Link<ExecutorConnection>| l.peer.closing && l.peer.awaiting() == 0 && l.io.unsent() == 0;
+        if self.links.get(slot).is_some_and(finished) {
             self.close(slot, Closed::Broken);
         }
     }
 
-    /// Ends what has waited too long: connections that do not come up, and idle ones before the executors do.
+    /// Applies the time limits: closes connections that were not established in time, have a stalled line, or
+    /// are idle (before their executors close them), and removes expired tombstones.
     pub fn advance(&mut self, now: u64) {
-        let idle = self.limits.idle();
-        let connect = self.limits.connect_timeout;
-        let mut over = Vec::new();
+        let idle_timeout = self.limits.idle_timeout();
+        let connect_timeout = self.limits.connect_timeout;
+        let mut expired = Vec::new();
         for (slot, link) in &mut self.links {
             let peer = &mut link.peer;
-            peer.open.retain(|_, e| e.purpose != Purpose::Halted || now < e.until);
-            if link.io.connecting() && now >= peer.begun + connect {
-                over.push((slot, Closed::NoConnect));
-            } else if peer.half_read.is_some() && now >= peer.piece + BROKEN_OFF {
-                over.push((slot, Closed::Malformed("a line that breaks off")));
-            } else if peer.awaiting() == 0 && now >= peer.used + idle {
+            peer.open.retain(|_, e| e.purpose != Purpose::Tombstone || now < e.expires_at);
+            if link.io.connecting() && now >= peer.connect_started_at + connect_timeout {
+                expired.push((slot, Closed::NoConnect));
+            } else if peer.partial_line_since.is_some() && now >= peer.last_read_at + LINE_STALL_TIMEOUT_US {
+                expired.push((slot, Closed::Malformed("a line that was not completed in time")));
+            } else if peer.awaiting() == 0 && now >= peer.last_used_at + idle_timeout {
                 count(&self.counters.executor_idle_closed);
-                over.push((slot, Closed::Broken));
-            } else if peer.open.len() - peer.awaiting() > MOST_HALTED {
+                expired.push((slot, Closed::Broken));
+            } else if peer.open.len() - peer.awaiting() > MAX_TOMBSTONES {
                 peer.closing = true;
             }
         }
-        over.into_iter().for_each(|(slot, why)| self.close(slot, why));
+        expired.into_iter().for_each(|(slot, reason)| self.close(slot, reason));
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` is next due.
     pub fn due(&self) -> Option<u64> {
-        let idle = self.limits.idle();
-        let of = |(_, l): (usize, &Link<Peer>)| match (l.io.connecting(), l.peer.half_read, l.peer.awaiting())
-        {
-            (true, ..) => l.peer.begun + self.limits.connect_timeout,
-            (false, Some(_), _) => l.peer.piece + BROKEN_OFF,
-            (false, None, 0) => l.peer.used + idle,
+        let idle_timeout = self.limits.idle_timeout();
+        let link_due = |(_, l): (usize, &Link<ExecutorConnection>)| match (
+            l.io.connecting(),
+            l.peer.partial_line_since,
+            l.peer.awaiting(),
+        ) {
+            (true, ..) => l.peer.connect_started_at + self.limits.connect_timeout,
+            (false, Some(_), _) => l.peer.last_read_at + LINE_STALL_TIMEOUT_US,
+            (false, None, 0) => l.peer.last_used_at + idle_timeout,
             (false, None, _) => u64::MAX,
         };
-        self.links.iter().map(of).min()
+        self.links.iter().map(link_due).min()
     }
 }
 
