--- a/src/bans.rs
+++ b/src/bans.rs
@@ -1,7 +1,7 @@
-//! The executors that operators have taken out of use. A ban holds until it is lifted, whatever the list says.
+//! The executors that operators have banned. A ban holds until it is lifted, whatever the executor list says.
 //!
-//! Each ban is an empty file, named after the executor's id: made and removed in one step, so that it outlives the
-//! process, two processes see each other's, and none of them can read half of one.
+//! Each ban is an empty file named after the executor's id. Creating and removing it are atomic, so bans outlive the
+//! process, two processes of a dispatcher see each other's, and neither can read half of one. At most [`MAX_BANS`] hold.
 
 use crate::api::WorkerId;
 use std::collections::BTreeSet;
@@ -9,82 +9,83 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Bans held at the most.
-const MOST: usize = 4_096;
-/// The longest id that a file can be named after.
-const MOST_ID: usize = 120;
+/// The most bans at a time.
+const MAX_BANS: usize = 4_096;
+/// The longest id that can be banned: its hex form has to fit into a file name.
+const MAX_ID_BYTES: usize = 120;
 
-/// The bans.
+/// The set of banned executors, with its files.
 #[derive(Default)]
 pub struct Bans {
-    /// Where the files are; without it, bans end with the process.
-    dir: Option<PathBuf>,
-    held: BTreeSet<WorkerId>,
+    /// The folder of the files; without it, bans end with the process.
+    folder: Option<PathBuf>,
+    banned: BTreeSet<WorkerId>,
 }
 
 impl Bans {
-    /// Reads the bans that stand. Danger: whatever else lies there must not stop a start; it is passed over, and
-    /// where no files can be kept, bans are held in memory alone.
-    pub fn open(dir: Option<PathBuf>) -> Bans {
-        let dir = dir.filter(|d| fs::create_dir_all(d).is_ok());
-        let mut bans = Bans { dir, held: BTreeSet::new() };
-        bans.reread();
+    /// Reads the stored bans. Nothing in the folder may prevent a start: foreign files are ignored, and if the folder can't
+    /// be created, bans are kept in memory only.
+    pub fn open(folder: Option<PathBuf>) -> Bans {
+        let folder = folder.filter(|f| fs::create_dir_all(f).is_ok());
+        let mut bans = Bans { folder, banned: BTreeSet::new() };
+        bans.reload();
         bans
     }
 
-    /// Whether the executor is banned.
-    pub fn holds(&self, id: &str) -> bool {
-        self.held.contains(id)
+    /// Returns whether the executor is banned.
+    pub fn contains(&self, id: &str) -> bool {
+        self.banned.contains(id)
     }
 
-    /// The banned ones.
+    /// Returns the ids of the banned executors.
     pub fn iter(&self) -> impl Iterator<Item = &WorkerId> {
-        self.held.iter()
+        self.banned.iter()
     }
 
-    /// Bans an executor; twice is once. It is banned only where that can be kept.
+    /// Bans an executor, which changes nothing if it is banned already. If the file can't be created, it is not banned.
     pub fn ban(&mut self, id: &WorkerId) -> io::Result<()> {
-        if !self.holds(id) && (self.held.len() >= MOST || id.len() > MOST_ID) {
+        if !self.contains(id) && (self.banned.len() >= MAX_BANS || id.len() > MAX_ID_BYTES) {
             return Err(io::Error::other("too many bans, or too long an id"));
         }
-        if let Some(dir) = &self.dir {
-            fs::File::create(dir.join(name(id)))?;
+        if let Some(folder) = &self.folder {
+            fs::File::create(folder.join(file_name(id)))?;
         }
-        self.held.insert(id.clone());
+        self.banned.insert(id.clone());
         Ok(())
     }
 
-    /// Ends a ban; one that does not stand is ended too.
+    /// Lifts a ban; succeeds also if the executor is not banned.
     pub fn lift(&mut self, id: &WorkerId) -> io::Result<()> {
-        if let Some(dir) = &self.dir {
-            match fs::remove_file(dir.join(name(id))) {
+        if let Some(folder) = &self.folder {
+            match fs::remove_file(folder.join(file_name(id))) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
                 _ => {}
             }
         }
-        self.held.remove(id);
+        self.banned.remove(id);
         Ok(())
     }
 
-    /// Takes over what another process has changed; returns whose bans began or ended.
-    pub fn reread(&mut self) -> Vec<WorkerId> {
-        let Some(files) = self.dir.as_ref().and_then(|d| fs::read_dir(d).ok()) else { return Vec::new() };
-        let ids = files.take(2 * MOST).filter_map(|f| id(f.ok()?.file_name().to_str()?));
-        let held: BTreeSet<WorkerId> = ids.take(MOST).collect();
-        let changed = self.held.symmetric_difference(&held).cloned().collect();
-        self.held = held;
+    /// Rereads the files, which another process may have changed; returns the executors whose bans began or ended.
+    pub fn reload(&mut self) -> Vec<WorkerId> {
+        let Some(files) = self.folder.as_ref().and_then(|f| fs::read_dir(f).ok()) else { return Vec::new() };
+        let ids = files.take(2 * MAX_BANS).filter_map(|f| parse_file_name(f.ok()?.file_name().to_str()?));
+        let banned: BTreeSet<WorkerId> = ids.take(MAX_BANS).collect();
+        let changed = self.banned.symmetric_difference(&banned).cloned().collect();
+        self.banned = banned;
         changed
     }
 }
 
-/// The name of a ban's file: the id's bytes in hex, since an id may hold anything.
-fn name(id: &str) -> String {
+/// Returns the name of a ban's file: the id's bytes in hex, since an id may contain any character.
+fn file_name(id: &str) -> String {
     id.bytes().fold("ban-".to_string(), |name, byte| name + &format!("{byte:02x}"))
 }
 
-fn id(name: &str) -> Option<WorkerId> {
+/// Returns the id that a file is named after; `None` for a foreign file.
+fn parse_file_name(name: &str) -> Option<WorkerId> {
     let hex = name.strip_prefix("ban-")?.as_bytes();
-    if hex.is_empty() || hex.len() > 2 * MOST_ID || hex.len() % 2 == 1 {
+    if hex.is_empty() || hex.len() > 2 * MAX_ID_BYTES || hex.len() % 2 == 1 {
         return None;
     }
     let digit = |byte: u8| char::from(byte).to_digit(16);
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,9 +1,9 @@
-//! How one process of a dispatcher takes over from another, by files in a folder that both share.
+//! Handover of state from one process of a dispatcher to the next, by files in a folder that both share.
 //!
-//! Who serves holds a lock on `serving`. A process that finds it taken is the successor: it locks `next` and writes
-//! a mark of its own there. The old process sees the mark, writes all that the successor must know to `handover`,
-//! and goes on serving until it is told to stop. Locks end with their process, so that nothing has to be cleaned up
-//! after one that was killed; a mark makes stale files harmless. Nobody waits for a peer longer than [`PATIENCE`].
+//! The serving process holds a lock on `serving`. A process that finds it taken is the successor: it locks `next` and
+//! writes a mark of its own there. The old process sees the mark, writes its state to `handover`, and continues to serve
+//! until it is stopped. Locks end with their process, so a killed process leaves nothing to clean up; a state names the
+//! mark it is for, so stale files are ignored. The successor waits for the state for at most [`STATE_WAIT_US`].
 
 use crate::api::WorkerId;
 use crate::control::Learned;
@@ -14,247 +14,273 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// How long a successor waits for the old process's word: operators who call meanwhile are owed an answer in 1 s.
-const PATIENCE: u64 = 600_000;
-/// How often a successor looks for that word, and how often either looks whether the other lives.
-const SOON: u64 = 5_000;
-const EVERY: u64 = 50_000;
-/// The form of what is handed over; another one is not read.
-const FORM: u32 = 1;
-/// The largest word read.
-const MOST_WORD: u64 = 16 << 20;
+/// How long a successor waits for the old process's state: operators who call meanwhile must be answered within 1 s.
+const STATE_WAIT_US: u64 = 600_000;
+/// How often a successor looks for that state.
+const STATE_POLL_US: u64 = 5_000;
+/// How often either process checks whether the other still runs.
+const LIVENESS_POLL_US: u64 = 50_000;
+/// The format of the state; any other is ignored.
+const STATE_FORMAT: u32 = 1;
+/// The largest state file that is read.
+const MAX_STATE_BYTES: u64 = 16 << 20;
 
-/// What a successor must know.
+/// The state that a process hands over to its successor, or to a peer that is starting.
 #[derive(Serialize, Deserialize)]
 pub struct Word {
-    form: u32,
+    #[serde(rename = "form")]
+    format: u32,
     /// The mark of the successor that it is for.
-    to: String,
-    /// The old process's clock.
+    #[serde(rename = "to")]
+    recipient_mark: String,
+    /// The sender's clock when the state was taken, in microseconds.
     pub now: u64,
-    /// The number of the last event of the list, and the list.
+    /// The serial of the executor list.
     pub serial: u64,
-    /// The executors.
+    /// The executor list.
     pub executors: Vec<Executor>,
     /// All ids that were ever listed.
-    pub listed: Vec<WorkerId>,
-    /// When executors were taken back into use.
-    pub attached: Vec<(WorkerId, u64)>,
-    /// The classes by their places, which what was learned refers to.
+    #[serde(rename = "listed")]
+    pub ever_listed: Vec<WorkerId>,
+    /// When each executor's ban ended.
+    #[serde(rename = "attached")]
+    pub ban_lifted_at: Vec<(WorkerId, u64)>,
+    /// The names of the classes, in the places that `learned` refers to.
     pub classes: Vec<String>,
-    /// What the module has learned.
+    /// What the decision module has learned.
     pub learned: Learned,
-    /// Since when the name service has said nothing, in microseconds.
+    /// The age of the list: the time since the name service was last heard, in microseconds.
     #[serde(default)]
     pub age: u64,
 }
 
-/// What has changed between the two.
-pub enum News {
-    /// A successor runs and wants the word.
-    Asked,
-    /// The successor has gone without taking over.
-    Deserted,
-    /// The old process's word.
-    Told(Box<Word>),
-    /// The old process said nothing in time.
-    Untold,
-    /// The old process has gone: all is this one's.
-    Alone,
+/// A change in the relation of the two processes.
+pub enum HandoverEvent {
+    /// A successor has started and waits for the state.
+    SuccessorStarted,
+    /// The successor has ended without taking over.
+    SuccessorGone,
+    /// The old process's state has arrived.
+    StateReceived(Box<Word>),
+    /// The old process's state did not arrive in time.
+    StateMissed,
+    /// The old process has ended: this is the only one now.
+    PredecessorGone,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Role {
     /// The only process.
-    Alone,
-    /// Waits for the old process's word, since then.
+    Sole,
+    /// Has waited for the old process's state since that time.
     Waiting(u64),
-    /// Serves beside the old process.
-    Beside,
-    /// A successor serves beside it.
-    Followed,
+    /// Serves beside the old process, as its successor.
+    Successor,
+    /// A successor runs beside it.
+    Predecessor,
 }
 
-/// This process's part in a handover.
+/// One process's side of a handover.
 pub struct Handover {
-    dir: Option<PathBuf>,
+    folder: Option<PathBuf>,
     role: Role,
+    /// This process's mark: its process id and start time.
     mark: String,
-    /// Locked while it is the one in service, and while it is the next.
-    serving: Option<File>,
-    next: Option<File>,
-    /// The last mark that was handed over to.
-    answered: String,
-    untold: bool,
-    at: u64,
+    /// The lock of the serving process, if this one holds it.
+    serving_lock: Option<File>,
+    /// The lock of the successor, if this process holds it.
+    next_lock: Option<File>,
+    /// The mark of the last successor that the state was written for.
+    answered_mark: String,
+    /// The wait for the old process's state timed out.
+    state_missed: bool,
+    /// When `advance` next checks the files and locks.
+    next_check: u64,
 }
 
 impl Handover {
-    /// Finds out whether another process serves. Without a folder there is none that could be known.
-    pub fn begin(dir: Option<PathBuf>, now: u64) -> Handover {
-        let dir = dir.filter(|d| fs::create_dir_all(d).is_ok());
-        let mark = format!("{}-{now}\n", std::process::id());
-        let (role, answered, at) = (Role::Alone, String::new(), now);
-        let mut it = Handover { dir, role, mark, serving: None, next: None, answered, untold: false, at };
-        it.serving = it.locked("serving", true);
-        if it.dir.is_some() && it.serving.is_none() {
-            it.role = Role::Waiting(now);
-            it.claim();
+    /// Determines whether another process serves. Without a folder, none can be found.
+    pub fn start(folder: Option<PathBuf>, now: u64) -> Handover {
+        let folder = folder.filter(|f| fs::create_dir_all(f).is_ok());
+        let mut handover = Handover {
+            folder,
+            role: Role::Sole,
+            mark: format!("{}-{now}\n", std::process::id()),
+            serving_lock: None,
+            next_lock: None,
+            answered_mark: String::new(),
+            state_missed: false,
+            next_check: now,
+        };
+        handover.serving_lock = handover.lock("serving", true);
+        if handover.folder.is_some() && handover.serving_lock.is_none() {
+            handover.role = Role::Waiting(now);
+            handover.claim_next();
         } else {
-            it.clear();
+            handover.remove_files();
         }
-        it
+        handover
     }
 
-    /// Whether the old process's word is still waited for.
-    pub fn waits(&self) -> bool {
+    /// Returns whether the old process's state is still awaited.
+    pub fn awaits_state(&self) -> bool {
         matches!(self.role, Role::Waiting(_))
     }
 
-    /// Whether another process of this dispatcher runs.
-    pub fn shared(&self) -> bool {
-        self.role != Role::Alone
+    /// Returns whether another process of this dispatcher runs.
+    pub fn other_process_runs(&self) -> bool {
+        self.role != Role::Sole
     }
 
-    /// Whether a successor serves.
-    pub fn followed(&self) -> bool {
-        self.role == Role::Followed
+    /// Returns whether a successor runs beside this process.
+    pub fn has_successor(&self) -> bool {
+        self.role == Role::Predecessor
     }
 
-    /// Whether it serves beside the old process without having been told anything.
-    pub fn untold(&self) -> bool {
-        self.untold && self.shared()
+    /// Returns whether this process serves beside the old one without having received its state.
+    pub fn serves_without_state(&self) -> bool {
+        self.state_missed && self.other_process_runs()
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` is next due.
     pub fn due(&self) -> u64 {
-        if self.dir.is_some() { self.at } else { u64::MAX }
+        if self.folder.is_some() { self.next_check } else { u64::MAX }
     }
 
-    /// Looks after the other process.
-    pub fn advance(&mut self, now: u64) -> Option<News> {
-        if self.dir.is_none() || now < self.at {
+    /// Checks on the other process; returns what has changed, if anything.
+    pub fn advance(&mut self, now: u64) -> Option<HandoverEvent> {
+        if self.folder.is_none() || now < self.next_check {
             return None;
         }
-        self.at = now + if self.waits() { SOON } else { EVERY };
-        if self.serving.is_none() {
-            self.serving = self.locked("serving", false);
-            if self.serving.is_some() {
-                self.clear();
-                self.role = Role::Alone;
-                return Some(News::Alone);
+        self.next_check = now + if self.awaits_state() { STATE_POLL_US } else { LIVENESS_POLL_US };
+        if self.serving_lock.is_none() {
+            self.serving_lock = self.lock("serving", false);
+            if self.serving_lock.is_some() {
+                self.remove_files();
+                self.role = Role::Sole;
+                return Some(HandoverEvent::PredecessorGone);
             }
         }
         match self.role {
-            Role::Alone => {
-                let mark = self.mark_of_next().filter(|m| *m != self.answered && *m != self.mark)?;
-                self.answered = mark;
-                self.role = Role::Followed;
-                Some(News::Asked)
+            Role::Sole => {
+                let mark = self.successor_mark().filter(|m| *m != self.answered_mark && *m != self.mark)?;
+                self.answered_mark = mark;
+                self.role = Role::Predecessor;
+                Some(HandoverEvent::SuccessorStarted)
             }
-            Role::Followed => {
-                // Another successor takes the place of one that ended.
-                if let Some(mark) = self.mark_of_next().filter(|m| *m != self.answered) {
-                    self.answered = mark;
-                    return Some(News::Asked);
+            Role::Predecessor => {
+                // Another successor may have taken the place of one that ended.
+                if let Some(mark) = self.successor_mark().filter(|m| *m != self.answered_mark) {
+                    self.answered_mark = mark;
+                    return Some(HandoverEvent::SuccessorStarted);
                 }
-                self.locked("next", false)?;
-                self.role = Role::Alone;
-                Some(News::Deserted)
+                self.lock("next", false)?;
+                self.role = Role::Sole;
+                Some(HandoverEvent::SuccessorGone)
             }
             Role::Waiting(since) => {
-                if self.next.is_none() {
-                    self.claim();
+                if self.next_lock.is_none() {
+                    self.claim_next();
                 }
-                let news = match self.word() {
-                    Some(word) => News::Told(Box::new(word)),
-                    None if now >= since + PATIENCE => News::Untold,
+                let event = match self.read_state() {
+                    Some(state) => HandoverEvent::StateReceived(Box::new(state)),
+                    None if now >= since + STATE_WAIT_US => HandoverEvent::StateMissed,
                     None => return None,
                 };
-                self.role = Role::Beside;
-                self.untold = matches!(news, News::Untold);
-                Some(news)
+                self.role = Role::Successor;
+                self.state_missed = matches!(event, HandoverEvent::StateMissed);
+                Some(event)
             }
-            Role::Beside => {
-                if self.next.is_none() {
-                    self.claim();
+            Role::Successor => {
+                if self.next_lock.is_none() {
+                    self.claim_next();
                 }
                 None
             }
         }
     }
 
-    /// Hands over to the successor that asked.
-    pub fn tell(&self, mut word: Word) -> io::Result<()> {
-        let Some(dir) = &self.dir else { return Ok(()) };
-        word.to = self.answered.clone();
-        let text = serde_json::to_vec(&word)?;
-        let part = dir.join("handover.part");
+    /// Writes the state for the successor that waits for it.
+    pub fn write_state(&self, mut state: Word) -> io::Result<()> {
+        let Some(folder) = &self.folder else { return Ok(()) };
+        state.recipient_mark = self.answered_mark.clone();
+        let text = serde_json::to_vec(&state)?;
+        let part = folder.join("handover.part");
         File::create(&part)?.write_all(&text)?;
-        fs::rename(part, dir.join("handover"))
+        fs::rename(part, folder.join("handover"))
     }
 
-    /// Becomes the next in service, and says so. Danger: the lock comes first, so that no living process ever finds
-    /// its mark overwritten.
-    fn claim(&mut self) {
-        self.next = self.locked("next", false);
-        if let Some(next) = &mut self.next {
-            let told = next.set_len(0).and_then(|()| next.write_all(self.mark.as_bytes()));
-            // Without the mark nothing will be told; the wait for it ends by itself.
-            drop(told);
+    /// Becomes the successor, and writes this process's mark. The lock is taken first, so that the mark of a running
+    /// process is never overwritten.
+    fn claim_next(&mut self) {
+        self.next_lock = self.lock("next", false);
+        if let Some(next) = &mut self.next_lock {
+            let written = next.set_len(0).and_then(|()| next.write_all(self.mark.as_bytes()));
+            // Without the mark no state will come; the wait for it times out.
+            drop(written);
         }
     }
 
-    /// Leaves nothing behind that the next successor could take for its own.
-    fn clear(&mut self) {
-        if let Some(dir) = &self.dir {
+    /// Removes all files that the next successor could mistake for its own.
+    fn remove_files(&mut self) {
+        if let Some(folder) = &self.folder {
             for name in ["next", "handover", "handover.part"] {
-                let _ = fs::remove_file(dir.join(name));
+                let _ = fs::remove_file(folder.join(name));
             }
         }
-        self.next = None;
+        self.next_lock = None;
     }
 
-    /// A file of the folder, locked; `None` where another process holds it.
-    fn locked(&self, name: &str, make: bool) -> Option<File> {
-        let path = self.dir.as_ref()?.join(name);
-        let make = make || name == "next";
-        let file = File::options().read(true).write(true).create(make).truncate(false).open(path).ok()?;
+    /// Opens and locks a file of the folder; `None` if another process holds the lock.
+    fn lock(&self, name: &str, create: bool) -> Option<File> {
+        let path = self.folder.as_ref()?.join(name);
+        let create = create || name == "next";
+        let file = File::options().read(true).write(true).create(create).truncate(false).open(path).ok()?;
         flock(&file, FlockOperation::NonBlockingLockExclusive).ok()?;
         Some(file)
     }
 
-    /// The mark of the successor; one that is not written whole yet is none.
-    fn mark_of_next(&self) -> Option<String> {
-        let mark = fs::read_to_string(self.dir.as_ref()?.join("next")).ok()?;
+    /// Returns the mark of the successor; `None` if there is none, or it is not completely written yet.
+    fn successor_mark(&self) -> Option<String> {
+        let mark = fs::read_to_string(self.folder.as_ref()?.join("next")).ok()?;
         (mark.ends_with('\n') && mark.len() < 100).then_some(mark)
     }
 
-    /// The old process's word, if it is whole and meant for this one. Danger: a torn or foreign file is none.
-    fn word(&self) -> Option<Word> {
-        let path = self.dir.as_ref()?.join("handover");
-        if fs::metadata(&path).ok()?.len() > MOST_WORD {
+    /// Reads the old process's state. A file that is incomplete, of another format or for another process counts as none.
+    fn read_state(&self) -> Option<Word> {
+        let path = self.folder.as_ref()?.join("handover");
+        if fs::metadata(&path).ok()?.len() > MAX_STATE_BYTES {
             return None;
         }
-        let word: Word = serde_json::from_slice(&fs::read(path).ok()?).ok()?;
-        (word.form == FORM && word.to == self.mark).then_some(word)
+        let state: Word = serde_json::from_slice(&fs::read(path).ok()?).ok()?;
+        (state.format == STATE_FORMAT && state.recipient_mark == self.mark).then_some(state)
     }
 }
 
 impl Word {
-    /// A word to whoever asked, of classes by these names.
+    /// Creates a state without an executor list, of what was learned for classes by these names.
     pub fn new(now: u64, classes: Vec<String>, learned: Learned) -> Word {
-        let (to, executors, listed, attached) = (String::new(), vec![], vec![], vec![]);
-        Word { form: FORM, to, now, serial: 0, executors, listed, attached, classes, learned, age: 0 }
+        Word {
+            format: STATE_FORMAT,
+            recipient_mark: String::new(),
+            now,
+            serial: 0,
+            executors: vec![],
+            ever_listed: vec![],
+            ban_lifted_at: vec![],
+            classes,
+            learned,
+            age: 0,
+        }
     }
 
-    /// The word as another member of the group is told it.
-    pub fn written(&self) -> Vec<u8> {
+    /// Serialises the state for another member of the group.
+    pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads another member's word. Danger: it may hold anything.
+    /// Reads another member's state. Its content is not trusted: what is not of this format gives `None`.
     pub fn read(bytes: &[u8]) -> Option<Word> {
-        serde_json::from_slice(bytes).ok().filter(|w: &Word| w.form == FORM)
+        serde_json::from_slice(bytes).ok().filter(|state: &Word| state.format == STATE_FORMAT)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions of an invoker front end (a router) of a function platform.
+//! A dispatcher for a function platform: sends each request to the worker expected to finish it first.
 //!
-//! A [`Router`] is told what happens ([`Event`]) and says what to do ([`Action`]): it sends a request to the
-//! worker whose predicted finish is smallest, and refuses it when even that passes the time left. It has no
-//! clock, no network and no threads of its own; the host passes the time in with every event.
+//! [`Router`] is the decision module. It is given events ([`Event`]) and returns actions ([`Action`]): it sends a request
+//! to the worker with the earliest predicted finish, and refuses it if even that is later than the time left. It has no
+//! clock, network or threads of its own; the host passes the time in with every event. The other modules are that host:
+//! [`node`] is its event loop.
 //!
 //! ```
 //! use ochreward::{Action, Class, Effect, Event, KeyScope, Listing, Router, Settings, Standing};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Wires the command line up.
+//! The `ochreward` program: runs the command line, prints its error, and sets the exit code.
 #![forbid(unsafe_code)]
 
 use std::io::Write;
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,5 +1,9 @@
-//! One dispatcher: the loop that carries what the fronts, the executors and the name service say to the core,
-//! and what the core wants done back to them.
+//! The event loop of one dispatcher process.
+//!
+//! [`Node`] owns the poll set and every part that has sockets or timers: the fronts, the executor pool, the resolver of
+//! the name service, the operators' HTTP interface, the configuration stream and the peers. Each turn it reads what has
+//! arrived, passes it to the core ([`Engine`]), carries out the core's commands, and runs the timers that are due. The
+//! numbers of connections and bytes are bounded by `limits`; time is read once a turn, in microseconds.
 
 use crate::api::WorkerId;
 use crate::bans::Bans;
@@ -14,7 +18,7 @@
 use crate::net::{Clock, Listener, Poll, Ready, Signals, Wish};
 use crate::overload::{self as load, Overload};
 use crate::peers::{self, Peers};
-use crate::versions::Stream;
+use crate::versions::ConfigStream;
 use crate::zones::{self as zone, Zones};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -35,119 +39,144 @@
 mod versions;
 mod zones;
 
-use limits::limits;
-use shutdown::LAST_CALLS;
+use limits::derive_limits;
+use shutdown::LAST_REQUESTS_US;
 
+// The owner in a poll token: the part that a ready descriptor belongs to.
 const SIGNALS: u8 = 0;
 const NAMES: u8 = 1;
 const EXECUTORS: u8 = 2;
 const THRIFT: u8 = 3;
 const DOOR: u8 = 4;
 const STREAM: u8 = 5;
-const KEEPER: u8 = 6;
+const VERSION_THREAD: u8 = 6;
 const STATIONS: u8 = 7;
 const PEERS: u8 = 8;
-/// Fronts that speak MQTT are numbered from here.
-const MQTT: u8 = 16;
-/// A turn after one that took so long, or that begins this much later than it should have, in microseconds, first looks for
-/// what came meanwhile.
-const LATE: u64 = 20_000;
+/// The owner of the first MQTT front; the others follow.
+const FIRST_MQTT: u8 = 16;
+/// If the previous turn took this long, or the poll returned this much after its time-out, the loop counts as stalled: it
+/// polls once more, so that everything that arrived during the stall is read before anything is acted on.
+const STALL_US: u64 = 20_000;
 
 /// A running dispatcher.
 pub struct Node {
     poll: Poll,
     clock: Clock,
+    /// The time of this turn, read once after the poll.
     now: u64,
+    /// When this process started.
     started: u64,
-    /// Where the process stood still before this turn: the time since it last read, in microseconds. What it reads now may
-    /// have waited so long, and its clients count from when they sent.
-    stood: u64,
+    /// After a stall, the time since the previous read, in microseconds; else 0. A request read now may have waited this
+    /// long, while its client's time runs from when it was sent.
+    stalled_us: u64,
     config: Config,
     settings: Settings,
     engine: Engine,
     thrift: thrift::Front,
     mqtt: mqtt::Fronts,
-    /// Brokers of the operator's file, and those of a version, which take their place.
-    brokers: Vec<mqtt::Options>,
-    streamed_brokers: Option<Vec<mqtt::Options>>,
-    /// Where stations connect, once no other process does that.
-    listen: Option<stations::Options>,
+    /// The brokers in the operator's file; those of the running configuration version replace them.
+    file_brokers: Vec<mqtt::Options>,
+    version_brokers: Option<Vec<mqtt::Options>>,
+    /// Where stations connect; the listener opens once no other process of this dispatcher holds the address.
+    station_options: Option<stations::Options>,
     stations: Option<stations::Front>,
-    /// Where configuration is streamed from.
-    stream: Option<Stream>,
-    /// Executors that the version in use leaves out.
-    streamed_bans: BTreeSet<WorkerId>,
-    /// There are no settings yet: nothing is taken.
+    /// The subscription to the control service, if configuration is streamed.
+    stream: Option<ConfigStream>,
+    /// Executors that the running configuration version bans.
+    version_bans: BTreeSet<WorkerId>,
+    /// No settings have been received yet: no connections are accepted.
     unconfigured: bool,
-    /// How other dispatchers are found, and they themselves once no other process of this one speaks.
-    company: Option<peers::Options>,
+    /// How other dispatchers are found. `peers` is set once no other process of this dispatcher is the group's member.
+    peer_options: Option<peers::Options>,
     peers: Option<Peers>,
     overload: Option<Overload>,
     zones: Option<Zones>,
     door: Option<Door>,
     bans: Bans,
-    bans_at: u64,
+    /// When the bans are next reread, while another process runs.
+    next_bans_read: u64,
     handover: Handover,
-    /// The list as it was last told, and whether it is known to be that of now.
+    /// The executor list in use, and whether it can be relied on: it came from the name service, a peer, the predecessor, or
+    /// the configuration of a process that started alone.
     executors: Vec<Executor>,
-    known: bool,
-    /// When the name service last answered, or this process began.
-    heard_names: u64,
-    /// Every id that was ever listed.
-    listed: BTreeSet<WorkerId>,
-    /// When executors that tell their start were first listed.
-    first_listed: BTreeMap<WorkerId, u64>,
-    /// When executors were taken back into use: they start cold.
-    attached: BTreeMap<WorkerId, u64>,
+    list_known: bool,
+    /// When the name service was last heard; the start of this process before that.
+    names_heard_at: u64,
+    /// Every executor id that has been listed; new lists add none once there are `MAX_LISTED_IDS`.
+    ever_listed: BTreeSet<WorkerId>,
+    /// When each executor that announces its start time was first listed.
+    first_listed_at: BTreeMap<WorkerId, u64>,
+    /// When each executor's ban ended: it counts as started cold at that time.
+    ban_lifted_at: BTreeMap<WorkerId, u64>,
     pool: Pool,
     resolver: Resolver,
     signals: Signals,
-    /// Keeps a descriptor for reading a new configuration and moving to the name service that it tells of, however many
-    /// clients there are; none while it is lent, or where none was left.
-    spare: Option<File>,
-    draining: Option<u64>,
+    /// A descriptor held in reserve, so that a reload can open the configuration and a new resolver socket even when
+    /// clients hold all the others. `None` during a reload, or if none could be opened.
+    reserved_descriptor: Option<File>,
+    /// When SIGTERM was received.
+    shutdown_started: Option<u64>,
     counters: Rc<Counters>,
 }
 
 impl Node {
-    /// Sets everything up; listens from here on.
+    /// Opens all sockets and starts every part; clients can connect from here on.
     pub fn new(
         mut config: Config,
         brokers: Vec<mqtt::Options>,
-        told: Option<&crate::config::Stream>,
-        listen: Option<stations::Options>,
-        (company, budgets, zones): (Option<peers::Options>, Option<load::Options>, Option<zone::Options>),
+        stream_config: Option<&crate::config::Stream>,
+        station_options: Option<stations::Options>,
+        (peer_options, overload_options, zone_options): (
+            Option<peers::Options>,
+            Option<load::Options>,
+            Option<zone::Options>,
+        ),
         function_bytes: Option<usize>,
     ) -> io::Result<Node> {
         let clock = Clock::start();
         let now = clock.read();
         let mut poll = Poll::new()?;
-        // Danger: a signal that comes before it is handled ends the process, with who waits at the listener.
+        // Before the listener exists: an unhandled signal ends the process, and clients in the accept queue would be lost.
         let signals = Signals::new(&mut poll, SIGNALS)?;
         let counters = Rc::new(Counters::default());
         let listener = match config.inherited {
             Some(number) => Listener::inherit(&mut poll, THRIFT, number)?,
             None => Listener::bind(&mut poll, THRIFT, config.listen)?,
         };
-        let handover = Handover::begin(config.folder.clone(), now);
-        let dormant = handover.shared();
-        let own = Node::own_file(&config);
-        let mut begun = versions::Begun::default();
-        if let Some(told) = told {
-            begun = versions::begin(&mut poll, now, &mut config, (told, own), dormant, &counters)?;
+        let handover = Handover::start(config.folder.clone(), now);
+        let standby = handover.other_process_runs();
+        let own_file = Node::own_file(&config);
+        let mut started = versions::StreamStart::default();
+        if let Some(stream_config) = stream_config {
+            started = versions::start_stream(
+                &mut poll,
+                now,
+                &mut config,
+                (stream_config, own_file),
+                standby,
+                &counters,
+            )?;
         }
         let settings = config.parts.settings.clone();
-        let (bounds, pool_limits, front_limits, places) =
-            limits(&config, &settings, handover.shared(), listen.as_ref().map_or(0, |l| l.connections));
+        let (bounds, pool_limits, front_limits, operator_connections) = derive_limits(
+            &config,
+            &settings,
+            handover.other_process_runs(),
+            station_options.as_ref().map_or(0, |o| o.connections),
+        );
         let mut engine = Engine::new(&settings.module, config.seed, now, bounds, counters.clone());
-        engine.bound_functions(limits::function_bytes(&config, function_bytes, handover.shared()));
+        engine.bound_functions(limits::function_bytes(
+            &config,
+            function_bytes,
+            handover.other_process_runs(),
+        ));
         let pool = Pool::new(EXECUTORS, pool_limits, counters.clone());
         let service = crate::config::SERVICE;
         let (serial, executors) = std::mem::take(&mut config.known);
         let start = names::Start { serial, executors, seed: config.seed, now };
         let resolver = Resolver::new(&mut poll, NAMES, config.names, service, start, counters.clone())?;
         let thrift = thrift::Front::new(THRIFT, listener, front_limits, counters.clone());
-        let door = |ops| Door::new(&mut poll, DOOR, ops, places, counters.clone());
+        let door = |ops| Door::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
         let door = config.ops.map(door).transpose()?;
         let bans = Bans::open(config.folder.as_ref().map(|f| f.join("bans")));
         let executors = resolver.in_use().to_vec();
@@ -156,106 +185,108 @@
             clock,
             now,
             started: now,
-            stood: 0,
+            stalled_us: 0,
             settings,
             engine,
             thrift,
-            mqtt: mqtt::Fronts::new(MQTT, counters.clone()),
-            brokers,
-            listen,
+            mqtt: mqtt::Fronts::new(FIRST_MQTT, counters.clone()),
+            file_brokers: brokers,
+            station_options,
             stations: None,
-            streamed_brokers: begun.brokers,
-            unconfigured: config.bare && begun.stream.as_ref().is_some_and(|s| s.version().is_none()),
-            stream: begun.stream,
-            streamed_bans: begun.bans,
-            company,
+            version_brokers: started.brokers,
+            unconfigured: config.bare && started.stream.as_ref().is_some_and(|s| s.version().is_none()),
+            stream: started.stream,
+            version_bans: started.bans,
+            peer_options,
             peers: None,
-            overload: budgets.map(|o| Overload::new(o, now << 12 | config.seed & 0xfff, now)),
+            overload: overload_options.map(|o| Overload::new(o, now << 12 | config.seed & 0xfff, now)),
             zones: None,
             door,
             bans,
-            bans_at: now,
-            known: !handover.shared() && !executors.is_empty(),
-            heard_names: now,
+            next_bans_read: now,
+            list_known: !handover.other_process_runs() && !executors.is_empty(),
+            names_heard_at: now,
             handover,
             executors,
-            listed: BTreeSet::new(),
-            first_listed: BTreeMap::new(),
-            attached: BTreeMap::new(),
+            ever_listed: BTreeSet::new(),
+            first_listed_at: BTreeMap::new(),
+            ban_lifted_at: BTreeMap::new(),
             pool,
             resolver,
             signals,
-            spare: None,
-            draining: None,
+            reserved_descriptor: None,
+            shutdown_started: None,
             counters,
             config,
         };
-        if let Some(options) = zones {
-            let home = node.company.as_ref().map_or(String::new(), |c| c.zone.clone());
+        if let Some(options) = zone_options {
+            let home = node.peer_options.as_ref().map_or(String::new(), |p| p.zone.clone());
             node.zones = Some(Zones::new(&options, &node.settings.module, &home, now));
             node.engine.trace();
         }
-        node.spare();
-        node.relist();
-        node.open();
-        node.trigger();
-        node.invite()?;
-        node.meet()?;
-        node.settle();
+        node.reserve_descriptor();
+        node.publish_list();
+        node.update_accepting();
+        node.connect_brokers();
+        node.open_station_listener()?;
+        node.join_peers()?;
+        node.deliver_messages();
         Ok(node)
     }
 
-    /// The address that clients connect to.
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> Option<std::net::SocketAddr> {
         self.thrift.address()
     }
 
-    /// The address that stations connect to.
+    /// Returns the address that stations connect to.
     pub fn stations(&self) -> Option<std::net::SocketAddr> {
         self.stations.as_ref().and_then(stations::Front::address)
     }
 
-    /// The address that operators call.
+    /// Returns the address of the operators' HTTP interface.
     pub fn door(&self) -> Option<std::net::SocketAddr> {
         self.door.as_ref().and_then(Door::address)
     }
 
-    /// The address at which other dispatchers reach this one.
+    /// Returns the address at which other dispatchers reach this one.
     pub fn peers(&self) -> Option<std::net::SocketAddr> {
         self.peers.as_ref().map(Peers::address)
     }
 
-    /// Serves until SIGTERM, and until all is settled then.
+    /// Serves until SIGTERM has been received and the shutdown that it starts is finished.
     pub fn run(&mut self) -> io::Result<()> {
-        let mut happened: Vec<Ready> = Vec::new();
+        let mut events: Vec<Ready> = Vec::new();
         loop {
-            let (read, began) = (self.now, self.clock.read());
-            let wait = self.due().saturating_sub(began);
-            most(&self.counters.loop_lag_most_us, began - self.now);
-            self.poll.wait(wait, &mut happened)?;
+            let (last_read, wait_began) = (self.now, self.clock.read());
+            let wait = self.next_deadline().saturating_sub(wait_began);
+            most(&self.counters.loop_lag_most_us, wait_began - self.now);
+            self.poll.wait(wait, &mut events)?;
             self.now = self.clock.read();
-            // Danger: the process stood still; a client may have gone since, and what is due would send its request on.
-            let overslept = self.now.saturating_sub(began.saturating_add(wait));
-            let late = (began - read).max(overslept) >= LATE;
-            self.stood = if late { self.now - read } else { 0 };
-            if self.stood > 0 {
-                happened.clear();
-                self.poll.wait(0, &mut happened)?;
+            // After a stall a client may have disconnected, and a timer that is now due would still send its request on:
+            // poll again, so that the disconnect is read first.
+            let overslept = self.now.saturating_sub(wait_began.saturating_add(wait));
+            let stalled = (wait_began - last_read).max(overslept) >= STALL_US;
+            self.stalled_us = if stalled { self.now - last_read } else { 0 };
+            if self.stalled_us > 0 {
+                events.clear();
+                self.poll.wait(0, &mut events)?;
             }
-            // Answers of the name service first: a connection that is ready in the same turn writes what waits on it, and must
-            // not write to a worker that one of them tells to drain.
-            happened.sort_by_key(|ready| ready.token.owner != NAMES);
+            // Answers of the name service come first: a connection that becomes writable in the same turn writes what is queued
+            // on it, and must not write to a worker that one of these answers marks as draining.
+            events.sort_by_key(|ready| ready.token.owner != NAMES);
             self.pool.list_was_read();
-            // After the process stood still, nothing is written before all that was read and all timers have been acted on: what
-            // waits for its connection may be past its key's window or its client's time by now.
-            if late {
+            // After a stall nothing is written until all input and all timers have been handled: an attempt queued for its
+            // connection may by now be past its key's repeat window or its client's deadline.
+            if stalled {
                 self.pool.hold_writes();
             }
-            // All is read before any of it is acted on. Danger: of what has come meanwhile, word that a client has gone may
-            // lie behind an answer that would have its request sent on, and an executor's close behind a new request.
-            happened.drain(..).for_each(|ready| self.ready(ready));
-            self.obey_signals();
-            self.settle();
+            // All input is read before any of it is acted on. Otherwise an executor's answer could cause a resend for a
+            // client whose disconnect is read later in the turn, or a new request could go to an executor whose
+            // close is read later.
+            events.drain(..).for_each(|ready| self.handle_ready(ready));
+            self.handle_signals();
+            self.deliver_messages();
             self.engine.advance(self.now);
             self.pool.advance(self.now);
             self.thrift.advance(&mut self.poll, self.now);
@@ -263,69 +294,70 @@
             if let Some(door) = &mut self.door {
                 door.advance(&mut self.poll, self.now);
             }
-            self.beside();
-            self.peers_advance();
-            self.notes();
-            self.overload_advance();
-            self.zones_advance();
-            self.budget_advance();
+            self.advance_handover();
+            self.advance_peers();
+            self.deliver_peer_messages();
+            self.advance_overload();
+            self.advance_zones();
+            self.update_budget();
             self.mqtt.advance(&mut self.poll, self.now);
-            self.stream_advance();
+            self.advance_stream();
             if let Some(front) = &mut self.stations {
                 front.advance(&mut self.poll, self.now);
             }
-            self.settle();
-            self.release_writes();
-            if self.finished() {
+            self.deliver_messages();
+            self.release_held_writes();
+            if self.finish_shutdown() {
                 return Ok(());
             }
         }
     }
 
-    /// When something is next to be done, whatever happens.
-    fn due(&self) -> u64 {
-        let grace = self.shutdown_due();
-        let bans = Some(self.bans_at).filter(|_| self.handover.shared());
+    /// Returns the earliest time at which any part has a timer due.
+    fn next_deadline(&self) -> u64 {
+        let shutdown = self.shutdown_deadline();
+        let bans = Some(self.next_bans_read).filter(|_| self.handover.other_process_runs());
         let door = self.door.as_ref().map(Door::due);
-        let parts = [self.engine.due(), self.pool.due(), grace, bans, door, Some(self.handover.due())];
-        let own = parts.into_iter().flatten().chain([
+        let optional = [self.engine.due(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
+        let deadlines = optional.into_iter().flatten().chain([
             self.mqtt.due(),
-            self.stream.as_ref().map_or(u64::MAX, Stream::due),
+            self.stream.as_ref().map_or(u64::MAX, ConfigStream::due),
             self.stations.as_ref().map_or(u64::MAX, stations::Front::due),
-            self.peers_due().min(self.overload_due()).min(self.zones_due()),
+            self.peers_deadline().min(self.overload_deadline()).min(self.zones_deadline()),
         ]);
-        own.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.due())
+        deadlines.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.due())
     }
 
-    /// The counters, as one line.
+    /// Returns the counters as one line.
     pub fn counters(&self) -> String {
         self.counters.log_events_dropped.set(crate::logs::dropped());
         if let Some(stream) = &self.stream {
-            stream.tell_staleness(self.clock.read());
+            stream.update_staleness(self.clock.read());
         }
         self.counters.to_string()
     }
 
-    fn ready(&mut self, ready: Ready) {
+    /// Passes a ready descriptor to the part that owns it.
+    fn handle_ready(&mut self, ready: Ready) {
         match ready.token.owner {
             NAMES => {
                 if self.resolver.ready(&mut self.poll, self.now, ready) {
                     self.list_changed();
                 }
-                self.known |= self.counters.dns_answers.get() > 0;
-                self.heard_names = self.now;
+                self.list_known |= self.counters.dns_answers.get() > 0;
+                self.names_heard_at = self.now;
             }
             EXECUTORS => self.pool.ready(&mut self.poll, self.now, ready),
             THRIFT => self.thrift.ready(&mut self.poll, self.now, ready),
-            DOOR => self.operators(ready),
-            STREAM | KEEPER => self.stream_ready(ready),
+            DOOR => self.handle_operators_ready(ready),
+            STREAM | VERSION_THREAD => self.handle_stream_ready(ready),
             PEERS => self.peers.iter_mut().for_each(|p| p.ready(&mut self.poll, self.now, ready)),
             STATIONS => {
                 if let Some(front) = &mut self.stations {
                     front.ready(&mut self.poll, self.now, ready);
                 }
             }
-            MQTT.. => {
+            FIRST_MQTT.. => {
                 let unix_ms = self.clock.unix_ms(self.now);
                 self.mqtt.ready(&mut self.poll, self.now, unix_ms, ready);
             }
@@ -333,50 +365,51 @@
         }
     }
 
-    /// Does what signals have asked for.
-    fn obey_signals(&mut self) {
-        for wish in self.signals.asked() {
-            match wish {
-                Wish::Stop => self.begin_to_end(),
+    /// Carries out the signals that were received.
+    fn handle_signals(&mut self) {
+        for request in self.signals.asked() {
+            match request {
+                Wish::Stop => self.start_shutdown(),
                 Wish::Print => say(self.counters()),
                 Wish::Reload => self.reload(),
             }
         }
     }
 
-    /// Settles from here on.
-    fn begin_to_end(&mut self) {
-        if self.draining.is_none() {
-            info!(instance = self.config.name, followed = self.handover.followed(), "settles and ends");
+    /// Starts the shutdown; a repeated call changes nothing about its start time.
+    fn start_shutdown(&mut self) {
+        if self.shutdown_started.is_none() {
+            info!(instance = self.config.name, followed = self.handover.has_successor(), "shutdown started");
         }
-        self.draining.get_or_insert(self.now);
-        if self.handover.followed() {
-            // The successor takes what comes from here on.
+        self.shutdown_started.get_or_insert(self.now);
+        if self.handover.has_successor() {
+            // The successor accepts new connections from here on.
             self.thrift.shut(&self.poll);
-            self.thrift.leave(self.now, self.now + self.longest().saturating_sub(LAST_CALLS));
+            self.thrift.leave(self.now, self.now + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
         }
     }
 
-    /// Takes connections, or leaves them to wait while there is nothing to serve them by.
-    fn open(&mut self) {
-        self.thrift.accepting(&self.poll, !self.handover.waits() && !self.unconfigured);
+    /// Accepts connections, or leaves them in the accept queue while the predecessor's state or the settings are missing.
+    fn update_accepting(&mut self) {
+        self.thrift.accepting(&self.poll, !self.handover.awaits_state() && !self.unconfigured);
     }
 
-    /// Begins to take triggers. Danger: a broker's session belongs to one process at a time; two would take it from
-    /// each other, and messages would come twice.
-    fn trigger(&mut self) {
-        if !self.handover.shared() {
-            let brokers = self.streamed_brokers.as_ref().unwrap_or(&self.brokers).clone();
+    /// Connects to the MQTT brokers that are configured now, unless another process of this dispatcher runs. A broker's
+    /// session belongs to one process at a time: two would take it over from each other, and messages would arrive twice.
+    fn connect_brokers(&mut self) {
+        if !self.handover.other_process_runs() {
+            let brokers = self.version_brokers.as_ref().unwrap_or(&self.file_brokers).clone();
             self.mqtt.want(&self.poll, brokers);
         }
     }
 
-    /// Has stations connect here. Danger: the address is one process's at a time.
-    fn invite(&mut self) -> io::Result<()> {
-        if !self.handover.shared() && self.stations.is_none() && self.draining.is_none() {
+    /// Opens the listener for stations, unless another process of this dispatcher runs or the shutdown has started: only
+    /// one process at a time can hold the address.
+    fn open_station_listener(&mut self) -> io::Result<()> {
+        if !self.handover.other_process_runs() && self.stations.is_none() && self.shutdown_started.is_none() {
             let front =
                 |options| stations::Front::new(&mut self.poll, STATIONS, options, self.counters.clone());
-            self.stations = self.listen.clone().map(front).transpose()?;
+            self.stations = self.station_options.clone().map(front).transpose()?;
         }
         Ok(())
     }
--- a/src/node/beside.rs
+++ b/src/node/beside.rs
@@ -1,113 +1,117 @@
-//! The other process of this dispatcher: the one that this one follows, or that follows it.
+//! Handover between two processes of one dispatcher: the predecessor and its successor.
+//!
+//! Given the events of [`Handover`](crate::handover::Handover), passes state to a successor, takes the predecessor's over,
+//! and keeps bans and the configuration version in step while both run. At most two processes run at a time.
 
 use super::Node;
-use super::listing::MOST_LISTED;
+use super::listing::MAX_LISTED_IDS;
 use crate::api::Class;
 use crate::counters::count;
-use crate::handover::{News, Word};
+use crate::handover::{HandoverEvent, Word};
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
-/// How often the bans are read while another process may change them.
-const BANS_EVERY: u64 = 50_000;
+/// How often the bans are reread while another process may change them, in microseconds.
+const BANS_READ_INTERVAL_US: u64 = 50_000;
 
 impl Node {
-    /// Looks after the process that this one follows, or that follows it.
-    pub(super) fn beside(&mut self) {
-        if self.handover.shared() && self.now >= self.bans_at {
-            self.bans_at = self.now + BANS_EVERY;
-            self.reread();
-            self.stream_follow();
+    /// Advances the handover, and takes over what the other process has changed.
+    pub(super) fn advance_handover(&mut self) {
+        if self.handover.other_process_runs() && self.now >= self.next_bans_read {
+            self.next_bans_read = self.now + BANS_READ_INTERVAL_US;
+            self.reload_bans();
+            self.follow_other_process_version();
         }
         match self.handover.advance(self.now) {
             None => {}
-            Some(News::Asked) => {
-                info!(instance = self.config.name, "a successor runs");
+            Some(HandoverEvent::SuccessorStarted) => {
+                info!(instance = self.config.name, "a successor process has started");
                 count(&self.counters.handovers_asked);
-                self.hand_over();
-                self.apply(&[]);
+                self.send_state_to_successor();
+                self.apply_settings(&[]);
             }
-            Some(News::Deserted) => {
-                warn!(instance = self.config.name, "the successor has gone without taking over");
-                self.reread();
-                self.apply(&[]);
+            Some(HandoverEvent::SuccessorGone) => {
+                warn!(instance = self.config.name, "the successor process ended without taking over");
+                self.reload_bans();
+                self.apply_settings(&[]);
             }
-            Some(News::Told(word)) => {
-                self.take_over(*word);
-                self.open();
-                self.obey();
+            Some(HandoverEvent::StateReceived(state)) => {
+                self.adopt_predecessor_state(*state);
+                self.update_accepting();
+                self.answer_operators();
             }
-            Some(News::Untold) => {
-                warn!(instance = self.config.name, "the process before handed nothing over");
+            Some(HandoverEvent::StateMissed) => {
+                warn!(instance = self.config.name, "the predecessor handed no state over in time");
                 count(&self.counters.handovers_missed);
-                self.open();
-                self.obey();
+                self.update_accepting();
+                self.answer_operators();
             }
-            Some(News::Alone) => {
-                info!(instance = self.config.name, "serves alone");
-                self.reread();
-                self.apply(&[]);
-                self.open();
-                self.stream_take_over();
-                self.trigger();
-                self.meet_late();
-                if let Err(reason) = self.invite() {
-                    warn!(instance = self.config.name, %reason, "stations can't connect here");
+            Some(HandoverEvent::PredecessorGone) => {
+                info!(instance = self.config.name, "now the only process of this dispatcher");
+                self.reload_bans();
+                self.apply_settings(&[]);
+                self.update_accepting();
+                self.take_over_stream();
+                self.connect_brokers();
+                self.join_peers_after_handover();
+                if let Err(reason) = self.open_station_listener() {
+                    warn!(instance = self.config.name, %reason, "the listener for stations could not be opened");
                 }
-                self.obey();
+                self.answer_operators();
             }
         }
     }
 
-    /// Takes over the bans that the other process has begun or ended.
-    pub(super) fn reread(&mut self) {
-        let changed = self.bans.reread();
+    /// Takes over the bans that the other process has made or lifted.
+    fn reload_bans(&mut self) {
+        let changed = self.bans.reload();
         for id in &changed {
-            self.listed.insert(id.clone());
-            if self.bans.holds(id) {
+            self.ever_listed.insert(id.clone());
+            if self.bans.contains(id) {
                 count(&self.counters.bans_begun);
             } else {
-                self.back(id.clone());
+                self.record_ban_lifted(id.clone());
             }
         }
         if !changed.is_empty() {
-            self.relist();
+            self.publish_list();
         }
     }
 
-    pub(super) fn hand_over(&mut self) {
-        let mut word = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
-        (word.serial, word.executors) = (self.resolver.serial(), self.executors.clone());
-        word.listed = self.listed.iter().cloned().collect();
-        word.attached = self.attached.iter().map(|(id, at)| (id.clone(), *at)).collect();
-        match self.handover.tell(word) {
+    /// Writes this process's state for the successor.
+    fn send_state_to_successor(&mut self) {
+        let mut state = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
+        (state.serial, state.executors) = (self.resolver.serial(), self.executors.clone());
+        state.ever_listed = self.ever_listed.iter().cloned().collect();
+        state.ban_lifted_at = self.ban_lifted_at.iter().map(|(id, at)| (id.clone(), *at)).collect();
+        match self.handover.write_state(state) {
             Ok(()) => count(&self.counters.handovers_given),
             Err(e) => {
                 count(&self.counters.handovers_missed);
-                warn!(instance = self.config.name, reason = %e, "nothing could be handed over");
+                warn!(instance = self.config.name, reason = %e, "the state could not be handed over");
             }
         }
     }
 
-    /// Goes on from what the old process knew.
-    pub(super) fn take_over(&mut self, word: Word) {
-        self.clock.catch_up(word.now);
+    /// Continues from the predecessor's state.
+    fn adopt_predecessor_state(&mut self, state: Word) {
+        self.clock.catch_up(state.now);
         self.now = self.now.max(self.clock.read());
-        let mut fresh = Vec::new();
-        if self.engine.inherit(self.now, word.learned) {
+        let mut new_places = Vec::new();
+        if self.engine.inherit(self.now, state.learned) {
             count(&self.counters.handovers_taken);
-            let rules = vec![Class::default(); word.classes.len()];
-            fresh = self.settings.follow((&word.classes, &rules), &BTreeSet::new());
+            let default_classes = vec![Class::default(); state.classes.len()];
+            new_places = self.settings.follow((&state.classes, &default_classes), &BTreeSet::new());
         } else {
             count(&self.counters.handovers_missed);
         }
-        self.listed.extend(word.listed.into_iter().take(MOST_LISTED));
-        self.attached.extend(word.attached);
-        if self.resolver.offer(self.now, "predecessor", word.serial, word.executors) {
+        self.ever_listed.extend(state.ever_listed.into_iter().take(MAX_LISTED_IDS));
+        self.ban_lifted_at.extend(state.ban_lifted_at);
+        if self.resolver.offer(self.now, "predecessor", state.serial, state.executors) {
             self.executors = self.resolver.in_use().to_vec();
         }
-        self.known = true;
-        self.apply(&fresh);
-        self.relist();
+        self.list_known = true;
+        self.apply_settings(&new_places);
+        self.publish_list();
     }
 }
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -1,14 +1,16 @@
-//! Carries messages between the fronts, the core and the executors until none is left.
+//! Carries messages between the fronts, the core and the executors until no queue holds any.
+//!
+//! Given the fronts' intake, the pool's reports and the core's commands; bounded by the fronts' and the pool's own limits.
 
-use super::jobs::job;
+use super::jobs::build_job;
 use super::{Node, STATIONS};
 use crate::core::{Command, Ticket};
 use crate::executor::Report;
 use crate::front::{Intake, Invalid};
 
 impl Node {
-    /// Carries everything to and fro until nothing is left to carry.
-    pub(super) fn settle(&mut self) {
+    /// Passes intake and reports to the core and carries out its commands, until all queues are empty.
+    pub(super) fn deliver_messages(&mut self) {
         loop {
             let mut intake = std::mem::take(&mut self.thrift.intake);
             self.mqtt.take_intake(&mut intake);
@@ -19,8 +21,9 @@
             if intake.is_empty() && reports.is_empty() && self.engine.commands.is_empty() {
                 return;
             }
-            // Who has gone first, then what has ended, then what is new: each knows of what came before it.
-            intake.retain(|asked| match asked {
+            // Disconnects first, then ended attempts, then new requests, so that a decision on each takes account of the
+            // earlier ones: no resend for a client that has gone, and no new request planned on an outdated executor state.
+            intake.retain(|item| match item {
                 Intake::Forget(ticket) => {
                     self.engine.forget(self.now, *ticket);
                     false
@@ -39,23 +42,23 @@
                     }
                 }
             }
-            for asked in intake {
-                let Intake::Serve { ticket, sketch, body, age_us, again } = asked else { continue };
-                let past = self.settings.past.contains(&sketch.class);
-                match job(&self.settings, sketch, body, age_us.max(self.stood), again) {
+            for item in intake {
+                let Intake::Serve { ticket, sketch, body, age_us, again } = item else { continue };
+                let class_removed = self.settings.past.contains(&sketch.class);
+                match build_job(&self.settings, sketch, body, age_us.max(self.stalled_us), again) {
                     Ok(job) => self.engine.take(self.now, ticket, job),
-                    Err(invalid) => self.invalid(ticket, &invalid, past),
+                    Err(invalid) => self.refuse_invalid(ticket, &invalid, class_removed),
                 }
             }
             while let Some(command) = self.engine.commands.pop_front() {
-                self.command(command);
+                self.execute(command);
             }
         }
     }
 
-    /// At the end of a turn: writes what has waited in it, once what the name service has told meanwhile is known. However long
-    /// turns take, nothing waits for longer than one.
-    pub(super) fn release_writes(&mut self) {
+    /// Ends a turn in which writes were held: reads the name service's answers once more, then writes. However long turns
+    /// take, no write is held for longer than one of them.
+    pub(super) fn release_held_writes(&mut self) {
         if !self.pool.holds_writes() {
             return;
         }
@@ -64,10 +67,11 @@
         }
         self.pool.list_was_read();
         self.pool.release_writes(&self.poll, self.now);
-        self.settle();
+        self.deliver_messages();
     }
 
-    fn command(&mut self, command: Command) {
+    /// Carries out one command of the core.
+    fn execute(&mut self, command: Command) {
         let (poll, now) = (&mut self.poll, self.now);
         match command {
             Command::Send { attempt, worker, wait, job } => {
@@ -90,13 +94,15 @@
         }
     }
 
-    fn invalid(&mut self, ticket: Ticket, invalid: &Invalid, past: bool) {
+    /// Refuses an invalid request at the front that it came from. `class_removed`: its class was removed from the settings,
+    /// which its client may not have learned yet, so this does not count as an offence.
+    fn refuse_invalid(&mut self, ticket: Ticket, invalid: &Invalid, class_removed: bool) {
         if self.mqtt.has(ticket.front) {
             self.mqtt.invalid(&self.poll, self.now, ticket, invalid);
         } else if let Some(front) = self.stations.as_mut().filter(|_| ticket.front == STATIONS) {
             front.invalid(&mut self.poll, self.now, ticket, invalid);
         } else {
-            self.thrift.invalid(&self.poll, self.now, ticket, invalid, !past);
+            self.thrift.invalid(&self.poll, self.now, ticket, invalid, !class_removed);
         }
     }
 }
--- a/src/node/jobs.rs
+++ b/src/node/jobs.rs
@@ -1,18 +1,22 @@
-//! What a front took in, checked against the settings.
+//! Checks a request from a front against the settings and turns it into a [`Job`] for the core.
+//!
+//! Given the front's reading of the request, in names; returns the job, in places of the settings' lists, or the field
+//! that is invalid. The body's size and the time-out are bounded here.
 
 use crate::api::Effect;
 use crate::config::Settings;
 use crate::core::Job;
 use crate::front::{Invalid, Sketch};
 
-/// Kept off a request's time: the way to and from the client, and a late turn of the loop. The client's count
-/// began when it sent.
-pub(super) const MARGIN: u64 = 10_000;
-/// The largest body of a request.
-const MOST_BODY: usize = 16 * 1024;
+/// Subtracted from a request's time-out, in microseconds: covers the network between client and dispatcher in both
+/// directions and a late turn of the loop, since the client's time runs from when it sent the request.
+pub(super) const NETWORK_MARGIN_US: u64 = 10_000;
+/// The largest request body, in bytes, that the protocol allows.
+const MAX_BODY_BYTES: usize = 16 * 1024;
 
-/// A request's figures with the settings' names looked up.
-pub(super) fn job(
+/// Builds the job, with the names of class and tenant resolved to their places. `age_us` is the time since the client sent
+/// the request, as far as known; `again` marks a request that may have been delivered before.
+pub(super) fn build_job(
     settings: &Settings,
     sketch: Sketch,
     body: Vec<u8>,
@@ -22,17 +26,16 @@
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let class =
         settings.class(&sketch.class).ok_or(Invalid { field: "op", why: "is no class of the settings" })?;
-    // Danger: without its key a repeat of a keyed request is not dropped by anyone.
+    // Executors drop repeats of a deduplicated request by its key; without one a repeat would be executed twice.
     if settings.module.classes[class].effect == Effect::Deduplicated && sketch.key.is_none() {
         return Err(Invalid { field: "dedupe", why: "is missing, and the class is keyed" });
     }
-    // Danger: what is larger than the protocol allows may not be readable for an executor, which then closes a
-    // connection that others' requests share.
-    if body.len() > MOST_BODY {
+    // An executor that cannot read an oversize body closes the connection, which other clients' requests share.
+    if body.len() > MAX_BODY_BYTES {
         return Err(Invalid { field: "body", why: "is larger than 16 KiB" });
     }
-    // A client waits for its class's time at the most; one that claims far more is not to be believed. Settings
-    // change under way, so that the longest time of any class counts.
+    // A client waits no longer than its class's deadline, so a far longer time-out is a client error. Deadlines can change
+    // while requests are under way, so the longest of any class so far is the bound.
     if sketch.ttl_us > settings.longest.saturating_mul(2) {
         return Err(Invalid { field: "ttl", why: "is far longer than the class's time" });
     }
@@ -49,7 +52,7 @@
         load_time: sketch.load_us,
         work: sketch.work_us,
         again: sketch.again,
-        time_left: sketch.ttl_us.saturating_sub(age_us).saturating_sub(MARGIN),
+        time_left: sketch.ttl_us.saturating_sub(age_us).saturating_sub(NETWORK_MARGIN_US),
         call: sketch.call,
         key: sketch.key,
         body,
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -1,58 +1,62 @@
-//! What bounds the parts, derived from the configuration.
+//! Derives the parts' limits from the configured memory and descriptors.
+//!
+//! Given the configuration, the settings and whether another process of this dispatcher runs; two processes get half of
+//! each resource.
 
-use super::jobs::MARGIN;
+use super::jobs::NETWORK_MARGIN_US;
 use crate::config::{Config, Settings};
 use crate::control::USUAL_FUNCTION_BYTES;
 use crate::core::Bounds;
 use crate::executor;
 use crate::front::thrift;
 
-/// Descriptors kept for all that is no connection.
-const RESERVED: usize = 32;
+/// Descriptors reserved for files, timers, listeners and all else that is not a connection.
+const RESERVED_DESCRIPTORS: usize = 32;
 
-/// The descriptors that the process may hold: the configuration's, or the system's where that allows fewer. Danger: of
-/// those that are not there, none can be kept back for executors and the name service.
+/// Returns how many descriptors the process may hold: the configured number, or the system's limit if that is lower. The
+/// share reserved for executors and the name service is cut from this number, so it must not exceed what the system grants.
 fn descriptors(config: &Config) -> usize {
-    let told = config.parts.resources.sockets;
-    let given = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    given.and_then(|g| usize::try_from(g).ok()).map_or(told, |g| g.min(told))
+    let configured = config.parts.resources.sockets;
+    let granted = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    granted.and_then(|g| usize::try_from(g).ok()).map_or(configured, |g| g.min(configured))
 }
 
-/// Bytes that functions may take in the module: what the operator says, or three eighths of the limit on memory; bodies,
-/// answers that are half read and answers that are not taken have the rest. Two processes have half of it each.
-pub(super) fn function_bytes(config: &Config, told: Option<usize>, shared: bool) -> usize {
+/// Returns the bytes that the decision module may use for functions: the operator's figure, or three eighths of the memory
+/// limit, up to the module's default. Bodies, half-read answers and unsent answers use the rest. Two processes get half each.
+pub(super) fn function_bytes(config: &Config, configured: Option<usize>, two_processes: bool) -> usize {
     let memory = config.parts.resources.memory;
-    told.unwrap_or((memory / 8 * 3).min(USUAL_FUNCTION_BYTES)) / if shared { 2 } else { 1 }
+    configured.unwrap_or((memory / 8 * 3).min(USUAL_FUNCTION_BYTES)) / if two_processes { 2 } else { 1 }
 }
 
-/// What bounds the parts, derived from the configuration; two processes have half of it each. The last is the number
-/// of operators that may call at a time.
-pub(super) fn limits(
+/// Returns the limits of the core, the executor pool and the Thrift front, and the number of connections of the operators'
+/// interface. `station_connections` is the number of connections reserved for stations.
+pub(super) fn derive_limits(
     config: &Config,
     settings: &Settings,
-    shared: bool,
-    stations: usize,
+    two_processes: bool,
+    station_connections: usize,
 ) -> (Bounds, executor::Limits, thrift::Limits, usize) {
-    let part = if shared { 2 } else { 1 };
+    let processes = if two_processes { 2 } else { 1 };
     let descriptors = descriptors(config);
-    let (memory, sockets) = (config.parts.resources.memory / part, descriptors / part);
-    // Danger: usual clients hold a third at most, but those that ask once and stay, or say nothing, come on top;
-    // with no room beyond the third, connections wait in the queue of the system while their time runs. So
-    // executors are kept a quarter, many times what they need, and clients may have the rest.
+    let (memory, sockets) = (config.parts.resources.memory / processes, descriptors / processes);
+    // Usual clients hold at most a third of the descriptors, but idle clients (connected, silent or done asking) come on
+    // top. Without room beyond the third, new connections wait in the accept queue while their clients' time runs. So
+    // executors get a quarter, many times what they need, and clients get the rest.
     let executors = (sockets / 4).max(8);
-    let places = if config.ops.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
-    let clients = sockets.saturating_sub(executors + RESERVED + places + stations).max(8);
+    let operators = if config.ops.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
+    let clients =
+        sockets.saturating_sub(executors + RESERVED_DESCRIPTORS + operators + station_connections).max(8);
     let bounds = Bounds {
         attempts: settings.module.max_attempts,
         load_wait: settings.load_wait,
         held_bytes: memory / 8,
         held_requests: settings.max_open,
         retry_after: settings.module.max_retry_after,
-        send_lag: settings.connect_timeout + MARGIN,
+        send_lag: settings.connect_timeout + NETWORK_MARGIN_US,
     };
     let pool = executor::Limits {
         connections: executors,
-        // Danger: answers that never end, on all connections at once, must not fill the memory.
+        // Answers that never end, on all connections at once, must not exhaust the memory.
         unread: memory / 4,
         streams: settings.streams_per_conn,
         connect_timeout: settings.connect_timeout,
@@ -62,5 +66,5 @@
         tells_crowd: settings.tells_crowd,
         report: settings.report.clone(),
     };
-    (bounds, pool, thrift::Limits { connections: clients, unsent: memory / 4 }, places)
+    (bounds, pool, thrift::Limits { connections: clients, unsent: memory / 4 }, operators)
 }
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -1,4 +1,7 @@
-//! The list of executors as all parts are told it: the name service's, less what bans leave out.
+//! The executor list that every part works with: the list in use, with banned executors shown as draining.
+//!
+//! Given the resolver's list, the operators' bans and those of the running configuration version; passes the result to the
+//! pool, the core, overload control and the zones whenever one of them changes.
 
 use super::Node;
 use crate::api::{Listing, WorkerId};
@@ -6,45 +9,52 @@
 use crate::names::{Executor, State};
 use std::collections::BTreeSet;
 
-/// Ids of executors that are known to have been listed.
-pub(super) const MOST_LISTED: usize = 16_384;
-/// How long an executor that was taken back is remembered as started anew, beyond the time to get warm.
-const ATTACHED: u64 = 60_000_000;
+/// The most executor ids remembered as having been listed.
+pub(super) const MAX_LISTED_IDS: usize = 16_384;
+/// How long after an executor's ban ends its new start time is remembered, beyond its warm-up time, in microseconds.
+const LIFTED_BAN_RETENTION_US: u64 = 60_000_000;
 
-/// Whatever the name service has to tell is told this long after it happened at the latest (the platform's protocol page, 'Figures'), and
-/// an event within 1.5 s: a worker that comes to the list has not started longer ago than that.
-const LISTED_AFTER_START: u64 = 8_500_000;
+/// The longest time between a worker's start and its listing, in microseconds: the platform's protocol page ('Figures') has
+/// the name service publish any change within this time, and an event within 1.5 s.
+const MAX_LISTING_DELAY_US: u64 = 8_500_000;
 
-/// What is listed within so long after the start was there before, as far as this process can know.
-const FIRST_LISTS: u64 = 1_500_000;
+/// A worker first listed within this time after the process started may have started long before: the first lists arrive
+/// within it.
+const FIRST_LISTS_US: u64 = 1_500_000;
 
 impl Node {
-    /// Goes on with the list that is in use now.
+    /// Takes the resolver's list into use.
     pub(super) fn list_changed(&mut self) {
         count(&self.counters.lists_applied);
         self.executors = self.resolver.in_use().to_vec();
-        self.relist();
+        self.publish_list();
     }
 
-    /// Tells all parts the list, as the operators' bans leave it.
-    pub(super) fn relist(&mut self) {
-        let cold = self.now.saturating_sub(self.settings.module.warm_after + ATTACHED);
-        // Danger: forgotten while it is listed, it would seem to have started anew, without its copies.
-        let listed = |id: &WorkerId| self.executors.iter().any(|e| e.id == *id);
-        self.attached.retain(|id, at| *at > cold || listed(id));
-        let (bans, streamed) = (&self.bans, &self.streamed_bans);
-        let standing = |e: &Executor| Executor {
-            state: if bans.holds(&e.id) || streamed.contains(&e.id) { State::Draining } else { e.state },
+    /// Passes the list to all parts, with the executors banned by operators or the running version as draining.
+    pub(super) fn publish_list(&mut self) {
+        let forget_before =
+            self.now.saturating_sub(self.settings.module.warm_after + LIFTED_BAN_RETENTION_US);
+        // The entry of a listed executor is kept: without it, the start time would change and the executor would seem to
+        // have restarted and lost its copies.
+        let in_list = |id: &WorkerId| self.executors.iter().any(|e| e.id == *id);
+        self.ban_lifted_at.retain(|id, at| *at > forget_before || in_list(id));
+        let (bans, version_bans) = (&self.bans, &self.version_bans);
+        let with_bans = |e: &Executor| Executor {
+            state: if bans.contains(&e.id) || version_bans.contains(&e.id) {
+                State::Draining
+            } else {
+                e.state
+            },
             ..e.clone()
         };
-        let executors: Vec<Executor> = self.executors.iter().map(standing).collect();
-        if self.listed.len() < MOST_LISTED {
-            self.listed.extend(executors.iter().map(|e| e.id.clone()));
+        let executors: Vec<Executor> = self.executors.iter().map(with_bans).collect();
+        if self.ever_listed.len() < MAX_LISTED_IDS {
+            self.ever_listed.extend(executors.iter().map(|e| e.id.clone()));
         }
         self.pool.list(&executors);
-        self.note_first_listed();
+        self.record_first_listed();
         let listing = |e: &Executor| -> Listing {
-            let ready_at = self.started_at(e).max(self.attached.get(&e.id).copied());
+            let ready_at = self.started_at(e).max(self.ban_lifted_at.get(&e.id).copied());
             self.settings.vocabulary.listing(e, ready_at)
         };
         let entries = executors.iter().map(listing).collect();
@@ -57,29 +67,31 @@
         self.engine.list(self.now, entries);
     }
 
-    /// Remembers when workers that name their start were first listed.
-    fn note_first_listed(&mut self) {
-        let named: BTreeSet<&WorkerId> =
+    /// Records when workers that announce their start time were first listed.
+    fn record_first_listed(&mut self) {
+        let with_start: BTreeSet<&WorkerId> =
             self.executors.iter().filter(|e| e.started_ms > 0).map(|e| &e.id).collect();
-        self.first_listed.retain(|id, _| named.contains(id));
-        for id in named {
-            self.first_listed.entry(id.clone()).or_insert(self.now);
+        self.first_listed_at.retain(|id, _| with_start.contains(id));
+        for id in with_start {
+            self.first_listed_at.entry(id.clone()).or_insert(self.now);
         }
     }
 
-    /// When a worker started, if that is told. Its time is the wall clock's, which may have been wrong here when this process
-    /// began, or there: no worker starts after it was listed, nor long before it came to the list of a process that had another.
+    /// Returns when a worker started, if it announces that. The announced time is a wall-clock time, and the clock there or
+    /// here may be wrong, so it is limited by when the worker was first listed.
     fn started_at(&self, executor: &Executor) -> Option<u64> {
-        let told = (executor.started_ms > 0).then(|| self.clock.from_unix_ms(executor.started_ms))?;
-        let listed = self.first_listed.get(&executor.id).copied().unwrap_or(self.now);
-        Some(plausible_start(told, listed, listed > self.started + FIRST_LISTS))
+        let announced = (executor.started_ms > 0).then(|| self.clock.from_unix_ms(executor.started_ms))?;
+        let listed = self.first_listed_at.get(&executor.id).copied().unwrap_or(self.now);
+        let added_later = listed > self.started + FIRST_LISTS_US;
+        Some(clamp_start(announced, listed, added_later))
     }
 }
 
-/// The start that is told, moved to where it can lie: before the worker was listed, and not long before where it came to a list.
-fn plausible_start(told: u64, listed: u64, came_later: bool) -> u64 {
-    let earliest = if came_later { listed.saturating_sub(LISTED_AFTER_START) } else { 0 };
-    told.clamp(earliest, listed)
+/// Clamps an announced start time to the possible range: no later than the first listing, and, for a worker that was added
+/// to a list this process already had, no earlier than [`MAX_LISTING_DELAY_US`] before it.
+fn clamp_start(announced: u64, listed: u64, added_later: bool) -> u64 {
+    let earliest = if added_later { listed.saturating_sub(MAX_LISTING_DELAY_US) } else { 0 };
+    announced.clamp(earliest, listed)
 }
 
 #[cfg(test)]
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -1,4 +1,7 @@
-//! What operators ask for at the door, and executors that they take out of use.
+//! Carries out the requests of the operators' HTTP interface: readiness, reports, zone orders, and bans of executors.
+//!
+//! Given the orders that the interface has parsed; each gets one answer with a status and a text. Orders are few: the
+//! interface limits its connections.
 
 use super::Node;
 use crate::api::WorkerId;
@@ -7,32 +10,35 @@
 use crate::net::{Ready, Token};
 use tracing::info;
 
-/// A successor to which nobody told the list serves by that of its configuration after this long.
-const LIST_PATIENCE: u64 = 3_000_000;
+/// After this long without a list from elsewhere, a process counts as ready with the list in its configuration.
+const LIST_WAIT_US: u64 = 3_000_000;
 
 impl Node {
-    /// Whether this process serves, knows whom to send to, and nothing is still to be handed over to it.
+    /// Returns whether this process accepts requests: it has settings and an executor list, no handover to it is pending,
+    /// and it is not shutting down.
     pub(super) fn is_ready(&self) -> bool {
-        let known = self.known || self.now >= self.started + LIST_PATIENCE;
-        known && !self.handover.waits() && !self.unconfigured && self.draining.is_none()
+        let list_known = self.list_known || self.now >= self.started + LIST_WAIT_US;
+        list_known && !self.handover.awaits_state() && !self.unconfigured && self.shutdown_started.is_none()
     }
 
-    pub(super) fn operators(&mut self, ready: Ready) {
+    /// Handles a ready descriptor of the operators' interface.
+    pub(super) fn handle_operators_ready(&mut self, ready: Ready) {
         if let Some(door) = &mut self.door {
             door.ready(&mut self.poll, self.now, ready);
-            self.obey();
+            self.answer_operators();
         }
     }
 
-    /// Does what operators asked for.
-    pub(super) fn obey(&mut self) {
+    /// Carries out the orders that operators have sent, and answers them.
+    pub(super) fn answer_operators(&mut self) {
         let Some(door) = &mut self.door else { return };
-        // What the old process has seen listed is not known yet.
-        let waits = self.handover.waits();
-        let (later, orders) = std::mem::take(&mut door.orders).into_iter().partition(|(_, o)| {
-            waits && !matches!(o, Order::Ready | Order::Peers | Order::Budgets | Order::Zones)
+        // Before the predecessor's state has arrived, this process does not have the ids that were listed there, so orders
+        // about executors wait.
+        let handover_pending = self.handover.awaits_state();
+        let (deferred, orders) = std::mem::take(&mut door.orders).into_iter().partition(|(_, o)| {
+            handover_pending && !matches!(o, Order::Ready | Order::Peers | Order::Budgets | Order::Zones)
         });
-        door.orders = later;
+        door.orders = deferred;
         let orders: Vec<(Token, Order)> = orders;
         for (token, order) in orders {
             let (status, text) = match order {
@@ -52,7 +58,7 @@
                     Some(zones) => (200, crate::zones::report(zones, self.now).to_string()),
                     None => (404, crate::zones::ZoneError::Off.to_string()),
                 },
-                Order::Zone(zone, order) => self.zone_said(&zone, order),
+                Order::Zone(zone, order) => self.order_zone(&zone, order),
                 Order::Detach(id) => self.detach(&id),
                 Order::Attach(id) => self.attach(&id),
             };
@@ -62,25 +68,24 @@
         }
     }
 
-    pub(super) fn unlisted(&self, id: &WorkerId) -> bool {
-        !self.listed.contains(id) && !self.bans.holds(id) && self.executors.iter().all(|e| e.id != *id)
+    /// Returns whether the id is of no executor that was ever listed.
+    fn never_listed(&self, id: &WorkerId) -> bool {
+        !self.ever_listed.contains(id)
+            && !self.bans.contains(id)
+            && self.executors.iter().all(|e| e.id != *id)
     }
 
-    pub(super) fn detach(&mut self, id: &WorkerId) -> (u16, String) {
-        if self.unlisted(id) {
+    /// Bans an executor; returns the status and text for the operator.
+    fn detach(&mut self, id: &WorkerId) -> (u16, String) {
+        if self.never_listed(id) {
             return (404, "never listed".to_string());
         }
-        let began = !self.bans.holds(id);
+        let newly_banned = !self.bans.contains(id);
         match self.bans.ban(id) {
-            Ok(()) if began => {
-                info!(
-                    instance = self.config.name,
-                    worker = &**id,
-                    reason = "door",
-                    "an executor is left out"
-                );
+            Ok(()) if newly_banned => {
+                info!(instance = self.config.name, worker = &**id, reason = "door", "executor banned");
                 count(&self.counters.bans_begun);
-                self.relist();
+                self.publish_list();
                 (200, "left out".to_string())
             }
             Ok(()) => (200, "left out already".to_string()),
@@ -88,15 +93,16 @@
         }
     }
 
-    pub(super) fn attach(&mut self, id: &WorkerId) -> (u16, String) {
-        if self.unlisted(id) {
+    /// Lifts an executor's ban; returns the status and text for the operator.
+    fn attach(&mut self, id: &WorkerId) -> (u16, String) {
+        if self.never_listed(id) {
             return (404, "never listed".to_string());
         }
-        let ended = self.bans.holds(id);
+        let was_banned = self.bans.contains(id);
         match self.bans.lift(id) {
-            Ok(()) if ended => {
-                self.back(id.clone());
-                self.relist();
+            Ok(()) if was_banned => {
+                self.record_ban_lifted(id.clone());
+                self.publish_list();
                 (200, "in use".to_string())
             }
             Ok(()) => (200, "in use already".to_string()),
@@ -104,10 +110,10 @@
         }
     }
 
-    /// An executor is back in use. It was restarted meanwhile, and counts as started now.
-    pub(super) fn back(&mut self, id: WorkerId) {
-        info!(instance = self.config.name, worker = &*id, "an executor is back in use");
+    /// Records the end of an executor's ban. It may have been restarted during the ban, so it counts as started now.
+    pub(super) fn record_ban_lifted(&mut self, id: WorkerId) {
+        info!(instance = self.config.name, worker = &*id, "executor ban lifted");
         count(&self.counters.bans_ended);
-        self.attached.insert(id, self.now);
+        self.ban_lifted_at.insert(id, self.now);
     }
 }
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -1,4 +1,7 @@
-//! Budgets and the level of the fleet: what the machines are told, and what the module is told of them.
+//! Connects overload control (budgets, circuit breakers, the fleet's shedding level) with peers and the decision module.
+//!
+//! Given the peers' messages and the core's record of answers; gives the module its budget every turn, and peers the
+//! messages that the overload state machine emits.
 
 use super::Node;
 use crate::control::Budget;
@@ -6,8 +9,8 @@
 use crate::zones;
 
 impl Node {
-    /// Hands out what other dispatchers said, by channel.
-    pub(super) fn notes(&mut self) {
+    /// Delivers the messages of other dispatchers to the part that their channel belongs to.
+    pub(super) fn deliver_peer_messages(&mut self) {
         let notes = self.peers.as_mut().map(|p| std::mem::take(&mut p.notes));
         for (channel, from, bytes) in notes.into_iter().flatten() {
             match channel {
@@ -17,35 +20,36 @@
                         peers.tell_one(self.now, &from, overload::CHANNEL, answer);
                     }
                 }
-                zones::CHANNEL => self.zones.iter_mut().for_each(|h| h.heard(self.now, &from, &bytes)),
+                zones::CHANNEL => self.zones.iter_mut().for_each(|z| z.heard(self.now, &from, &bytes)),
                 _ => {}
             }
         }
     }
 
-    /// Tells the module what it may spend, and what may go to each zone.
-    pub(super) fn budget_advance(&mut self) {
+    /// Gives the decision module its budget and the share of traffic that each zone may get.
+    pub(super) fn update_budget(&mut self) {
         if self.overload.is_none() && self.zones.is_none() {
             return;
         }
-        let last = self.engine.budget(Budget::default());
-        let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &last)).unwrap_or_default();
+        let previous = self.engine.budget(Budget::default());
+        let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &previous)).unwrap_or_default();
         if let Some(zones) = &mut self.zones {
-            next.zones = zones.gates(self.now, &last.zones);
+            next.zones = zones.gates(self.now, &previous.zones);
         }
         self.engine.budget(next);
-        self.overload_count();
+        self.export_overload_counters();
     }
 
-    /// Does what is due.
-    pub(super) fn overload_advance(&mut self) {
+    /// Feeds the answers of executors to overload control, and runs its timer if due.
+    pub(super) fn advance_overload(&mut self) {
         let Some(overload) = &mut self.overload else { return };
         for (worker, kind, took) in self.engine.answers.drain(..) {
             overload.answered(self.now, &worker, kind, took);
         }
         if overload.due(self.now) <= self.now {
-            // Two processes of one dispatcher share nothing here: the one that others know has its part, the other none.
-            let alone = if self.handover.shared() || self.company.is_some() {
+            // Two processes of one dispatcher don't split the dispatcher's part of a budget: the process that is the group's
+            // member has all of it, the other none.
+            let balancers = if self.handover.other_process_runs() || self.peer_options.is_some() {
                 0
             } else {
                 self.settings.module.balancers
@@ -55,33 +59,34 @@
                 Some(peers) => {
                     View { own, parts: peers.division().map_or(0, |d| d.parts), others: peers.up() }
                 }
-                None => View { own, parts: alone, others: Vec::new() },
+                None => View { own, parts: balancers, others: Vec::new() },
             };
-            for (to, word) in overload.advance(self.now, &view) {
+            for (to, message) in overload.advance(self.now, &view) {
                 if let Some(peers) = &mut self.peers {
-                    peers.tell_one(self.now, &to, overload::CHANNEL, word);
+                    peers.tell_one(self.now, &to, overload::CHANNEL, message);
                 }
             }
         }
     }
 
-    fn overload_count(&mut self) {
+    /// Copies the state of overload control to the counters.
+    fn export_overload_counters(&mut self) {
         let Some(overload) = &self.overload else { return };
-        let (stats, c) = (overload.stats(), &self.counters);
-        c.overload_level.set(u64::from(overload.level()));
-        c.overload_shed.set(stats.shed);
-        c.resends_wanted.set(stats.wanted);
-        c.resends_made.set(stats.resent);
-        let (open, ramps) = overload.circuits();
-        c.circuits_open.set(open as u64);
-        c.circuits_ramping.set(ramps as u64);
-        c.trials_made.set(stats.trials);
-        c.leases_lent.set(stats.lent);
-        c.leases_borrowed.set(stats.borrowed);
+        let (stats, counters) = (overload.stats(), &self.counters);
+        counters.overload_level.set(u64::from(overload.level()));
+        counters.overload_shed.set(stats.shed);
+        counters.resends_wanted.set(stats.wanted);
+        counters.resends_made.set(stats.resent);
+        let (open, ramping) = overload.circuits();
+        counters.circuits_open.set(open as u64);
+        counters.circuits_ramping.set(ramping as u64);
+        counters.trials_made.set(stats.trials);
+        counters.leases_lent.set(stats.lent);
+        counters.leases_borrowed.set(stats.borrowed);
     }
 
-    /// When the above next has something to do.
-    pub(super) fn overload_due(&self) -> u64 {
+    /// Returns when overload control's timer is next due.
+    pub(super) fn overload_deadline(&self) -> u64 {
         self.overload.as_ref().map_or(u64::MAX, |o: &Overload| o.due(self.now))
     }
 }
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -1,4 +1,7 @@
-//! The other dispatchers: when they are spoken to, and what the parts are told of them.
+//! Connects this dispatcher with its peers, the other dispatchers of the group.
+//!
+//! Given the membership's events and the pool's observations of executors; joins and leaves the group, exchanges
+//! observations and state with peers, and divides work with them. At most one process of a dispatcher is a member.
 
 use super::{Node, PEERS};
 use crate::counters::count;
@@ -8,15 +11,16 @@
 use std::io;
 use tracing::{info, warn};
 
-/// While peers are asked for the list, this often it is looked whether there are more to ask.
-const SEEK_EVERY: u64 = 100_000;
+/// How often to look for further peers to ask while the executor list is sought from them, in microseconds.
+const PEER_SEARCH_INTERVAL_US: u64 = 100_000;
 
 impl Node {
-    /// Begins to speak to other dispatchers. Danger: two processes of one dispatcher are one member; the one that others
-    /// know speaks until it has gone.
-    pub(super) fn meet(&mut self) -> io::Result<()> {
-        let alone = !self.handover.shared() && self.peers.is_none() && self.draining.is_none();
-        let Some(options) = self.company.as_ref().filter(|_| alone) else { return Ok(()) };
+    /// Joins the group, unless another process of this dispatcher runs. Two processes of one dispatcher share one member
+    /// name, so only one of them may send: the older one, until it has ended.
+    pub(super) fn join_peers(&mut self) -> io::Result<()> {
+        let may_join =
+            !self.handover.other_process_runs() && self.peers.is_none() && self.shutdown_started.is_none();
+        let Some(options) = self.peer_options.as_ref().filter(|_| may_join) else { return Ok(()) };
         let start = Start {
             name: &self.config.name,
             expected: self.settings.module.balancers,
@@ -29,47 +33,49 @@
         Ok(())
     }
 
-    /// The same once the other process has gone; without peers this one serves all the same.
-    pub(super) fn meet_late(&mut self) {
-        if let Err(reason) = self.meet() {
-            warn!(instance = self.config.name, %reason, "other dispatchers can't be reached");
+    /// Joins the group after the other process has ended; a failure is logged, and the dispatcher serves without peers.
+    pub(super) fn join_peers_after_handover(&mut self) {
+        if let Err(reason) = self.join_peers() {
+            warn!(instance = self.config.name, %reason, "could not join the group of dispatchers; serving without peers");
         }
     }
 
-    pub(super) fn peers_advance(&mut self) {
-        self.sightings();
+    /// Advances the membership, and applies what it reports to the parts.
+    pub(super) fn advance_peers(&mut self) {
+        self.exchange_executor_observations();
         let Some(peers) = &mut self.peers else { return };
-        let serving = if self.draining.is_some() { Serving::Drains } else { Serving::Serves };
+        let serving = if self.shutdown_started.is_some() { Serving::Drains } else { Serving::Serves };
         let load = self.engine.owed() * 1_000 / self.settings.max_open.max(1);
         peers.tell(serving, self.counters.version_number.get(), load.min(1_000) as u16);
         peers.advance(self.now);
         if let Some(division) = peers.news(self.now) {
             self.engine.divide(Some((division.alive, division.parts, division.place)));
         }
-        self.give_word();
-        self.seek_list();
+        self.send_state_to_peer();
+        self.take_list_from_peer();
     }
 
-    /// When peers next have something to do.
-    pub(super) fn peers_due(&self) -> u64 {
-        let seek = if self.seeks_list() { self.now + SEEK_EVERY } else { u64::MAX };
-        self.peers.as_ref().map_or(u64::MAX, |p| p.due().min(seek))
+    /// Returns when the peers' timer is next due.
+    pub(super) fn peers_deadline(&self) -> u64 {
+        let search = if self.needs_list_from_peer() { self.now + PEER_SEARCH_INTERVAL_US } else { u64::MAX };
+        self.peers.as_ref().map_or(u64::MAX, |p| p.due().min(search))
     }
 
-    /// What connections to executors tell: the others hear of it, and what they tell is looked at.
-    fn sightings(&mut self) {
-        let seen = std::mem::take(&mut self.pool.sightings);
+    /// Shares what connections to executors have shown with the peers, and probes the executors that peers report as failed.
+    fn exchange_executor_observations(&mut self) {
+        let observations = std::mem::take(&mut self.pool.sightings);
         if let Some(overload) = &mut self.overload {
-            seen.iter().filter(|s| s.refused).for_each(|s| overload.refused(self.now, &s.worker));
+            observations.iter().filter(|o| o.refused).for_each(|o| overload.refused(self.now, &o.worker));
         }
         let Some(peers) = &mut self.peers else { return };
-        for sighting in seen {
-            if sighting.looked {
-                self.engine.unreached(self.now, &sighting.worker);
-                peers.refused(self.now, &sighting.worker);
+        for observation in observations {
+            if observation.looked {
+                self.engine.unreached(self.now, &observation.worker);
+                peers.refused(self.now, &observation.worker);
             } else {
-                // Danger: what a look finds is what others have told. Told again it would go round without end.
-                peers.sighted(self.now, &sighting.worker);
+                // Only first-hand observations are announced: the result of a probe that a peer's hint caused would be
+                // passed around the group without end.
+                peers.sighted(self.now, &observation.worker);
             }
         }
         while let Some(worker) = peers.look(self.now) {
@@ -79,57 +85,62 @@
         }
     }
 
-    /// Tells a peer that starts what this dispatcher knows.
-    fn give_word(&mut self) {
+    /// Sends this dispatcher's state to a peer that is starting and has asked for it.
+    fn send_state_to_peer(&mut self) {
         let Some(peers) = &mut self.peers else { return };
         if !peers.wants_word(&self.poll, self.now) {
             return;
         }
-        let mut word = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
-        if self.known {
-            (word.serial, word.executors) = (self.resolver.serial(), self.executors.clone());
-            word.age = self.now.saturating_sub(self.heard_names);
+        let mut state = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
+        if self.list_known {
+            (state.serial, state.executors) = (self.resolver.serial(), self.executors.clone());
+            state.age = self.now.saturating_sub(self.names_heard_at);
         }
-        peers.give_word(&self.poll, self.now, word.written());
+        peers.give_word(&self.poll, self.now, state.to_json());
     }
 
-    /// No list is known, and the name service is silent.
-    fn seeks_list(&self) -> bool {
+    /// Returns whether the list has to come from a peer: none is known, and the name service has not answered for too long.
+    fn needs_list_from_peer(&self) -> bool {
         let silent = self.now >= self.started + Peers::patience() && self.counters.dns_answers.get() == 0;
-        self.peers.is_some() && !self.known && silent && !self.handover.waits() && self.draining.is_none()
+        self.peers.is_some()
+            && !self.list_known
+            && silent
+            && !self.handover.awaits_state()
+            && self.shutdown_started.is_none()
     }
 
-    /// Takes the list from a peer. Danger: a peer may say anything. Its list stands in until the name service speaks, whose
-    /// serials it does not touch; what it learned is taken where it fits these settings, and by its age.
-    fn seek_list(&mut self) {
-        if !self.seeks_list() {
+    /// Takes the executor list from a peer while the name service is silent. A peer's data is not trusted: its list is used
+    /// only until the name service answers and does not advance that service's serial; what the peer has learned is taken
+    /// only if its classes are the same, and is aged by the difference of the clocks.
+    fn take_list_from_peer(&mut self) {
+        if !self.needs_list_from_peer() {
             return;
         }
         let Some(peers) = &mut self.peers else { return };
-        let Some((from, word)) = peers.seek_list(&mut self.poll, self.now) else { return };
-        let behind = word.now.saturating_sub(self.now);
-        let fits = word.classes == self.settings.classes;
-        let learned = fits.then(|| word.learned.of_peer(behind)).flatten();
+        let Some((from, state)) = peers.seek_list(&mut self.poll, self.now) else { return };
+        let clock_ahead = state.now.saturating_sub(self.now);
+        let same_classes = state.classes == self.settings.classes;
+        let learned = same_classes.then(|| state.learned.of_peer(clock_ahead)).flatten();
         let learned = learned.is_some_and(|l| self.engine.inherit(self.now, l));
         info!(
             instance = self.config.name,
             peer = &*from,
-            serial = word.serial,
-            age_ms = word.age / 1_000,
-            executors = word.executors.len(),
+            serial = state.serial,
+            age_ms = state.age / 1_000,
+            executors = state.executors.len(),
             learned,
             "the name service is silent: goes on from a peer's list"
         );
-        self.resolver.offer(self.now, "peer", word.serial, word.executors);
-        (self.executors, self.known) = (self.resolver.in_use().to_vec(), true);
-        self.apply(&[]);
-        self.relist();
+        self.resolver.offer(self.now, "peer", state.serial, state.executors);
+        (self.executors, self.list_known) = (self.resolver.in_use().to_vec(), true);
+        self.apply_settings(&[]);
+        self.publish_list();
     }
 
-    /// Says farewell, unless another process of this dispatcher goes on under its name.
-    pub(super) fn part(&mut self) {
+    /// Leaves the group, unless a successor process goes on under the same member name.
+    pub(super) fn leave_peers(&mut self) {
         if let Some(peers) = &mut self.peers
-            && !self.handover.followed()
+            && !self.handover.has_successor()
         {
             peers.leave(self.now);
         }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,7 +1,10 @@
-//! New settings in a dispatcher that runs: read whole, checked whole, then told to every part.
+//! Reloads the configuration of a running dispatcher.
+//!
+//! Given a SIGHUP or new settings from the stream; reads and checks the whole configuration before any part uses it, so
+//! that a faulty one changes nothing.
 
 use super::Node;
-use super::limits::limits;
+use super::limits::derive_limits;
 use crate::config::{Config, Faults};
 use crate::counters::{count, say};
 use ochreward_stream::wire::Fault;
@@ -9,52 +12,52 @@
 use std::io;
 use tracing::warn;
 
-/// Why a new configuration is not taken; the old one stays in use.
+/// The reason why a new configuration was refused; the old one stays in use.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReloadError {
-    /// Its keys have faults.
+    /// Keys of the file are invalid.
     #[error(transparent)]
     Faulty(#[from] Faults),
-    /// Laid under the version that runs, its keys have faults.
+    /// Keys are invalid once the running version is applied over the file.
     #[error(
         "under the version that runs, {}: correct the keys that are named, in the file or in the next version",
-        told(.0)
+        fault_list(.0)
     )]
     Overlaid(Vec<Fault>),
-    /// It has no settings, and no version brings any.
+    /// The file has no settings, and no version provides any.
     #[error(
         "the settings are missing, and no version runs: put `settings` into the file, or publish a version"
     )]
     Bare,
-    /// The name service that it tells of can't be asked.
+    /// No socket could be opened to the name service that the file names.
     #[error("configuration, key 'names', {0}: name an address that can be reached from here")]
     Names(io::Error),
 }
 
-fn told(faults: &[Fault]) -> String {
+fn fault_list(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<String>>().join("; ")
 }
 
 impl Node {
-    /// Keeps a descriptor back, if none is kept.
-    pub(super) fn spare(&mut self) {
-        if self.spare.is_none() {
-            self.spare = File::open("/dev/null").ok();
+    /// Opens the reserve descriptor, if it is not open.
+    pub(super) fn reserve_descriptor(&mut self) {
+        if self.reserved_descriptor.is_none() {
+            self.reserved_descriptor = File::open("/dev/null").ok();
         }
     }
 
-    /// Reads the configuration again. Danger: a faulty one must cost nothing, so that nothing of it is taken
-    /// before all of it has been checked; and it must be read while clients hold all descriptors.
+    /// Rereads the configuration. A faulty one must change nothing, so none of it is used before all of it has been checked.
+    /// The reserve descriptor is released first, so that the file can be read while clients hold all the others.
     pub(super) fn reload(&mut self) {
-        drop(self.spare.take());
+        drop(self.reserved_descriptor.take());
         if let Some(front) = &mut self.stations
             && let Err(why) = front.reload(&mut self.poll, self.now)
         {
-            warn!(instance = self.config.name, %why, "the old users stay");
+            warn!(instance = self.config.name, %why, "the file of stations' users was not reloaded; the old users stay");
         }
         let outcome = Config::from_environment(self.stream.is_some())
             .map_err(ReloadError::from)
-            .and_then(|c| self.adopt(c));
+            .and_then(|c| self.adopt_config(c));
         match outcome {
             Ok(()) => {
                 count(&self.counters.reloads);
@@ -62,48 +65,53 @@
             }
             Err(why) => {
                 count(&self.counters.reloads_refused);
-                warn!(instance = self.config.name, %why, "the old configuration stays in use");
+                warn!(instance = self.config.name, %why, "the new configuration was refused; the old one stays in use");
             }
         }
-        self.spare();
+        self.reserve_descriptor();
     }
 
-    /// Goes on with a new configuration; requests, numbers and all that was learned stay.
-    pub(super) fn adopt(&mut self, mut config: Config) -> Result<(), ReloadError> {
+    /// Takes a new configuration into use; requests, counters and everything learned are kept.
+    pub(super) fn adopt_config(&mut self, mut config: Config) -> Result<(), ReloadError> {
         config.replaces(&self.config)?;
-        self.overlay(&mut config)?;
+        self.overlay_running_version(&mut config)?;
         self.resolver.move_to(&mut self.poll, config.names).map_err(ReloadError::Names)?;
         let (serial, executors) = std::mem::take(&mut config.known);
         self.config = config;
         self.adopt_settings();
-        self.stream_file();
+        self.update_own_file();
         if self.resolver.offer(self.now, "configuration", serial, executors) {
             self.list_changed();
         } else {
-            self.relist();
+            self.publish_list();
         }
         Ok(())
     }
 
-    /// Goes on with the configuration's settings; requests keep the classes that they came with.
+    /// Takes the configuration's settings into use; requests under way keep the classes that they came with.
     pub(super) fn adopt_settings(&mut self) {
-        let old = std::mem::replace(&mut self.settings, self.config.parts.settings.clone());
-        let used = self.engine.classes_in_use();
-        let fresh = self.settings.follow((&old.classes, &old.module.classes), &used);
-        self.settings.longest = self.settings.longest.max(old.longest);
-        self.apply(&fresh);
+        let old_settings = std::mem::replace(&mut self.settings, self.config.parts.settings.clone());
+        let in_use = self.engine.classes_in_use();
+        let new_places = self.settings.follow((&old_settings.classes, &old_settings.module.classes), &in_use);
+        self.settings.longest = self.settings.longest.max(old_settings.longest);
+        self.apply_settings(&new_places);
     }
 
-    /// Has all parts go by the settings, and by whether another process shares the limits.
-    pub(super) fn apply(&mut self, fresh: &[usize]) {
-        let shared = self.handover.shared();
-        let (bounds, pool_limits, front_limits, _) =
-            limits(&self.config, &self.settings, shared, self.listen.as_ref().map_or(0, |l| l.connections));
+    /// Applies the settings and limits to all parts. `new_places` holds the places of classes that are new; limits are halved
+    /// while another process of this dispatcher runs.
+    pub(super) fn apply_settings(&mut self, new_places: &[usize]) {
+        let shared = self.handover.other_process_runs();
+        let (bounds, pool_limits, front_limits, _) = derive_limits(
+            &self.config,
+            &self.settings,
+            shared,
+            self.station_options.as_ref().map_or(0, |o| o.connections),
+        );
         let mut module = self.settings.module.clone();
-        // The ration of orders passes to the successor with all that counts against it; one that was told
-        // nothing orders nothing while the other process may.
-        module.orders &= !shared || !(self.handover.followed() || self.handover.untold());
-        self.engine.configure(&module, fresh, bounds);
+        // Only one process may order loads: the ration passes to the successor together with the loads that count against
+        // it, and a successor without the predecessor's state orders none until that process has ended.
+        module.orders &= !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
+        self.engine.configure(&module, new_places, bounds);
         self.pool.bound(pool_limits);
         self.thrift.bound(self.now, front_limits);
     }
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -1,59 +1,64 @@
-//! From SIGTERM to the end: what is still taken, what is awaited, and what is given up.
+//! The steps of a shutdown, from SIGTERM to the end of the process.
+//!
+//! Given the time of SIGTERM; decides until when requests are taken, how long open ones are awaited, and when unsettled
+//! ones are answered as failed. Bounded by the longest class deadline and, for brokers, by [`MAX_SHUTDOWN_US`].
 
 use super::Node;
 use crate::front::stations;
 
-/// After SIGTERM, requests keep coming for this long and are served as always.
-const GRACE: u64 = 750_000;
-/// What is still unsettled this long after SIGTERM and the longest time of a class is given up: the kill, which would
-/// leave it without an answer, comes 0.7 s after that time.
-const SETTLED: u64 = 400_000;
-/// The longest time of a class counts as this at the most.
-const MOST_LONGEST: u64 = 3_000_000;
-/// Requests are taken until this long before the longest time is over: most are answered sooner.
-pub(super) const LAST_CALLS: u64 = 500_000;
-/// What brokers have not taken this long after SIGTERM is given up.
-const PATIENCE: u64 = 30_000_000;
+/// After SIGTERM, requests keep arriving for this long and are served as usual.
+const ACCEPT_GRACE_US: u64 = 750_000;
+/// Requests that are still open this long after SIGTERM plus the longest class deadline are answered as failed: the
+/// platform's kill, which would leave them without an answer, comes 0.7 s after that deadline.
+const FAIL_OPEN_AFTER_US: u64 = 400_000;
+/// The cap on the longest class deadline, as the platform counts it at a stop.
+const MAX_COUNTED_DEADLINE_US: u64 = 3_000_000;
+/// Requests are taken until this long before the longest class deadline, counted from SIGTERM, has passed: most are answered
+/// sooner than this.
+pub(super) const LAST_REQUESTS_US: u64 = 500_000;
+/// The process ends this long after SIGTERM at the latest, with whatever brokers have not acknowledged by then.
+const MAX_SHUTDOWN_US: u64 = 30_000_000;
 
 impl Node {
-    /// When the end has its next step, once it has begun.
-    pub(super) fn shutdown_due(&self) -> Option<u64> {
-        let ends = |since| [since + GRACE, since + self.longest() + SETTLED];
-        self.draining.and_then(|s| ends(s).into_iter().find(|end| *end > self.now))
+    /// Returns when the shutdown's next step is due, once it has started.
+    pub(super) fn shutdown_deadline(&self) -> Option<u64> {
+        let steps = |since| [since + ACCEPT_GRACE_US, since + self.longest_deadline() + FAIL_OPEN_AFTER_US];
+        self.shutdown_started.and_then(|s| steps(s).into_iter().find(|step| *step > self.now))
     }
 
-    /// The longest time of a class, as the platform counts it at a stop.
-    pub(super) fn longest(&self) -> u64 {
-        let live = self.settings.module.classes.iter().zip(&self.settings.retired);
-        let longest = live.filter(|(_, retired)| !**retired).map(|(c, _)| c.deadline).max();
-        longest.unwrap_or_default().min(MOST_LONGEST)
+    /// Returns the longest deadline of a class that is not retired, capped as the platform caps it at a stop.
+    pub(super) fn longest_deadline(&self) -> u64 {
+        let active_classes = self.settings.module.classes.iter().zip(&self.settings.retired);
+        let longest = active_classes.filter(|(_, retired)| !**retired).map(|(c, _)| c.deadline).max();
+        longest.unwrap_or_default().min(MAX_COUNTED_DEADLINE_US)
     }
 
-    pub(super) fn finished(&mut self) -> bool {
-        let Some(since) = self.draining else { return false };
-        if self.now < since + GRACE && !(self.handover.followed() && self.mqtt.is_empty()) {
+    /// Carries out the shutdown's steps that are due; returns whether the process may end.
+    pub(super) fn finish_shutdown(&mut self) -> bool {
+        let Some(since) = self.shutdown_started else { return false };
+        if self.now < since + ACCEPT_GRACE_US && !(self.handover.has_successor() && self.mqtt.is_empty()) {
             return false;
         }
         self.thrift.stop_listening(&mut self.poll, self.now);
-        self.thrift.leave(self.now, since + self.longest().saturating_sub(LAST_CALLS));
-        if self.now >= since + self.longest() + SETTLED {
+        self.thrift.leave(self.now, since + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
+        if self.now >= since + self.longest_deadline() + FAIL_OPEN_AFTER_US {
             self.thrift.shut(&self.poll);
             self.engine.give_up(self.now);
-            self.settle();
+            self.deliver_messages();
         }
         self.mqtt.stop();
         if let Some(front) = &mut self.stations {
             front.stop(&self.poll);
         }
-        let settled = self.engine.owed() == 0
+        let all_settled = self.engine.owed() == 0
             && !self.thrift.listens()
             && !self.thrift.unsent()
             && self.thrift.left(self.now)
             && self.mqtt.settled()
             && self.stations.as_ref().is_none_or(stations::Front::settled);
-        let over = settled || self.now >= since + PATIENCE;
+        let over = all_settled || self.now >= since + MAX_SHUTDOWN_US;
         if over {
-            self.part();
+            self.leave_peers();
             self.mqtt.leave(&self.poll);
             if let Some(front) = &mut self.stations {
                 front.leave(&mut self.poll, self.now);
--- a/src/node/versions.rs
+++ b/src/node/versions.rs
@@ -1,19 +1,19 @@
-//! What a streamed version changes in a dispatcher that runs.
+//! Applies streamed configuration versions to a running dispatcher.
 //!
-//! What the version says goes over the instance's own file, whichever of the two changed last: a SIGHUP reads the file
-//! again under the version that runs, and a version that is being checked when the file changes is checked again. A
-//! file that does not fit under the running version is refused like one with a fault.
+//! A version is applied over the instance's own file, whichever of the two changed last: a SIGHUP rereads the file under
+//! the running version, and a version that is being checked when the file changes is checked again. A file that is invalid
+//! under the running version is refused like any other faulty file.
 
 use super::reload::ReloadError;
-use super::{KEEPER, Node, STREAM};
+use super::{Node, STREAM, VERSION_THREAD};
 use crate::api::WorkerId;
 use crate::config::version::Effective;
-use crate::config::{Config, Parts, Stream as Told};
+use crate::config::{Config, Parts, Stream as StreamConfig};
 use crate::counters::Counters;
 use crate::front::mqtt;
 use crate::net::{Poll, Ready};
-use crate::versions::rules::{self, Grounds, Usage};
-use crate::versions::{News, Start, Stream, read};
+use crate::versions::rules::{self, CheckContext, Usage};
+use crate::versions::{ConfigStream, StartOptions, StreamEvent, read};
 use ochreward_stream::wire::Code;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -22,57 +22,58 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// What a stream brings to a start.
+/// The stream, and what its stored version adds to the configuration at the start.
 #[derive(Default)]
-pub(super) struct Begun {
-    pub stream: Option<Stream>,
+pub(super) struct StreamStart {
+    pub stream: Option<ConfigStream>,
     pub bans: BTreeSet<WorkerId>,
     pub brokers: Option<Vec<mqtt::Options>>,
 }
 
-/// Starts the stream, and has the configuration say what the stored version says.
-pub(super) fn begin(
+/// Starts the stream, and applies the stored version to the configuration.
+pub(super) fn start_stream(
     poll: &mut Poll,
     now: u64,
     config: &mut Config,
-    (told, own): (&Told, Arc<Value>),
-    dormant: bool,
+    (stream_config, own_file): (&StreamConfig, Arc<Value>),
+    standby: bool,
     counters: &Rc<Counters>,
-) -> io::Result<Begun> {
-    let start = Start {
-        told,
-        own: own.clone(),
+) -> io::Result<StreamStart> {
+    let start = StartOptions {
+        config: stream_config,
+        own_file: own_file.clone(),
         name: &config.name,
         folder: config.folder.clone(),
-        memory: config.parts.resources.memory,
+        memory_bytes: config.parts.resources.memory,
         has_base: !config.bare,
         seed: config.seed ^ u64::from(std::process::id()) << 32,
-        dormant,
+        standby,
     };
-    let (mut stream, stored) = Stream::new(poll, (STREAM, KEEPER), now, start, counters.clone())?;
-    let mut begun = Begun::default();
-    match stored.as_ref().map(|s| (s.version, read(Some(s), &own))) {
+    let (mut stream, stored) =
+        ConfigStream::new(poll, (STREAM, VERSION_THREAD), now, start, counters.clone())?;
+    let mut started = StreamStart::default();
+    match stored.as_ref().map(|s| (s.version, read(Some(s), &own_file))) {
         Some((version, Ok(effective))) => {
-            info!(instance = config.name, %version, "starts on the last good version");
+            info!(instance = config.name, %version, "starting on the last good version");
             config.parts = effective.parts;
-            begun.bans = ids(effective.bans);
-            begun.brokers = effective.fronts;
+            started.bans = ids(effective.bans);
+            started.brokers = effective.fronts;
         }
         Some((version, Err(faults))) => {
             let fault = faults.first().map(ToString::to_string).unwrap_or_default();
-            warn!(instance = config.name, %version, fault, "the last good version does not fit the file");
-            stream.disown(now);
+            warn!(instance = config.name, %version, fault, "the last good version is invalid over the instance's own file and is not used");
+            stream.discard_stored_version(now);
         }
         None if config.bare => {
             warn!(
                 instance = config.name,
-                "there are no settings, in the file or stored: not ready until some come"
+                "no settings in the file or in a stored version: not ready until a version arrives"
             )
         }
-        None => info!(instance = config.name, "starts on its own file: no version is stored"),
+        None => info!(instance = config.name, "no version is stored: starting on the instance's own file"),
     }
-    begun.stream = Some(stream);
-    Ok(begun)
+    started.stream = Some(stream);
+    Ok(started)
 }
 
 fn ids(bans: Vec<String>) -> BTreeSet<WorkerId> {
@@ -80,90 +81,94 @@
 }
 
 impl Node {
-    /// The instance's own file, as versions are laid over it.
+    /// Returns the content of the instance's own file, which versions are applied over.
     pub(super) fn own_file(config: &Config) -> Arc<Value> {
         Arc::new(config.told().clone())
     }
 
-    /// What a version is held against at this moment.
-    fn grounds(&self) -> Grounds {
-        let names =
+    /// Returns what a version is checked against: the platform's file, the running settings and what is in use now.
+    fn version_check_context(&self) -> CheckContext {
+        let classes =
             self.engine.classes_in_use().into_iter().filter_map(|p| self.settings.classes.get(p).cloned());
         let usage = Usage {
-            classes: names.collect(),
+            classes: classes.collect(),
             requests: self.engine.owed(),
             descriptors: self.thrift.connections()
                 + self.pool.connections()
                 + self.stations.as_ref().map_or(0, crate::front::stations::Front::connections),
-            held: self.engine.held_bytes(),
+            held_bytes: self.engine.held_bytes(),
         };
         let platform = if self.config.bare { None } else { Parts::read(self.config.told()).ok() };
-        Grounds { platform, running: (!self.unconfigured).then(|| self.settings.clone()), usage }
+        CheckContext { platform, running: (!self.unconfigured).then(|| self.settings.clone()), usage }
     }
 
-    pub(super) fn stream_advance(&mut self) {
+    /// Advances the stream, and handles its events.
+    pub(super) fn advance_stream(&mut self) {
         if let Some(stream) = &mut self.stream {
             stream.advance(&mut self.poll, self.now);
-            self.stream_news();
+            self.handle_stream_events();
         }
     }
 
-    pub(super) fn stream_ready(&mut self, ready: Ready) {
+    /// Handles a ready descriptor of the stream, and its events.
+    pub(super) fn handle_stream_ready(&mut self, ready: Ready) {
         if let Some(stream) = &mut self.stream {
             stream.ready(&mut self.poll, self.now, ready);
-            self.stream_news();
+            self.handle_stream_events();
         }
     }
 
-    fn stream_news(&mut self) {
+    /// Handles the stream's events until none is left: answering one may cause more.
+    fn handle_stream_events(&mut self) {
         while let Some(stream) = &mut self.stream
-            && !stream.news.is_empty()
+            && !stream.events.is_empty()
         {
-            for news in std::mem::take(&mut stream.news) {
-                match news {
-                    News::Check(ticket, snapshot) => {
-                        let grounds = self.grounds();
+            for event in std::mem::take(&mut stream.events) {
+                match event {
+                    StreamEvent::Check(ticket, snapshot) => {
+                        let context = self.version_check_context();
                         if let Some(stream) = &self.stream {
-                            stream.check(ticket, snapshot, grounds);
+                            stream.check(ticket, snapshot, context);
                         }
                     }
-                    News::Apply(ticket, effective) => {
-                        // What is in use may have changed since the check.
-                        let broken = rules::broken(&self.grounds(), &effective.parts);
-                        let result = if broken.is_empty() { Ok(()) } else { Err((Code::Invalid, broken)) };
+                    StreamEvent::Apply(ticket, effective) => {
+                        // What is in use may have changed since the check in the background.
+                        let violations = rules::violations(&self.version_check_context(), &effective.parts);
+                        let result =
+                            if violations.is_empty() { Ok(()) } else { Err((Code::Invalid, violations)) };
                         if result.is_ok() {
-                            self.run_by(*effective);
+                            self.apply_version(*effective);
                         }
                         if let Some(stream) = &mut self.stream {
                             stream.applied(&mut self.poll, self.now, ticket, result);
                         }
                     }
-                    News::Return(effective) => self.run_by(*effective),
+                    StreamEvent::RollBack(effective) => self.apply_version(*effective),
                 }
             }
         }
     }
 
-    /// Goes on with what a version says; requests, numbers and all that was learned stay.
-    fn run_by(&mut self, effective: Effective) {
+    /// Takes a version into use; requests, counters and everything learned are kept.
+    fn apply_version(&mut self, effective: Effective) {
         self.config.parts = effective.parts;
         self.adopt_settings();
-        let old = std::mem::replace(&mut self.streamed_bans, ids(effective.bans));
-        // Who was left out may have been restarted meanwhile: it counts as started now.
-        let back: Vec<WorkerId> = old.difference(&self.streamed_bans).cloned().collect();
-        for id in back.into_iter().filter(|id| !self.bans.holds(id)) {
-            self.attached.insert(id, self.now);
+        let old_bans = std::mem::replace(&mut self.version_bans, ids(effective.bans));
+        // An executor may have been restarted during its ban, so it counts as started now.
+        let lifted: Vec<WorkerId> = old_bans.difference(&self.version_bans).cloned().collect();
+        for id in lifted.into_iter().filter(|id| !self.bans.contains(id)) {
+            self.ban_lifted_at.insert(id, self.now);
         }
-        self.relist();
-        self.streamed_brokers = effective.fronts;
-        self.trigger();
+        self.publish_list();
+        self.version_brokers = effective.fronts;
+        self.connect_brokers();
         self.unconfigured = false;
-        self.open();
-        self.obey();
+        self.update_accepting();
+        self.answer_operators();
     }
 
-    /// Lays the version that runs over a file that was read again; nothing is changed yet.
-    pub(super) fn overlay(&self, config: &mut Config) -> Result<(), ReloadError> {
+    /// Applies the running version to a reread file; the dispatcher itself is not changed yet.
+    pub(super) fn overlay_running_version(&self, config: &mut Config) -> Result<(), ReloadError> {
         let Some(stream) = &self.stream else { return Ok(()) };
         if stream.running().is_some() {
             let effective = read(stream.running(), config.told()).map_err(ReloadError::Overlaid)?;
@@ -174,28 +179,30 @@
         Ok(())
     }
 
-    /// The instance's own file was read again, and is in use.
-    pub(super) fn stream_file(&mut self) {
+    /// Passes the instance's own file to the stream after a reload.
+    pub(super) fn update_own_file(&mut self) {
         let Some(stream) = &mut self.stream else { return };
-        stream.own_file(Node::own_file(&self.config));
+        stream.set_own_file(Node::own_file(&self.config));
         if !self.config.bare {
             self.unconfigured = false;
-            self.open();
+            self.update_accepting();
         }
     }
 
-    /// Beside another process of this dispatcher: runs what that one runs.
-    pub(super) fn stream_follow(&mut self) {
-        let Some(followed) = self.stream.as_mut().and_then(Stream::follow) else { return };
-        match read(followed.as_ref(), &Node::own_file(&self.config)) {
-            Ok(effective) => self.run_by(*effective),
-            Err(faults) => warn!(fault = ?faults.first(), "what the other process runs can't be read here"),
+    /// Takes the version into use that the other process of this dispatcher runs, if that has changed.
+    pub(super) fn follow_other_process_version(&mut self) {
+        let Some(running) = self.stream.as_mut().and_then(ConfigStream::follow) else { return };
+        match read(running.as_ref(), &Node::own_file(&self.config)) {
+            Ok(effective) => self.apply_version(*effective),
+            Err(faults) => {
+                warn!(fault = ?faults.first(), "the version that the other process runs can't be read here")
+            }
         }
     }
 
-    /// The other process has gone.
-    pub(super) fn stream_take_over(&mut self) {
-        self.stream_follow();
+    /// Takes the stream over after the other process has ended.
+    pub(super) fn take_over_stream(&mut self) {
+        self.follow_other_process_version();
         if let Some(stream) = &mut self.stream {
             stream.take_over(self.now);
         }
--- a/src/node/zones.rs
+++ b/src/node/zones.rs
@@ -1,11 +1,14 @@
-//! Zones: what the machine is told of attempts and of others, and what the module is told of it.
+//! Connects the zones' state machine with attempts, peers and operators.
+//!
+//! Given the core's traces of attempts and the peers that are up; counts the results, sends the messages that the state
+//! machine emits, and passes operators' orders on zones to it.
 
 use super::Node;
 use crate::zones::{self, Order, View, ZoneError};
 
 impl Node {
-    /// Takes what became of attempts, does what is due.
-    pub(super) fn zones_advance(&mut self) {
+    /// Feeds the outcomes of attempts to the zones' state machine, and runs its timer if due.
+    pub(super) fn advance_zones(&mut self) {
         let Some(zones) = &mut self.zones else { return };
         for trace in self.engine.traces.drain(..) {
             zones.seen(self.now, trace);
@@ -34,8 +37,8 @@
         self.counters.zones_moves.set(moves);
     }
 
-    /// An operator's word on a zone.
-    pub(super) fn zone_said(&mut self, zone: &str, order: Option<(Order, u64)>) -> (u16, String) {
+    /// Carries out an operator's order on a zone; returns the status and text of the answer.
+    pub(super) fn order_zone(&mut self, zone: &str, order: Option<(Order, u64)>) -> (u16, String) {
         let said = match &mut self.zones {
             Some(zones) => zones.say(self.now, zone, order),
             None => Err(ZoneError::Off),
@@ -46,8 +49,8 @@
         }
     }
 
-    /// When the above next has something to do.
-    pub(super) fn zones_due(&self) -> u64 {
+    /// Returns when the zones' timer is next due.
+    pub(super) fn zones_deadline(&self) -> u64 {
         self.zones.as_ref().map_or(u64::MAX, zones::Zones::due)
     }
 }
--- a/src/versions/keeper.rs
+++ b/src/versions/keeper.rs
@@ -1,7 +1,7 @@
-//! The thread that does for versions what would hold up the loop: reading megabytes of JSON, holding them against the
-//! rules, writing and syncing files. One job after the other; the loop is woken when one is done.
+//! The thread for work on versions that would block the event loop: parsing megabytes of JSON, checking them against the
+//! rules, writing and syncing files. Jobs run one after the other; each result wakes the loop.
 
-use super::rules::{self, Grounds};
+use super::rules::{self, CheckContext};
 use crate::config::version::{Effective, effective};
 use crate::net::{Poll, Worker};
 use ochreward_stream::last_good::LastGood;
@@ -12,78 +12,80 @@
 use std::io;
 use std::sync::Arc;
 
-/// What is to be done.
+/// A job for the thread.
 pub enum Job {
-    /// Read a version over the instance's own file, hold it against the rules, and keep it as the one on trial.
-    Check(Ticket, Arc<Snapshot>, Arc<Value>, Box<Grounds>),
-    /// Read the version to go back to, and forget the one on trial.
-    Return(Option<Arc<Snapshot>>, Arc<Value>),
-    /// The version on trial is the last good one.
+    /// Read a version over the instance's own file, check it against the rules, and store it as the one on trial.
+    Check(Ticket, Arc<Snapshot>, Arc<Value>, Box<CheckContext>),
+    /// Read the version to roll back to, and delete the one on trial.
+    RollBack(Option<Arc<Snapshot>>, Arc<Value>),
+    /// Store the version on trial as the last good one.
     Promote(Version),
-    /// Keep what is remembered.
-    Remember(Memory),
+    /// Store the subscriber's memory.
+    SaveMemory(Memory),
 }
 
-/// What a check came to: what is to run, or why not.
-pub type Checked = Result<Box<Effective>, (Code, Vec<Fault>)>;
+/// The outcome of a check: the configuration to run, or why the version is refused.
+pub type CheckOutcome = Result<Box<Effective>, (Code, Vec<Fault>)>;
 
-/// What came of a job.
-pub enum Done {
-    /// Of a check: what is to run, or why not; and the file that it was read over.
-    Checked(Ticket, Arc<Snapshot>, Arc<Value>, Checked),
-    /// What to go back to.
-    Returned(Result<Box<Effective>, Vec<Fault>>),
-    /// A file could not be written: what, and why.
-    Unkept(&'static str, io::Error),
+/// The result of a job.
+pub enum JobResult {
+    /// The outcome of a check, with the own file that the version was read over.
+    Checked(Ticket, Arc<Snapshot>, Arc<Value>, CheckOutcome),
+    /// The configuration to roll back to.
+    RolledBack(Result<Box<Effective>, Vec<Fault>>),
+    /// A file could not be written: what it holds, and why.
+    WriteFailed(&'static str, io::Error),
 }
 
-/// The loop's side of the thread.
-pub type Keeper = Worker<Job, Done>;
+/// The event loop's handle of the thread.
+pub type VersionThread = Worker<Job, JobResult>;
 
 /// Starts the thread.
-pub fn start(poll: &mut Poll, owner: u8, files: Option<LastGood>) -> io::Result<Keeper> {
-    Worker::start(poll, (owner, 0), "versions", move |job| work(files.as_ref(), job))
+pub fn start(poll: &mut Poll, owner: u8, files: Option<LastGood>) -> io::Result<VersionThread> {
+    Worker::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
 }
 
-fn work(files: Option<&LastGood>, job: Job) -> Option<Done> {
-    let kept = |what, result: io::Result<()>| result.err().map(|e| Done::Unkept(what, e));
+/// Runs one job; returns its result if the loop has to act on it.
+fn run_job(files: Option<&LastGood>, job: Job) -> Option<JobResult> {
+    let write_failed = |what, result: io::Result<()>| result.err().map(|e| JobResult::WriteFailed(what, e));
     match job {
-        Job::Check(ticket, snapshot, told, grounds) => {
-            let checked = check(&snapshot, &told, &grounds).and_then(|effective| {
-                // Written ahead: what runs can be found again whatever happens from here on.
+        Job::Check(ticket, snapshot, own_file, context) => {
+            let checked = check(&snapshot, &own_file, &context).and_then(|effective| {
+                // Stored before it is used, so that the running version can be found again after a crash.
                 let written = files.map_or(Ok(()), |f| f.put_on_trial(&snapshot));
-                let unkept = |e: io::Error| {
+                let write_error = |e: io::Error| {
                     let why = format!("can't be kept: {e}");
                     (Code::Failed, vec![Fault { key: "(the whole)".to_string(), why }])
                 };
-                written.map_err(unkept).map(|()| effective)
+                written.map_err(write_error).map(|()| effective)
             });
-            Some(Done::Checked(ticket, snapshot, told, checked))
+            Some(JobResult::Checked(ticket, snapshot, own_file, checked))
         }
-        Job::Return(snapshot, told) => {
+        Job::RollBack(snapshot, own_file) => {
             let discarded = files.map_or(Ok(()), LastGood::discard_trial);
             if let Err(e) = discarded {
-                tracing::warn!(reason = %e, "the version on trial could not be removed");
+                tracing::warn!(reason = %e, "the file of the version on trial could not be removed");
             }
-            Some(Done::Returned(read(snapshot.as_deref(), &told)))
+            Some(JobResult::RolledBack(read(snapshot.as_deref(), &own_file)))
         }
-        Job::Promote(_) => kept("the last good version", files.map_or(Ok(()), LastGood::promote)),
-        Job::Remember(memory) => {
-            kept("what is remembered of the service", files.map_or(Ok(()), |f| f.remember(&memory)))
+        Job::Promote(_) => write_failed("the last good version", files.map_or(Ok(()), LastGood::promote)),
+        Job::SaveMemory(memory) => {
+            write_failed("what is remembered of the service", files.map_or(Ok(()), |f| f.remember(&memory)))
         }
     }
 }
 
-/// Reads a version, or nothing but the instance's own file.
-pub fn read(snapshot: Option<&Snapshot>, told: &Value) -> Result<Box<Effective>, Vec<Fault>> {
+/// Reads a version over the instance's own file, or that file alone; returns the effective configuration.
+pub fn read(snapshot: Option<&Snapshot>, own_file: &Value) -> Result<Box<Effective>, Vec<Fault>> {
     let texts = snapshot.map(Snapshot::texts).unwrap_or_default();
     let faults =
         |f: crate::config::Faults| f.0.into_iter().map(|e| Fault { key: e.key, why: e.why }).collect();
-    effective(told, &texts).map(Box::new).map_err(faults)
+    effective(own_file, &texts).map(Box::new).map_err(faults)
 }
 
-fn check(snapshot: &Snapshot, told: &Value, grounds: &Grounds) -> Checked {
-    let effective = read(Some(snapshot), told).map_err(|faults| (Code::Invalid, faults))?;
-    let broken = rules::broken(grounds, &effective.parts);
-    if broken.is_empty() { Ok(effective) } else { Err((Code::Invalid, broken)) }
+/// Reads a version and checks it against the rules.
+fn check(snapshot: &Snapshot, own_file: &Value, context: &CheckContext) -> CheckOutcome {
+    let effective = read(Some(snapshot), own_file).map_err(|faults| (Code::Invalid, faults))?;
+    let violations = rules::violations(context, &effective.parts);
+    if violations.is_empty() { Ok(effective) } else { Err((Code::Invalid, violations)) }
 }
--- a/src/versions/mod.rs
+++ b/src/versions/mod.rs
@@ -1,9 +1,12 @@
-//! Streamed configuration, the dispatcher's end: what may run ([`rules`]), the thread that reads and keeps versions
-//! ([`Keeper`]), and the connection to the control service ([`Stream`]).
+//! Streamed configuration, on the dispatcher's side.
+//!
+//! [`ConfigStream`] holds the connection to the control service and the subscriber's state machine, [`rules`] says which
+//! versions may run, and a thread ([`VersionThread`]) reads, checks and stores versions, so that none of this blocks the
+//! event loop. A version's size is bounded by a part of the memory limit.
 
 mod keeper;
 pub mod rules;
 mod stream;
 
-pub use keeper::{Done, Keeper, read};
-pub use stream::{News, Start, Stream};
+pub use keeper::{JobResult, VersionThread, read};
+pub use stream::{ConfigStream, StartOptions, StreamEvent};
--- a/src/versions/rules/tests.rs
+++ b/src/versions/rules/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::{Value, json};
 
-fn file() -> Value {
+fn platform_file() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "promise_us": 1, "deadline_us": 2_000_000,
                 "repeat_window_us": 1_000_000})
@@ -19,27 +19,27 @@
                     "loads_per_request": 0.3}}})
 }
 
-fn parts(value: &Value) -> Parts {
+fn parse(value: &Value) -> Parts {
     Parts::read(value).expect("a good file")
 }
 
-fn grounds() -> Grounds {
-    let own = parts(&file());
+fn check_context() -> CheckContext {
+    let own = parse(&platform_file());
     let classes = ["flow-read", "level-log", "alert-send"].map(String::from).into();
-    let usage = Usage { classes, requests: 40, descriptors: 50, held: 3 << 20 };
-    Grounds { platform: Some(own.clone()), running: Some(own.settings), usage }
+    let usage = Usage { classes, requests: 40, descriptors: 50, held_bytes: 3 << 20 };
+    CheckContext { platform: Some(own.clone()), running: Some(own.settings), usage }
 }
 
-fn keys(grounds: &Grounds, change: impl FnOnce(&mut Value)) -> Vec<String> {
-    let mut value = file();
+fn violated_keys(context: &CheckContext, change: impl FnOnce(&mut Value)) -> Vec<String> {
+    let mut value = platform_file();
     change(&mut value);
-    broken(grounds, &parts(&value)).into_iter().map(|f| f.key).collect()
+    violations(context, &parse(&value)).into_iter().map(|f| f.key).collect()
 }
 
 #[test]
-fn each_rule_names_the_key_that_would_break_it() {
-    let g = grounds();
-    assert_eq!(keys(&g, |_| {}), [""; 0]);
+fn each_violated_rule_names_its_key() {
+    let context = check_context();
+    assert_eq!(violated_keys(&context, |_| {}), [""; 0]);
     let set =
         |pointer: &'static str, to: Value| move |v: &mut Value| *v.pointer_mut(pointer).expect("a key") = to;
     let cases = [
@@ -63,7 +63,7 @@
         ("/settings/kinds", json!([]), "settings.kinds"),
     ];
     for (pointer, to, key) in cases {
-        assert_eq!(keys(&g, set(pointer, to.clone())), [key], "{pointer} {to}");
+        assert_eq!(violated_keys(&context, set(pointer, to.clone())), [key], "{pointer} {to}");
     }
     let narrower = [
         ("/settings/family_info/loads_anyway", json!(5)),
@@ -73,42 +73,42 @@
         ("/settings/lanes/0/effect", json!("at_most_once")),
     ];
     for (pointer, to) in narrower {
-        assert_eq!(keys(&g, set(pointer, to)), [""; 0], "{pointer}");
+        assert_eq!(violated_keys(&context, set(pointer, to)), [""; 0], "{pointer}");
     }
 }
 
 #[test]
-fn a_class_in_use_must_be_retired_before_it_goes() {
+fn a_class_in_use_must_be_retired_before_removal() {
     let remove = |v: &mut Value| drop(v["settings"]["lanes"].as_array_mut().map(|l| l.remove(0)));
-    let mut g = grounds();
-    assert_eq!(keys(&g, remove), ["settings.lanes[flow-read]"]);
-    assert_eq!(keys(&g, |v| v["settings"]["lanes"][0]["retired"] = json!(true)), [""; 0]);
-    if let Some(running) = &mut g.running {
+    let mut context = check_context();
+    assert_eq!(violated_keys(&context, remove), ["settings.lanes[flow-read]"]);
+    assert_eq!(violated_keys(&context, |v| v["settings"]["lanes"][0]["retired"] = json!(true)), [""; 0]);
+    if let Some(running) = &mut context.running {
         running.retired[0] = true;
     }
-    assert_eq!(keys(&g, remove), [""; 0]);
-    g = grounds();
-    g.usage.classes.remove("flow-read");
-    assert_eq!(keys(&g, remove), [""; 0]);
+    assert_eq!(violated_keys(&context, remove), [""; 0]);
+    context = check_context();
+    context.usage.classes.remove("flow-read");
+    assert_eq!(violated_keys(&context, remove), [""; 0]);
 }
 
 #[test]
-fn the_drain_rule_is_the_platform_s_own() {
-    let mut wide = file();
+fn the_drain_limit_is_taken_from_the_platform_s_file() {
+    let mut wide = platform_file();
     wide["settings"]["rules"]["stop_sending_within_us"] = json!(2_000_000);
-    let mut g = grounds();
-    g.platform = Some(parts(&wide));
+    let mut context = check_context();
+    context.platform = Some(parse(&wide));
     let set = |us: u64| move |v: &mut Value| v["settings"]["rules"]["stop_sending_within_us"] = json!(us);
-    assert_eq!(keys(&g, set(2_000_000)), [""; 0]);
-    assert_eq!(keys(&g, set(2_000_001)), ["settings.rules.stop_sending_within_us"]);
+    assert_eq!(violated_keys(&context, set(2_000_000)), [""; 0]);
+    assert_eq!(violated_keys(&context, set(2_000_001)), ["settings.rules.stop_sending_within_us"]);
 }
 
 #[test]
-fn without_a_file_of_the_platform_the_brief_s_own_figures_bind() {
-    let g = Grounds { platform: None, running: None, usage: Usage::default() };
-    assert_eq!(keys(&g, |_| {}), [""; 0]);
+fn default_limits_apply_without_a_platform_file() {
+    let context = CheckContext { platform: None, running: None, usage: Usage::default() };
+    assert_eq!(violated_keys(&context, |_| {}), [""; 0]);
     let wide = |v: &mut Value| v["settings"]["family_info"]["loads_anyway"] = json!(6.5);
-    assert_eq!(keys(&g, wide), ["settings.family_info.loads_anyway"]);
+    assert_eq!(violated_keys(&context, wide), ["settings.family_info.loads_anyway"]);
     let late = |v: &mut Value| v["settings"]["rules"]["stop_sending_within_us"] = json!(250_001);
-    assert_eq!(keys(&g, late), ["settings.rules.stop_sending_within_us"]);
+    assert_eq!(violated_keys(&context, late), ["settings.rules.stop_sending_within_us"]);
 }
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -1,9 +1,12 @@
-//! The connection to the control service, and the subscriber behind it. It carries the subscriber's steps out, but for
-//! those that change what runs: these are the program's to do, as [`News`].
+//! The connection to the control service, driven by the subscriber's state machine.
+//!
+//! Given the connection's input, the time and the results of the version thread; carries out the subscriber's steps, except
+//! those that change the running configuration: these are left to the caller as [`StreamEvent`]s. Two messages fit into
+//! each buffer, and the size of a version is bounded by the memory limit and [`MAX_VERSION_BYTES`].
 
-use super::keeper::{self, Done, Job, Keeper};
-use super::rules::Grounds;
-use crate::config::{Stream as Told, version::Effective};
+use super::keeper::{self, Job, JobResult, VersionThread};
+use super::rules::CheckContext;
+use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
 use crate::net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
 use ochreward_stream::last_good::LastGood;
@@ -20,18 +23,18 @@
 use std::time::SystemTime;
 use tracing::{info, warn};
 
-/// Room for messages of the service, and for ours.
-const IN: usize = 2 * (MOST_FRAME + 4);
-const OUT: usize = 2 * (MOST_FRAME + 4);
-/// The largest version taken, whatever the memory.
-const MOST_VERSION: u64 = 16 << 20;
-/// Its part of the memory.
-const MEMORY_PART: usize = 8;
+/// The sizes of the buffers for received and sent messages, in bytes.
+const INPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
+const OUTPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
+/// The largest version accepted, whatever the memory limit.
+const MAX_VERSION_BYTES: u64 = 16 << 20;
+/// A version may take the memory limit divided by this.
+const VERSION_MEMORY_DIVISOR: usize = 8;
 
-/// Takes messages off the connection.
-struct Frames;
+/// Parses the messages of the connection.
+struct FrameParser;
 
-impl Callbacks for Frames {
+impl Callbacks for FrameParser {
     type Out = Vec<FromService>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
@@ -46,255 +49,265 @@
     }
 }
 
-/// What the program must do.
-pub enum News {
-    /// Say how things stand, by `check`: a version has come.
+/// An action for the caller.
+pub enum StreamEvent {
+    /// A version has arrived: call `check` with what it is to be checked against.
     Check(Ticket, Arc<Snapshot>),
-    /// Hold a version against the rules, as things stand now, and take it into use; then say so by `applied`.
+    /// Check a version against the rules as of now, take it into use, and report the result with `applied`.
     Apply(Ticket, Box<Effective>),
-    /// Go back to this, whatever stands against it.
-    Return(Box<Effective>),
+    /// Roll back to this configuration without checking it.
+    RollBack(Box<Effective>),
 }
 
-/// What a stream starts with.
-pub struct Start<'a> {
-    /// What the operator's file says.
-    pub told: &'a Told,
-    /// The instance's own file.
-    pub own: Arc<Value>,
+/// The parameters of a new stream.
+pub struct StartOptions<'a> {
+    /// The stream's section of the operator's file.
+    pub config: &'a StreamConfig,
+    /// The content of the instance's own file.
+    pub own_file: Arc<Value>,
     /// The instance's name.
     pub name: &'a str,
-    /// The folder that outlives the process, if there is one.
+    /// The folder for stored state, if there is one.
     pub folder: Option<PathBuf>,
     /// The memory that the process may use, in bytes.
-    pub memory: usize,
-    /// There is something to run without any version.
+    pub memory_bytes: usize,
+    /// Whether the own file has settings, so that the instance can run without any version.
     pub has_base: bool,
-    /// For random waits.
+    /// The seed for random backoff.
     pub seed: u64,
-    /// Another process of the instance serves: this one follows its files, and connects when it is gone.
-    pub dormant: bool,
+    /// Whether another process of the instance has the stream: this one then follows its files, and connects once it ends.
+    pub standby: bool,
 }
 
-/// The stream.
-pub struct Stream {
+/// The subscription to the control service.
+pub struct ConfigStream {
     options: Options,
     subscriber: Subscriber,
-    link: Option<Link<Frames>>,
+    link: Option<Link<FrameParser>>,
     owner: u8,
-    keeper: Keeper,
+    thread: VersionThread,
     files: Option<LastGood>,
     /// Whether another process of the instance has the stream.
-    dormant: bool,
-    /// The files as they were last read, while dormant.
-    seen: Vec<Option<(SystemTime, u64)>>,
+    standby: bool,
+    /// The modification times and sizes of the files when they were last read on standby.
+    file_stamps: Vec<Option<(SystemTime, u64)>>,
     folder: Option<PathBuf>,
-    /// Versions that were checked, as they were read; applied in this order.
-    ready: VecDeque<(Ticket, Box<Effective>)>,
-    said: Vec<FromService>,
-    /// The instance's own file, as it stands.
-    told: Arc<Value>,
-    /// What the program must do, in order.
-    pub news: Vec<News>,
+    /// Versions that passed the check, in the order in which they are to be applied.
+    checked: VecDeque<(Ticket, Box<Effective>)>,
+    /// The buffer for received messages, kept for its capacity.
+    received: Vec<FromService>,
+    /// The current content of the instance's own file.
+    own_file: Arc<Value>,
+    /// Actions for the caller, in order.
+    pub events: Vec<StreamEvent>,
     counters: Rc<Counters>,
 }
 
-impl Stream {
-    /// Reads what is kept, and starts the thread; the version to run, if there is one.
+impl ConfigStream {
+    /// Reads the stored state and starts the thread; returns the stream and the stored version to run, if there is one.
     pub fn new(
         poll: &mut Poll,
-        (owner, keeper_owner): (u8, u8),
+        (owner, thread_owner): (u8, u8),
         now: u64,
-        start: Start,
+        start: StartOptions,
         counters: Rc<Counters>,
-    ) -> io::Result<(Stream, Option<Snapshot>)> {
-        let told = start.told;
-        // Several instances may be told by one file.
-        let own = told.folder.as_ref().map(|f| f.join(start.name));
-        let folder = own.or(start.folder.map(|f| f.join("versions")));
+    ) -> io::Result<(ConfigStream, Option<Snapshot>)> {
+        let config = start.config;
+        // Several instances may share one operator's file, so each has its own subfolder.
+        let configured = config.folder.as_ref().map(|f| f.join(start.name));
+        let folder = configured.or(start.folder.map(|f| f.join("versions")));
         let files = folder.clone().and_then(|folder| {
             let opened = LastGood::open(folder, start.name);
             opened
-                .inspect_err(|e| warn!(reason = %e, "versions can't be kept; they end with the process"))
+                .inspect_err(
+                    |e| warn!(reason = %e, "versions can't be stored; they are lost when the process ends"),
+                )
                 .ok()
         });
-        let loaded = match (&files, start.dormant) {
+        let loaded = match (&files, start.standby) {
             (None, _) => Default::default(),
             (Some(files), true) => files.load_running(),
             (Some(files), false) => files.load(),
         };
         for (file, why) in &loaded.passed_over {
-            warn!(instance = start.name, file, %why, "a kept version is not used");
+            warn!(instance = start.name, file, %why, "a stored version is not used");
         }
         let memory = files.as_ref().map(LastGood::memory);
         let memory = match memory {
             Some(Ok(memory)) => memory,
             Some(Err(why)) if why != ochreward_stream::last_good::Unusable::Missing => {
-                warn!(instance = start.name, %why, "what was remembered of the service is not used");
+                warn!(instance = start.name, %why, "the stored state of the subscription is not used");
                 Memory::default()
             }
             _ => Memory::default(),
         };
-        if !start.dormant
+        if !start.standby
             && let Some(files) = &files
         {
             let _ = files.discard_trial();
         }
         let options = Options {
             instance: start.name.to_string(),
-            labels: told.labels.clone(),
-            services: told.services.clone(),
-            backoff: told.backoff,
-            silence: told.silence,
-            trial: Rules { length: told.trial, margin: told.trial_margin, least: told.trial_least },
-            most_bytes: ((start.memory / MEMORY_PART) as u64).min(MOST_VERSION),
+            labels: config.labels.clone(),
+            services: config.services.clone(),
+            backoff: config.backoff,
+            silence: config.silence,
+            trial: Rules { length: config.trial, margin: config.trial_margin, least: config.trial_least },
+            most_bytes: ((start.memory_bytes / VERSION_MEMORY_DIVISOR) as u64).min(MAX_VERSION_BYTES),
             has_base: start.has_base,
             seed: start.seed,
         };
         let running = loaded.snapshot.map(|(snapshot, _)| snapshot);
         let good = files.as_ref().and_then(|f| f.load().snapshot).map(|(s, _)| s);
         let subscriber = Subscriber::new(options.clone(), now, memory, running.clone(), good);
-        let keeper = keeper::start(poll, keeper_owner, files.clone())?;
-        let mut stream = Stream {
+        let thread = keeper::start(poll, thread_owner, files.clone())?;
+        let mut stream = ConfigStream {
             options,
             subscriber,
             link: None,
             owner,
-            keeper,
+            thread,
             files,
-            dormant: start.dormant,
-            seen: Vec::new(),
+            standby: start.standby,
+            file_stamps: Vec::new(),
             folder,
-            ready: VecDeque::new(),
-            said: Vec::new(),
-            told: start.own,
-            news: Vec::new(),
+            checked: VecDeque::new(),
+            received: Vec::new(),
+            own_file: start.own_file,
+            events: Vec::new(),
             counters,
         };
-        stream.seen = stream.look();
-        stream.gauge();
+        stream.file_stamps = stream.read_file_stamps();
+        stream.update_gauges();
         Ok((stream, running))
     }
 
-    /// The version that runs.
+    /// Returns the running version.
     pub fn version(&self) -> Option<Version> {
         self.subscriber.version()
     }
 
-    /// The stored version can't be used with the instance's own file: it is as if there were none.
-    pub fn disown(&mut self, now: u64) {
+    /// Discards the stored version, which is invalid over the instance's own file: the stream continues as if there were
+    /// none.
+    pub fn discard_stored_version(&mut self, now: u64) {
         let memory =
             Memory { highest: Version::default(), content: None, ..self.subscriber.memory().clone() };
         self.subscriber = Subscriber::new(self.options.clone(), now, memory, None, None);
-        self.gauge();
+        self.update_gauges();
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` is next due.
     pub fn due(&self) -> u64 {
-        if self.dormant { u64::MAX } else { self.subscriber.due() }
+        if self.standby { u64::MAX } else { self.subscriber.due() }
     }
 
-    fn gauge(&self) {
+    /// Sets the counters of the running version.
+    fn update_gauges(&self) {
         let version = self.version().unwrap_or_default();
         self.counters.version_epoch.set(version.epoch);
         self.counters.version_number.set(version.number);
     }
 
-    /// For how long no service has been heard, for the counters.
-    pub fn tell_staleness(&self, now: u64) {
+    /// Sets the counter of the time since a control service was last heard.
+    pub fn update_staleness(&self, now: u64) {
         self.counters.stream_stale_ms.set(self.subscriber.stale_for(now).map_or(u64::MAX, |us| us / 1000));
     }
 
-    /// Time has passed.
+    /// Runs the subscriber's timers, with the counts of answers so far as the measure of health.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
-        if self.dormant {
+        if self.standby {
             return;
         }
-        let c = &self.counters;
-        let bad = c.answers_refused.get() + c.answers_failed.get();
-        let health = Health { answers: c.answers_served.get() + bad, bad };
+        let counters = &self.counters;
+        let bad = counters.answers_refused.get() + counters.answers_failed.get();
+        let health = Health { answers: counters.answers_served.get() + bad, bad };
         self.subscriber.advance(now, health);
-        self.carry(poll, now);
+        self.run_steps(poll, now);
     }
 
-    /// Handles what happened to a descriptor of the stream.
+    /// Handles a ready descriptor of the stream or of the version thread.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.keeper.is(ready.token) {
-            self.done();
+        if self.thread.is(ready.token) {
+            self.handle_results();
         } else if let Some(link) = self.link.as_mut().filter(|l| l.io.token() == ready.token) {
-            let rising = link.io.connecting();
-            let mut said = std::mem::take(&mut self.said);
+            let was_connecting = link.io.connecting();
+            let mut received = std::mem::take(&mut self.received);
             let before = link.io.received;
-            let mut result = link.ready(poll, ready, &mut said);
+            let mut result = link.ready(poll, ready, &mut received);
             add(&self.counters.stream_received_bytes, (link.io.received - before) as usize);
-            if rising && result.is_ok() && !link.io.connecting() {
+            if was_connecting && result.is_ok() && !link.io.connecting() {
                 self.subscriber.connected_now(now);
             }
             if link.io.ended && result.is_ok() {
                 result = Err(crate::net::Closed::Broken);
             }
-            for message in said.drain(..) {
+            for message in received.drain(..) {
                 if let FromService::Refused { why } = &message {
-                    warn!(
-                        instance = self.options.instance,
-                        why, "the control service turned this instance away"
-                    );
+                    warn!(instance = self.options.instance, why, "the control service refused this instance");
                 }
                 self.subscriber.received(now, message);
             }
-            self.said = said;
-            // What it decided may have ended the connection already.
-            let ended = self.subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_)));
+            self.received = received;
+            // The subscriber may have decided to disconnect already.
+            let disconnecting = self.subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_)));
             if let Err(why) = result
-                && !ended
+                && !disconnecting
             {
                 let stale_ms = self.subscriber.stale_for(now).map(|us| us / 1000);
-                info!(instance = self.options.instance, ?why, stale_ms, "the stream of configuration ended");
+                info!(
+                    instance = self.options.instance,
+                    ?why,
+                    stale_ms,
+                    "the connection to the control service was lost"
+                );
                 count(&self.counters.stream_closes);
                 self.link = None;
                 self.subscriber.lost(now);
             }
         }
-        self.carry(poll, now);
+        self.run_steps(poll, now);
     }
 
-    fn done(&mut self) {
-        for done in self.keeper.take() {
-            match done {
-                // The file changed meanwhile, by SIGHUP: what was checked would not be what runs.
-                Done::Checked(ticket, snapshot, told, _) if !Arc::ptr_eq(&told, &self.told) => {
-                    self.news.push(News::Check(ticket, snapshot));
+    /// Handles the results of the version thread.
+    fn handle_results(&mut self) {
+        for result in self.thread.take() {
+            match result {
+                // A SIGHUP has changed the own file meanwhile, so the checked configuration is not the one that would run.
+                JobResult::Checked(ticket, snapshot, own_file, _)
+                    if !Arc::ptr_eq(&own_file, &self.own_file) =>
+                {
+                    self.events.push(StreamEvent::Check(ticket, snapshot));
                 }
-                Done::Checked(ticket, _, _, Ok(effective)) => {
-                    self.ready.push_back((ticket, effective));
+                JobResult::Checked(ticket, _, _, Ok(effective)) => {
+                    self.checked.push_back((ticket, effective));
                     self.subscriber.checked(ticket, Ok(()));
                 }
-                Done::Checked(ticket, _, _, Err(why)) => self.subscriber.checked(ticket, Err(why)),
-                Done::Returned(Ok(effective)) => self.news.push(News::Return(effective)),
-                Done::Returned(Err(faults)) => {
-                    warn!(fault = ?faults.first(), "the version to go back to can't be read; what runs stays")
+                JobResult::Checked(ticket, _, _, Err(why)) => self.subscriber.checked(ticket, Err(why)),
+                JobResult::RolledBack(Ok(effective)) => self.events.push(StreamEvent::RollBack(effective)),
+                JobResult::RolledBack(Err(faults)) => {
+                    warn!(fault = ?faults.first(), "the version to roll back to can't be read; the running one stays")
                 }
-                Done::Unkept(what, reason) => warn!(what, %reason, "could not be kept on disk"),
+                JobResult::WriteFailed(what, reason) => warn!(what, %reason, "could not be written to disk"),
             }
         }
     }
 
-    /// Says how things stand, for a version to be held against.
-    pub fn check(&self, ticket: Ticket, snapshot: Arc<Snapshot>, grounds: Grounds) {
-        self.keeper.ask(Job::Check(ticket, snapshot, self.told.clone(), Box::new(grounds)));
+    /// Has the version thread check a version against the context.
+    pub fn check(&self, ticket: Ticket, snapshot: Arc<Snapshot>, context: CheckContext) {
+        self.thread.ask(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
     }
 
-    /// The instance's own file has changed.
-    pub fn own_file(&mut self, told: Arc<Value>) {
-        self.told = told;
+    /// Replaces the content of the instance's own file.
+    pub fn set_own_file(&mut self, own_file: Arc<Value>) {
+        self.own_file = own_file;
     }
 
-    /// The version that runs, whole.
+    /// Returns the content of the running version.
     pub fn running(&self) -> Option<&Snapshot> {
         self.subscriber.running()
     }
 
-    /// A version is in use, or could not be taken into use.
+    /// Records that a version was taken into use, or why it could not be.
     pub fn applied(
         &mut self,
         poll: &mut Poll,
@@ -302,24 +315,25 @@
         ticket: Ticket,
         result: Result<(), (Code, Vec<Fault>)>,
     ) {
-        let yes = result.is_ok();
+        let succeeded = result.is_ok();
         self.subscriber.applied(now, ticket, result);
-        if yes {
+        if succeeded {
             count(&self.counters.versions_applied);
             let version = self.version().unwrap_or_default();
-            info!(instance = self.options.instance, %version, trial = self.subscriber.on_trial(), "a version is in use");
+            info!(instance = self.options.instance, %version, trial = self.subscriber.on_trial(), "a new version is in use");
         }
-        self.gauge();
-        self.carry(poll, now);
+        self.update_gauges();
+        self.run_steps(poll, now);
     }
 
-    fn carry(&mut self, poll: &mut Poll, now: u64) {
+    /// Carries out the subscriber's pending steps.
+    fn run_steps(&mut self, poll: &mut Poll, now: u64) {
         while let Some(step) = self.subscriber.steps.pop_front() {
             match step {
                 Step::Connect(to) => {
                     count(&self.counters.stream_connects);
                     let token = poll.token(self.owner, 0);
-                    match Link::connect(poll, to, token, Frames, (IN, OUT)) {
+                    match Link::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
                         Ok(link) => self.link = Some(link),
                         Err(_) => self.subscriber.lost(now),
                     }
@@ -331,7 +345,7 @@
                         instance = self.options.instance,
                         ?why,
                         stale_ms,
-                        "the stream of configuration is ended"
+                        "disconnected from the control service"
                     );
                     self.link = None;
                 }
@@ -345,59 +359,60 @@
                         self.subscriber.lost(now);
                     }
                 }
-                Step::Check(ticket, snapshot) => self.news.push(News::Check(ticket, snapshot)),
-                // Only what the keeper has read is applied.
+                Step::Check(ticket, snapshot) => self.events.push(StreamEvent::Check(ticket, snapshot)),
+                // What is applied is the configuration that the version thread has read and checked.
                 Step::Apply(ticket, _) => {
-                    while let Some((of, effective)) = self.ready.pop_front() {
-                        if of == ticket {
-                            self.news.push(News::Apply(ticket, effective));
+                    while let Some((checked_ticket, effective)) = self.checked.pop_front() {
+                        if checked_ticket == ticket {
+                            self.events.push(StreamEvent::Apply(ticket, effective));
                             break;
                         }
                     }
                 }
                 Step::Keep(version, verdict) => {
                     let untested = verdict == Verdict::Untested;
-                    info!(instance = self.options.instance, %version, untested, "a version is the last good one");
+                    info!(instance = self.options.instance, %version, untested, "the version on trial is kept as the last good one");
                     count(&self.counters.versions_kept);
-                    self.keeper.ask(Job::Promote(version));
+                    self.thread.ask(Job::Promote(version));
                 }
                 Step::Return(to, from, verdict) => {
                     let running = self.version().map_or_else(|| "none".to_string(), |v| v.to_string());
-                    warn!(instance = self.options.instance, %from, running, ?verdict, "a version was given up");
+                    warn!(instance = self.options.instance, %from, running, ?verdict, "the version on trial is rolled back");
                     count(&self.counters.versions_returned);
-                    self.gauge();
-                    self.keeper.ask(Job::Return(to, self.told.clone()));
+                    self.update_gauges();
+                    self.thread.ask(Job::RollBack(to, self.own_file.clone()));
                 }
-                Step::Remember(memory) => self.keeper.ask(Job::Remember(memory)),
+                Step::Remember(memory) => self.thread.ask(Job::SaveMemory(memory)),
                 Step::TurnedDown(version, code, faults) => {
                     count(&self.counters.versions_refused);
                     let fault = faults.first().map(Fault::to_string).unwrap_or_default();
-                    warn!(instance = self.options.instance, %version, ?code, faults = faults.len(), fault, "a version was turned down");
+                    warn!(instance = self.options.instance, %version, ?code, faults = faults.len(), fault, "a version was refused");
                 }
             }
         }
     }
 
-    // ---- Two processes ----
+    // ---- Two processes of one instance ----
 
-    fn look(&self) -> Vec<Option<(SystemTime, u64)>> {
+    /// Returns the modification times and sizes of the files that the process with the stream writes.
+    fn read_file_stamps(&self) -> Vec<Option<(SystemTime, u64)>> {
         let Some(folder) = &self.folder else { return Vec::new() };
-        let mark = |name: &&str| {
+        let stamp = |name: &&str| {
             let meta = std::fs::metadata(folder.join(name)).ok()?;
             Some((meta.modified().ok()?, meta.len()))
         };
-        ["trial", "good", "memory"].iter().map(mark).collect()
+        ["trial", "good", "memory"].iter().map(stamp).collect()
     }
 
-    /// While another process has the stream: what it runs now, if that has changed. The outer `None` says that
-    /// nothing has; the inner one that it runs its own file.
+    /// Returns the version that the other process runs, if that has changed while this one is on standby. The outer `None`
+    /// means that nothing has changed, the inner one that the other process runs its own file.
     pub fn follow(&mut self) -> Option<Option<Snapshot>> {
-        let files = self.files.clone().filter(|_| self.dormant)?;
-        let seen = self.look();
-        if seen == self.seen {
+        let files = self.files.clone().filter(|_| self.standby)?;
+        let file_stamps = self.read_file_stamps();
+        if file_stamps == self.file_stamps {
             return None;
         }
-        self.seen = seen;
+        self.file_stamps = file_stamps;
         let running = files.load_running().snapshot.map(|(s, _)| s);
         if running.as_ref().map(|r| r.version) == self.version() {
             return None;
@@ -405,26 +420,27 @@
         let good = files.load().snapshot.map(|(s, _)| s);
         let memory = files.memory().unwrap_or_else(|_| self.subscriber.memory().clone());
         self.subscriber.follow(running.clone(), good, memory);
-        self.gauge();
+        self.update_gauges();
         Some(running)
     }
 
-    /// The other process has gone: the stream is this one's. A version that was on trial is tried anew.
+    /// Takes the stream over after the other process has ended. A version that was on trial starts its trial again.
     pub fn take_over(&mut self, now: u64) {
-        if !std::mem::take(&mut self.dormant) {
+        if !std::mem::take(&mut self.standby) {
             return;
         }
         let files = self.files.clone();
-        let of = |load: fn(&LastGood) -> ochreward_stream::last_good::Loaded| {
+        let load = |load: fn(&LastGood) -> ochreward_stream::last_good::Loaded| {
             files.as_ref().and_then(|f| load(f).snapshot).map(|(s, _)| s)
         };
-        let (running, good) = (of(LastGood::load_running), of(LastGood::load));
+        let (running, good) = (load(LastGood::load_running), load(LastGood::load));
         let memory = files.as_ref().and_then(|f| f.memory().ok());
         let memory = memory.unwrap_or_else(|| self.subscriber.memory().clone());
-        // What runs here is what was last followed; the files can't be ahead by more than a moment.
+        // This process runs the version it last followed. The files may be newer, by at most one reading interval; a newer
+        // version is not used here, as it does not run here yet.
         let running = running.filter(|r| Some(r.version) == self.version());
         let good = good.filter(|_| running.is_some());
         self.subscriber = Subscriber::new(self.options.clone(), now, memory, running, good);
-        self.gauge();
+        self.update_gauges();
     }
 }
