--- a/src/control.rs
+++ b/src/control.rs
@@ -1,7 +1,14 @@
 //! The decisions of a router; its interface (settings, events, actions) is src/api.rs.
-//! The design is smallest-EET: a request goes to the worker whose predicted finish (load time if its copy is
-//! not believed warm + own pending work there + learned run time) is smallest, and is refused at once when
-//! even that passes the time left. All else feeds that estimate, takes workers out of it, or keeps copies.
+//!
+//! The policy is smallest estimated completion time: a request goes to the worker with the smallest predicted
+//! finish (load time if its copy of the function is not known to be warm, plus own pending work there, plus
+//! the learned run time). It is refused at once when even that exceeds the time left. Everything else here
+//! feeds that estimate, excludes workers from it, or keeps copies loaded.
+//!
+//! The first workers of a function in an order of preference that all routers share are its homes. A router
+//! sends there even without knowing of a copy, because other routers probably keep one loaded.
+//!
+//! No I/O and no clock: the time comes with each event. All tables are bounded (`Router::sizes`).
 
 mod budget;
 mod candidates;
@@ -33,154 +40,202 @@
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, Use, drop_while};
 use reports::{Fields, Report};
-use tables::{Attempt, Function, Mark, Pool, Request, Worker, mark, rendezvous, usable};
-
-/// Run time of a class before any answer, as a share of its aim: aims leave room for waits.
-const PRIOR_RUN: f64 = 0.25;
-/// Load time where none is told or learned (the design's stand-in).
-const PRIOR_LOAD: f64 = 1_000_000.0;
-/// Weight of a new answer in a function's and a class's run time: small, since they change less than workers.
-const LEARN_RUN: f64 = 0.03;
-/// What is expected of a worker or a function counts as this many answers: run times vary, a few tell little.
+use tables::{Attempt, Function, Mark, Pool, Request, Worker, mark_mut, rendezvous, sanitized};
+
+// ---- Learning of run times, load times and losses ----
+
+/// Expected run time of a class before any answer, as a share of its aim: aims leave room for waits.
+const PRIOR_RUN_AIM_SHARE: f64 = 0.25;
+/// Load time where none is given or learned.
+const PRIOR_LOAD_US: f64 = 1_000_000.0;
+/// Weight of a new answer in the run time of a function and of a class. Small, since run times change less
+/// than workers do.
+const RUN_TIME_LEARNING_RATE: f64 = 0.03;
+/// The prior expectation of a worker or function weighs as much as this many answers: run times vary, so that
+/// the first few answers say little.
 const DOUBT: f64 = 3.0;
-/// This many answers of a worker tell, however many come: it must be seen to turn slow at once.
-const LAST: f64 = 10.0;
-/// Weight of a new load in the store's factor and in a function's load time.
-const LEARN_LOAD: f64 = 0.25;
-/// One answer counts as this multiple of the expected at most, so that an outlier cannot upset an estimate.
-const ERROR_CAP: f64 = 4.0;
-/// A load that took less than this share of what was expected was not a whole one.
-const LOAD_LEAST: f64 = 0.3;
-/// Half of what was observed is forgotten in this share of the keep-alive: workers and the store recover.
-const FORGET: f64 = 0.5;
-/// And never less than this: of a single answer within a moment, rates would come out as absurd.
-const LEAST_HALF: f64 = 1_000_000.0;
-/// Share of the keep-alive for which an idle copy is believed: clocks and messages are late.
-const BELIEVE: f64 = 0.95;
-/// A load is believed to be under way for this multiple of its expected time.
-const LOAD_PATIENCE: f64 = 4.0;
-/// Cold workers within this multiple of a load time are a tie, broken by a hash that all routers share; a
-/// narrower one where workers tell their queues.
-const COLD_TIE: f64 = 2.0;
-const COLD_TIE_TOLD: f64 = 1.0;
-/// A second look comes after this multiple of the expected time (the design's backup factor), past long work.
-const SECOND_LOOK: f64 = 5.0;
-/// An attempt past this multiple of its expected time counts as lost.
-const SILENCE: f64 = 6.0;
-/// What a spoilt answer, and being turned away, count as where a lost answer counts as 1: the worker runs.
-const SPOILT: f64 = 0.3;
-const TURNED_AWAY: f64 = 0.25;
-/// What a resend takes of the budget for them where the attempt before proved not to have run.
-const NEVER_RAN: f64 = 0.3;
-/// Resends after failures come to this share of the requests at most, and backups to that.
-const EXTRA_SHARE: f64 = 0.1;
-const BACKUP_SHARE: f64 = 0.05;
-const EXTRA_MOST: f64 = 10.0;
-/// Share of the repeat window of a keyed class that is used: clocks and messages are late.
-const WINDOW_USED: f64 = 0.8;
-/// Share of a cold worker's budget that the routers use.
-const COLD_USED: f64 = 0.6;
-/// A router's turn at a cold worker lapses after this share of the rule's window, not to be saved up.
-const TURN_KEPT: f64 = 0.5;
-/// Of a router's requests, a cold worker draws up to this many times its even part.
-const COLD_DRAW: f64 = 2.0;
-/// At least so large a share of the turns is held to be used.
-const LEAST_USED: f64 = 0.3;
-/// A cold worker's share of its capacity is usually this power of the least that the settings tell.
-const USUAL_COLD: f64 = 0.5;
-/// Load that one copy is meant to carry, as a share of its lanes: beyond it, a function has one more home.
-const FILL: f64 = 0.3;
-/// Danger: who sees little guesses homes badly, and all together hold what the boldest guess. So it fills up.
-const FILL_THIN: f64 = 0.6;
-/// Where workers tell what they hold, a copy is filled further before the function has one more home: what
-/// others send is seen, and a load costs more than a short wait.
-const FILL_TOLD: f64 = 1.2;
-/// There, too, own work counts for itself alone: a worker runs so many requests side by side, whatever a
-/// copy does.
-const BESIDE_TOLD: f64 = 3.0;
-/// Of the time that each of others' requests runs, so much is left on average, and more where they come
-/// unevenly.
-const LEFT_TOLD: f64 = 0.7;
-/// Workers report nothing: a request of ours in flight at one speaks for up to this many of others'.
-const UNSEEN: f64 = 2.0;
-/// Warm workers are told apart only beyond this share of a run: one router of many sees little, and late.
-const VIEW_ERROR: f64 = 0.5;
-/// So many of the last attempts in a zone tell whether it is lost: what of them failed beyond this share.
-const ZONE_LAST: f64 = 5.0;
-const ZONE_DOUBT: f64 = 0.4;
-/// A router that had this many requests for each worker within the ration's window sees half enough of them.
-const SIGHT: f64 = 4.0;
-/// A crossing of zones weighs so many times its price: an answer that is a little later earns no less.
-const ZONE: f64 = 10.0;
-/// Before any answer, the chance that others keep a function warm at its homes.
+/// At most this many answers of a worker are weighed, so that one that turns slow is noticed quickly.
+const MAX_WORKER_SAMPLES: f64 = 10.0;
+/// Weight of a new load in the load time of a function and of a class.
+const LOAD_TIME_LEARNING_RATE: f64 = 0.25;
+/// An answer counts as at most this multiple of the expected time, so that one outlier cannot ruin an
+/// estimate.
+const MAX_ERROR_RATIO: f64 = 4.0;
+/// An answer in less than this share of the expected load time cannot include a whole load.
+const MIN_LOAD_TIME_SHARE: f64 = 0.3;
+/// Half-life of observations, as a share of the keep-alive: workers and the store recover.
+const HALF_LIFE_KEEP_ALIVE_SHARE: f64 = 0.5;
+/// Shortest half-life. With a shorter one, a rate taken from a single recent answer would be absurdly high.
+const MIN_HALF_LIFE_US: f64 = 1_000_000.0;
+/// An unknown outcome and a rejection count as this share of a lost answer, because the worker does run.
+const UNKNOWN_OUTCOME_LOSS: f64 = 0.3;
+const REJECTION_LOSS: f64 = 0.25;
+/// At most this many attempts in a zone are weighed when judging whether it is lost; only the share of
+/// failures beyond the threshold counts against its workers.
+const MAX_ZONE_SAMPLES: f64 = 5.0;
+const ZONE_LOSS_THRESHOLD: f64 = 0.4;
+/// Probability, before any answer, that other routers keep a function warm at its homes.
 const PRIOR_FOUND: f64 = 0.5;
-/// A tenant's quota may be saved up for this long: an uneven stream within it is not beyond it.
-const QUOTA_SAVED: f64 = 1_000_000.0;
-/// Requests turned away that are remembered for each tenant.
-const MOST_TURNED: f64 = 1_000.0;
-/// Waits and runs within this share of an aim are no queue: all that a request beyond its quota may spend.
-const IDLE: f64 = 0.4;
-
-/// A copy idle for this share of the keep-alive is ordered held.
-const REFRESH: f64 = 0.75;
-/// A copy that this router has not used for so many keep-alives is let go.
-const WANTED: f64 = 3.0;
-/// Copies that others use this often in a keep-alive need no orders: one in twenty goes unused for so long.
-const KEPT: f64 = 3.0;
-/// Where loads are not rationed, what came within this share of the keep-alive tells how much this router
-/// sees.
-const SIGHT_KEPT: f64 = 0.5;
-/// Share of the ration of loads that is used: clocks differ.
-const RATION: f64 = 0.9;
 
-/// A function that nobody has asked for in so many keep-alives is kept as a compact record.
+// ---- Which copies exist ----
+
+/// An idle copy counts as warm for this share of the keep-alive: clocks differ and messages are late.
+const WARM_KEEP_ALIVE_SHARE: f64 = 0.95;
+/// A load counts as under way for this multiple of its expected time.
+const LOAD_TIMEOUT_FACTOR: f64 = 4.0;
+
+// ---- Choice of a worker ----
+
+/// Cold workers whose estimates differ by less than this multiple of a load time are tied; the tie is broken
+/// by an order of preference that all routers share. The range is narrower where workers report their load.
+const COLD_TIE_LOAD_TIMES: f64 = 2.0;
+const COLD_TIE_LOAD_TIMES_REPORTED: f64 = 1.0;
+/// Estimates of warm workers are randomized by up to this share of a run: one router of many sees little of
+/// the load, and sees it late.
+const VIEW_ERROR_RUN_SHARE: f64 = 0.5;
+/// Multiplier on the price of crossing zones: an answer that comes a little later earns no less, so the price
+/// weighs more than the time that it equals.
+const CROSSING_PRICE_FACTOR: f64 = 10.0;
+/// Concurrent requests per lane that one copy is meant to carry. Beyond that, the function gets one more
+/// home.
+const TARGET_LANE_USE: f64 = 0.3;
+/// The same for a router that sees little of the traffic. It guesses the number of homes badly, and all
+/// routers together hold as many copies as the highest guess asks for, so it fills copies further.
+const TARGET_LANE_USE_SPARSE: f64 = 0.6;
+/// The same where workers report the requests they hold: the load from other routers is visible, and loading
+/// a copy costs more than a short wait.
+const TARGET_LANE_USE_REPORTED: f64 = 1.2;
+/// Concurrent requests that a worker is assumed to run, whatever one copy does, where workers report the
+/// requests they hold. Own pending work is divided by it.
+const WORKER_CONCURRENCY_REPORTED: f64 = 3.0;
+/// Share of a run that is left, on average, of each request that a worker reports for other routers. Evenly
+/// spread arrivals would leave half; uneven ones leave more.
+const REMAINING_RUN_SHARE: f64 = 0.7;
+/// Without a fresh load report, one own request in flight at a worker stands for up to this many of other
+/// routers.
+const MAX_UNSEEN_PER_OWN: f64 = 2.0;
+/// Requests per worker within the window at which a router counts as seeing half of what it would need to.
+const HALF_SIGHT_REQUESTS_PER_WORKER: f64 = 4.0;
+/// Waits and runs within this share of an aim do not count as queueing. A request beyond its tenant's quota
+/// may spend no more than this.
+const IDLE_AIM_SHARE: f64 = 0.4;
+
+// ---- Cold workers ----
+
+/// Share of a cold worker's budget that the routers use.
+const COLD_BUDGET_SHARE: f64 = 0.6;
+/// A router's turn at a cold worker lapses after this share of the fall window, so that turns cannot be saved
+/// up and spent at once.
+const TURN_LIFETIME_WINDOW_SHARE: f64 = 0.5;
+/// A cold worker attracts up to this multiple of its even share of a router's requests.
+const COLD_ATTRACTION_FACTOR: f64 = 2.0;
+/// The share of turns assumed to be used is at least this.
+const MIN_TURN_USE_SHARE: f64 = 0.3;
+/// The usual capacity of a cold worker, as a share of full capacity, is the guaranteed share raised to this
+/// power.
+const COLD_CAPACITY_EXPONENT: f64 = 0.5;
+
+// ---- Resends, hedged requests and quotas ----
+
+/// An attempt may be hedged or cancelled after this multiple of its expected time, when ordinary long work is
+/// past.
+const HEDGE_DELAY_FACTOR: f64 = 5.0;
+/// An attempt counts as lost after this multiple of its expected time.
+const LOST_DELAY_FACTOR: f64 = 6.0;
+/// Resend tokens that a resend costs where the attempt before it is known not to have run; otherwise it costs
+/// 1.
+const UNRUN_RESEND_COST: f64 = 0.3;
+/// Tokens that each request adds to the resend budget and to the hedge budget: resends after failures and
+/// hedged requests are at most these shares of all requests.
+const RESEND_SHARE: f64 = 0.1;
+const HEDGE_SHARE: f64 = 0.05;
+/// Upper bound of each of the two budgets.
+const MAX_TOKENS: f64 = 10.0;
+/// Share of the repeat window of a keyed class that is used: clocks differ and messages are late.
+const REPEAT_WINDOW_SHARE: f64 = 0.8;
+/// A tenant's unused quota accumulates for this long, so that an uneven stream within the quota is not
+/// refused.
+const QUOTA_BURST_US: f64 = 1_000_000.0;
+/// Upper bound of the refused requests that are remembered for each tenant.
+const MAX_REFUSALS_REMEMBERED: f64 = 1_000.0;
+
+// ---- Copies kept loaded ----
+
+/// An idle copy is renewed after this share of the keep-alive.
+const RENEW_KEEP_ALIVE_SHARE: f64 = 0.75;
+/// A copy that this router has not used for this many keep-alives is no longer renewed.
+const RENEWAL_MAX_UNUSED_KEEP_ALIVES: f64 = 3.0;
+/// Copies that other routers use this often per keep-alive need no renewal: with random arrivals only one in
+/// twenty goes unused for a whole keep-alive (e^-3).
+const MIN_PEER_USES_PER_KEEP_ALIVE: f64 = 3.0;
+/// Where loads are not rationed, requests within this share of the keep-alive show how much this router sees.
+const SIGHT_KEEP_ALIVE_SHARE: f64 = 0.5;
+/// Share of the ration of loads that is used: clocks differ.
+const LOAD_RATION_SHARE: f64 = 0.9;
+/// A function without a request for this many keep-alives is kept as a compact record.
 const DORMANT: f64 = 8.0;
 
+/// The predicted completion of a request at one worker. Times are in microseconds.
 #[derive(Clone, Copy)]
 struct Estimate {
     worker: usize,
+    /// Predicted time until the answer.
     total: f64,
-    /// What the chance of a loss and the price of a crossing add to it in a choice: they refuse nothing.
-    risk: f64,
-    /// The part of it that is a load, own or awaited.
-    load: f64,
-    run: f64,
-    /// What the hint makes of a usual run: a heavy request's own work is no queue.
-    size: f64,
+    /// Added to `total` when workers are compared, for the probability of a loss and the price of crossing
+    /// zones. It never causes a refusal.
+    risk_penalty: f64,
+    /// The part of `total` spent on a load, whether this request starts it or waits for it.
+    load_wait: f64,
+    run_time: f64,
+    /// Run time relative to a usual request, by the client's hint. What it adds to the run is not queueing.
+    work_factor: f64,
     cold: bool,
-    /// A home whose copy this router has not seen, but others may have kept.
-    blind: bool,
-    /// The finish if a copy stands, and if it has to be loaded.
-    warm: f64,
-    whole: f64,
-    turn: u64,
-    /// Nothing of this router's is in flight there, nor has been for a while.
+    /// The worker is a home where this router has observed no copy, but other routers may keep one.
+    unobserved: bool,
+    /// The total if a copy is loaded.
+    total_if_warm: f64,
+    /// The total if the copy has to be loaded.
+    total_if_cold: f64,
+    /// Number of the turn at a cold worker that this request would use.
+    cold_turn: u64,
+    /// This router has no request in flight there and has sent none for a while.
     idle: bool,
 }
 
 impl Estimate {
-    /// What a choice goes by.
+    /// Returns the value by which workers are compared.
     fn key(&self) -> f64 {
-        self.total + self.risk
+        self.total + self.risk_penalty
     }
 
-    /// What queues, slowness and a slow store make of a usual request: all but the usual time of a load.
-    fn beside_load(&self) -> f64 {
-        self.total - self.load - (self.run - self.run / self.size)
+    /// Returns what a usual request would take with queues, slowness and a slow store, but without the usual
+    /// time of a load.
+    fn total_without_load(&self) -> f64 {
+        self.total - self.load_wait - (self.run_time - self.run_time / self.work_factor)
     }
 
-    /// The finish that is more likely than not: a copy that probably stands needs no time to load.
-    fn likely(&self) -> f64 {
-        if self.blind && !self.cold { self.warm } else { self.total }
+    /// Returns the more probable of the two totals: a copy that probably exists needs no time to load.
+    fn probable_total(&self) -> f64 {
+        if self.unobserved && !self.cold { self.total_if_warm } else { self.total }
     }
 }
 
-/// One front end.
+/// This router's part of a tenant's quota, as a token bucket.
+struct TenantQuota {
+    /// Requests that may still be taken within the quota, as of `updated_at`.
+    tokens: f64,
+    updated_at: Micros,
+    /// Requests refused by this router; as many retries are not charged again.
+    refused: f64,
+}
+
+/// One dispatcher's decision logic.
 pub struct Router {
     set: Settings,
-    fields: Fields,
+    report_fields: Fields,
     rng: Pcg32,
     now: Micros,
+    /// Half-life of observations, in microseconds.
     half: f64,
     workers: Vec<Worker>,
     worker_ids: HashMap<WorkerId, usize>,
@@ -188,43 +243,47 @@
     unlisted: BTreeSet<usize>,
     fleet: FleetSums,
     ring: PreferenceRing,
-    /// The order of preference is by rendezvous over all, up to so many listed workers.
+    /// Whether the order of preference is by rendezvous hashing over all workers, as it is with up to
+    /// `most_ranked` listed workers. Larger fleets use the ring.
     ranks_all: bool,
     most_ranked: usize,
     functions: FunctionTable,
     renewals: RenewalQueue,
-    /// Every choice looks at every worker: for tests and benchmarks alone.
+    /// Whether every choice estimates every worker. For tests and benchmarks only.
     scans: bool,
     requests: BTreeMap<RequestId, Request>,
+    /// What is learned for each class.
     pools: Vec<Pool>,
+    /// Answers received, for their rate.
     served: Evidence,
-    /// What attempts in each zone came to of late, whichever the worker: 1 is lost.
+    /// Recent losses in each zone over all its workers: 0 is an answer, 1 a loss.
     zones: BTreeMap<usize, Evidence>,
+    /// Observed load times over expected ones: the slowness of the store.
     store: Evidence,
-    /// How little this router sees of each worker, from 0 to 1: who sees enough needs no hints from others.
+    /// How little of each worker's load this router sees, from 0 (enough) to 1 (nothing). The more it sees,
+    /// the less it infers from other workers.
     thin: f64,
     tally: Tally,
-    /// Where dispatchers know each other: how many serve, into how many parts a cold budget goes, and which
-    /// is ours.
+    /// Where dispatchers are members of one group: how many serve, into how many parts a cold worker's budget
+    /// is divided, and which part is this router's.
     division: Option<(usize, usize, usize)>,
     budget: Budget,
-    extra: f64,
-    spare: f64,
-    /// Requests taken and loads ordered within the window of the ration.
+    resend_tokens: f64,
+    hedge_tokens: f64,
+    /// Times of the requests taken and the loads ordered within the ration's window.
     taken: VecDeque<Micros>,
     ordered: VecDeque<Micros>,
-    tended: Micros,
-    /// This router's part of each tenant's quota: what is left, since when, and the requests turned away
-    /// that may come again uncounted.
-    quota_left: Vec<(f64, Micros, f64)>,
+    /// When copies were last checked for renewal.
+    renewals_checked_at: Micros,
+    tenant_quotas: Vec<TenantQuota>,
 }
 
 impl Router {
-    /// A router that knows its settings and nothing else yet.
-    pub fn new(set: Settings, seed: u64, now: Micros) -> Router {
+    /// Creates a router with these settings and nothing learned.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Router {
         let mut router = Router {
-            set: set.clone(),
-            fields: Fields::default(),
+            set: settings.clone(),
+            report_fields: Fields::default(),
             half: 1.0,
             rng: Pcg32::seed_from_u64(seed),
             now,
@@ -247,67 +306,73 @@
             tally: Tally::default(),
             division: None,
             budget: Budget::default(),
-            extra: EXTRA_MOST,
-            spare: EXTRA_MOST,
+            resend_tokens: MAX_TOKENS,
+            hedge_tokens: MAX_TOKENS,
             taken: VecDeque::new(),
             ordered: VecDeque::new(),
-            tended: 0,
-            quota_left: Vec::new(),
+            renewals_checked_at: 0,
+            tenant_quotas: Vec::new(),
         };
-        router.configure(set, &[]);
+        router.configure(settings, &[]);
         router
     }
 
-    /// Workers, functions and requests that it holds something of.
+    /// Returns the number of workers, of functions known in full, and of requests in its tables.
     pub fn held(&self) -> (usize, usize, usize) {
         (self.workers.len(), self.functions.counts().0, self.requests.len())
     }
 
-    /// From now on a cold worker's budget goes into so many parts, of which one is ours, and so many
-    /// routers serve; with `None` both are what the settings say.
+    /// Sets how many routers serve, into how many parts a cold worker's budget is divided, and the number of
+    /// this router's part. With `None`, the settings apply.
     pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
         self.division = division;
     }
 
-    /// No connection came up to a worker that was only looked at.
+    /// Records that a connection to a worker was refused although no attempt was sent there, as by a probe.
     pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
-        if let Some(n) = self.worker_ids.get(worker) {
-            self.workers[*n].cut_off(now, true);
-        }
-    }
-
-    /// New settings. What was learned of a class stays with its place, unless that is `fresh`; requests under
-    /// way keep what their class asked for.
-    pub fn configure(&mut self, set: Settings, fresh: &[usize]) {
-        let set = usable(set);
-        self.half = (FORGET * set.keep_alive as f64).max(LEAST_HALF);
-        let most = set.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
-        let mut old = std::mem::take(&mut self.pools);
-        for (n, c) in set.classes.iter().enumerate() {
-            let known = old.get_mut(n).filter(|_| !fresh.contains(&n)).map(std::mem::take);
-            let first = || Pool { run: c.aim as f64 * PRIOR_RUN, ..Pool::default() };
-            let queue = IDLE + (1.0 - IDLE) * (c.credit / most).clamp(0.0, 1.0).sqrt();
-            self.pools.push(Pool { queue, ..known.unwrap_or_else(first) });
-        }
-        for w in &mut self.workers {
-            w.lost.resize(set.classes.len(), Evidence::default());
-            w.heard.resize(set.classes.len(), 0);
-        }
-        self.quota_left = set.tenant_quotas.iter().map(|q| (q * QUOTA_SAVED / 1e6, self.now, 0.0)).collect();
-        self.fields = Fields::of(&set.report_fields);
-        self.set = set;
+        if let Some(slot) = self.worker_ids.get(worker) {
+            self.workers[*slot].connection_failed(now, true);
+        }
+    }
+
+    /// Applies new settings. What was learned of a class stays with its index unless that is in `fresh`.
+    /// Requests under way keep the rules that their class had when they arrived.
+    pub fn configure(&mut self, settings: Settings, fresh: &[usize]) {
+        let settings = sanitized(settings);
+        self.half = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
+        let highest_credit = settings.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
+        let mut old_pools = std::mem::take(&mut self.pools);
+        for (index, class) in settings.classes.iter().enumerate() {
+            let known = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
+            let initial = || Pool { run: class.aim as f64 * PRIOR_RUN_AIM_SHARE, ..Pool::default() };
+            let worth = (class.credit / highest_credit).clamp(0.0, 1.0);
+            let queue_aim_share = IDLE_AIM_SHARE + (1.0 - IDLE_AIM_SHARE) * worth.sqrt();
+            self.pools.push(Pool { queue_aim_share, ..known.unwrap_or_else(initial) });
+        }
+        for worker in &mut self.workers {
+            worker.lost.resize(settings.classes.len(), Evidence::default());
+            worker.heard.resize(settings.classes.len(), 0);
+        }
+        let full = |quota: &f64| TenantQuota {
+            tokens: quota * QUOTA_BURST_US / 1e6,
+            updated_at: self.now,
+            refused: 0.0,
+        };
+        self.tenant_quotas = settings.tenant_quotas.iter().map(full).collect();
+        self.report_fields = Fields::of(&settings.report_fields);
+        self.set = settings;
         self.rebuild();
     }
 
-    /// Takes one event and appends what is to be done about it.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
             Event::Workers { complete, entries } => self.list(*complete, entries, out),
             Event::ListRefused if self.set.list_on_request => out.push(Action::Watch),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
-                let at = self.worker_ids.get(worker).zip(self.functions.slot(function));
-                if let Some(mark) = at.and_then(|(w, f)| self.workers[*w].marks.get_mut(&f)) {
+                let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
+                if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].marks.get_mut(&f)) {
                     (mark.copies, mark.loading) = (*copies, None);
                 }
             }
@@ -318,14 +383,14 @@
                 }
                 let function = self.function(function, *class, *lanes, *load_time);
                 let (f, pool) = (&mut self.functions[function], &mut self.pools[*class]);
-                let size = Size::weigh(*work, &mut f.hinted, &mut pool.hinted, pool.power);
+                let size = Size::weigh(*work, &mut f.hinted, &mut pool.hinted, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
-                self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / SIGHT);
+                self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
                 let deadline = self.now.saturating_add(*time_left);
-                self.extra = (self.extra + EXTRA_SHARE).min(EXTRA_MOST);
-                self.spare = (self.spare + BACKUP_SHARE).min(EXTRA_MOST);
-                let (class, tenant, over_quota) = (*class, *tenant, self.over_quota(*tenant, *again));
-                let (rules, most) = (self.set.classes[class], self.set.max_attempts);
+                self.resend_tokens = (self.resend_tokens + RESEND_SHARE).min(MAX_TOKENS);
+                self.hedge_tokens = (self.hedge_tokens + HEDGE_SHARE).min(MAX_TOKENS);
+                let (class, tenant, over_quota) = (*class, *tenant, self.charge_quota(*tenant, *again));
+                let (rules, max_attempts) = (self.set.classes[class], self.set.max_attempts);
                 if *again {
                     self.budget.came_again();
                 }
@@ -333,7 +398,7 @@
                     class,
                     tenant,
                     rules,
-                    most,
+                    max_attempts,
                     function,
                     size,
                     over_quota,
@@ -342,22 +407,23 @@
                 };
                 self.requests.insert(*id, request);
                 self.functions[function].in_flight += 1;
-                // Danger: a request that no event concerns any more. The timer ends it, whatever went wrong.
+                // Guarantees that the request ends by its deadline even if no other event for it ever
+                // arrives.
                 out.push(Action::Timer { at: deadline, cookie: *id });
-                self.decide(*id, out);
+                self.dispatch(*id, out);
                 self.functions[function].seen.add(self.now, self.half, 1.0);
-                self.tend(out);
+                self.renew_copies(out);
                 self.retire_functions();
             }
             Event::Outcome { id, last, .. } => {
-                self.closed(event);
+                self.close_attempt(event);
                 let Some(request) = self.requests.get_mut(id) else { return };
                 request.ended |= *last;
                 if request.ended {
-                    return self.tidy(*id, out);
+                    return self.clean_up(*id, out);
                 }
                 if request.attempts.iter().all(|a| !a.open) {
-                    self.decide(*id, out);
+                    self.dispatch(*id, out);
                 }
             }
             Event::Streaming { id } => {
@@ -365,55 +431,64 @@
             }
             Event::Abandoned { id } => {
                 self.requests.entry(*id).and_modify(|r| r.ended = true);
-                self.tidy(*id, out);
+                self.clean_up(*id, out);
             }
-            Event::Timer { cookie } => self.look(*cookie, out),
+            Event::Timer { cookie } => self.on_timer(*cookie, out),
         }
     }
 
     // ---- Copies kept and loaded ahead ----
 
-    /// Danger: a copy unused for a while is unloaded, and the next request waits. Orders hold it.
-    fn tend(&mut self, out: &mut Vec<Action>) {
+    /// Orders idle copies loaded again before their keep-alive runs out, within the ration of loads.
+    /// Otherwise they would be unloaded, and the next request would wait for a load.
+    fn renew_copies(&mut self, out: &mut Vec<Action>) {
         self.taken.push_back(self.now);
         if self.set.load_window == 0 || !self.set.orders {
-            // Danger: copies held beyond any ration push out what others need, and memory has its price.
-            let since = self.now.saturating_sub((SIGHT_KEPT * self.set.keep_alive as f64) as Micros);
+            // Without a ration nothing would bound the copies held: they would displace those that others
+            // need, and memory has a price. So none is renewed.
+            let since =
+                self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) as Micros);
             self.renewals.clear();
             return drop_while(&mut self.taken, |t| t <= since);
         }
-        let early = self.now < self.tended + self.set.load_window / 100;
-        if early {
+        let too_early = self.now < self.renewals_checked_at + self.set.load_window / 100;
+        if too_early {
             return;
         }
-        self.tended = self.now;
-        let keep = self.set.keep_alive as f64;
+        self.renewals_checked_at = self.now;
+        let keep_alive = self.set.keep_alive as f64;
         let workers = &self.workers;
-        let last =
+        let is_latest =
             |used: &Use| workers[used.worker].marks.get(&used.function).is_some_and(|m| m.used == used.at);
-        let uses: Vec<Use> = self.renewals.due(self.now, keep, (REFRESH, BELIEVE), last).copied().collect();
+        let uses: Vec<Use> = self
+            .renewals
+            .due(self.now, keep_alive, (RENEW_KEEP_ALIVE_SHARE, WARM_KEEP_ALIVE_SHARE), is_latest)
+            .copied()
+            .collect();
         let mut due: Vec<(f64, usize, usize)> = Vec::new();
-        for Use { worker: n, function: f, .. } in uses {
-            let (w, function) = (&self.workers[n], &self.functions[f]);
-            let m = &w.marks[&f];
-            let unasked = (self.now - m.asked) as f64 / keep;
-            let held = w.up && m.copies > 0 && m.loading.is_none() && m.own == 0;
-            if held && unasked < WANTED && function.served {
-                // Danger: many routers that each hold what all use give as many orders as requests.
+        for Use { worker: worker_slot, function: function_slot, .. } in uses {
+            let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
+            let mark = &worker.marks[&function_slot];
+            let unused_keep_alives = (self.now - mark.asked) as f64 / keep_alive;
+            let idle_copy = worker.up && mark.copies > 0 && mark.loading.is_none() && mark.own == 0;
+            if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
+                // If every router renewed the copies that all of them use, there would be as many load orders
+                // as requests. So a copy that the others use often enough is left to them.
                 let rate = function.seen.rate(self.now, self.half);
-                let others = (self.set.balancers - 1) as f64 * (rate * keep).max(1.0 / unasked);
-                let left = others / self.demand(function).1 >= KEPT;
-                self.tally.loads_left += u64::from(left);
-                due.extend((!left).then_some((rate, n, f)));
+                let peers = (self.set.balancers - 1) as f64;
+                let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
+                let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
+                self.tally.loads_left += u64::from(left_to_peers);
+                due.extend((!left_to_peers).then_some((rate, worker_slot, function_slot)));
             }
         }
         due.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
         let since = self.now.saturating_sub(self.set.load_window);
         drop_while(&mut self.taken, |t| t <= since);
         drop_while(&mut self.ordered, |t| t < since);
-        let most = self.set.loads_anyway + self.set.loads_per_request * self.taken.len() as f64;
-        let left = (RATION * most) as usize;
-        for (_, worker, function) in due.into_iter().take(left.saturating_sub(self.ordered.len())) {
+        let ration = self.set.loads_anyway + self.set.loads_per_request * self.taken.len() as f64;
+        let usable_ration = (LOAD_RATION_SHARE * ration) as usize;
+        for (_, worker, function) in due.into_iter().take(usable_ration.saturating_sub(self.ordered.len())) {
             if !self.budget.order() {
                 break;
             }
@@ -427,103 +502,116 @@
 
     // ---- Run- and load-time estimates ----
 
-    /// What a worker tells of all, and how much that counts: one sample at the most, of a cold one none.
-    fn speaks(&self, w: &Worker) -> (f64, f64) {
-        let cold = self.present_share(w) < 1.0;
-        let voice = if cold { 0.0 } else { self.thin * w.slow.samples(self.now, self.half).min(1.0) };
-        (voice * w.slow.own_mean().unwrap_or(1.0), voice)
+    /// Returns a worker's contribution to the slowness of the fleet: its mean slowness times its weight, and
+    /// the weight. The weight is one sample at most, and none for a cold worker.
+    fn slowness_sample(&self, worker: &Worker) -> (f64, f64) {
+        let cold = self.present_share(worker) < 1.0;
+        let weight = if cold { 0.0 } else { self.thin * worker.slow.samples(self.now, self.half).min(1.0) };
+        (weight * worker.slow.own_mean().unwrap_or(1.0), weight)
     }
 
-    /// Danger: of many routers each hears little of any worker. One not heard of is as slow as its peers;
-    /// the colder it is, the less of their queues it has.
+    /// Returns the estimated slowness of a worker: observed over expected times. One of many routers observes
+    /// few answers of any one worker, so a worker without observations is assumed as slow as its peers. The
+    /// colder it is, the less of their queueing is assumed.
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
-        let own = self.speaks(worker);
+        let own = self.slowness_sample(worker);
         let peers = (DOUBT + peers.0 - own.0) / (DOUBT + peers.1 - own.1);
         worker.slow.mean(self.now, self.half, peers.powf(self.present_share(worker)), DOUBT)
     }
 
-    /// What all workers tell, and how much that counts.
+    /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
     fn peers(&self) -> (f64, f64) {
-        let (sum, count) = self.fleet.slowness(self.now);
-        (self.thin * sum, self.thin * count)
+        let (sum, weight) = self.fleet.slowness(self.now);
+        (self.thin * sum, self.thin * weight)
     }
 
-    fn base_load(&self, function: &Function) -> f64 {
-        function.told_load.or(function.load).or(self.pools[function.class].load).unwrap_or(PRIOR_LOAD)
+    /// Returns the load time of a function while the store works at its usual speed.
+    fn base_load_time(&self, function: &Function) -> f64 {
+        function.told_load.or(function.load).or(self.pools[function.class].load).unwrap_or(PRIOR_LOAD_US)
     }
 
+    /// Returns the expected load time of a function at the present speed of the store.
     fn load_time(&self, function: usize) -> f64 {
-        self.base_load(&self.functions[function]) * self.store.mean(self.now, self.half, 1.0, DOUBT).max(0.5)
+        self.base_load_time(&self.functions[function])
+            * self.store.mean(self.now, self.half, 1.0, DOUBT).max(0.5)
     }
 
-    /// Moves a worker's slowness by the relative error of a prediction.
+    /// Adjusts a worker's slowness by the relative error of a prediction.
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
         let slow = self.slowness(&self.workers[worker], self.peers());
-        self.workers[worker].slow.learn(self.now, self.half, slow * (1.0 + error), LAST);
+        self.workers[worker].slow.learn(self.now, self.half, slow * (1.0 + error), MAX_WORKER_SAMPLES);
         self.fleet.update(worker, &self.workers[worker], self.now);
     }
 
-    /// A warm answer against its prediction teaches the function, the worker and the class.
-    fn learn_run(&mut self, function: usize, worker: usize, took: f64, expected: f64) {
-        let error = (took / expected.max(1.0)).min(ERROR_CAP) - 1.0;
+    /// Updates the run times of the function and its class and the worker's slowness from an answer of a warm
+    /// copy.
+    fn learn_run_time(&mut self, function: usize, worker: usize, took: f64, expected: f64) {
+        let error = (took / expected.max(1.0)).min(MAX_ERROR_RATIO) - 1.0;
         self.learn_slowness(worker, error);
         let f = &mut self.functions[function];
         f.answers += 1;
-        // Danger: a queue is taken for a function's nature. What is far over tells of the worker alone.
+        // A large excess is a queue at the worker and says nothing about the function, whose run time would
+        // otherwise grow with every queue. So the error is capped here.
         let error = error.min(1.0);
-        f.run += (1.0 / (f64::from(f.answers) + DOUBT)).max(LEARN_RUN) * f.run * error;
+        f.run += (1.0 / (f64::from(f.answers) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run * error;
         let class = &mut self.pools[f.class].run;
-        *class += LEARN_RUN * (f.run - *class);
+        *class += RUN_TIME_LEARNING_RATE * (f.run - *class);
     }
 
-    /// A load that this router began teaches the load time and the store's factor; a far shorter one is none.
-    fn learn_load(&mut self, function: usize, took: f64) {
-        let base = self.base_load(&self.functions[function]);
-        if took < LOAD_LEAST * base {
+    /// Updates the load times of the function and its class and the slowness of the store from a load that
+    /// one of this router's requests started. A far shorter time than expected was not a whole load and is
+    /// ignored.
+    fn learn_load_time(&mut self, function: usize, took: f64) {
+        let base = self.base_load_time(&self.functions[function]);
+        if took < MIN_LOAD_TIME_SHARE * base {
             return;
         }
         let store = self.store.mean(self.now, self.half, 1.0, DOUBT);
         let f = &mut self.functions[function];
         if f.told_load.or(f.load).is_some() {
-            self.store.add(self.now, self.half, (took / base).min(ERROR_CAP));
+            self.store.add(self.now, self.half, (took / base).min(MAX_ERROR_RATIO));
         }
         let sample = took / store.max(1.0);
         let load = f.load.unwrap_or(sample);
-        f.load = Some(load + LEARN_LOAD * (sample - load));
+        f.load = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
         let class = self.pools[f.class].load.unwrap_or(sample);
-        self.pools[f.class].load = Some(class + LEARN_LOAD * (sample - class));
+        self.pools[f.class].load = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
     }
 
-    // ---- Requests and attempts: what is legal ----
+    // ---- Requests and attempts: which sends are allowed ----
 
-    /// Whether the request may be sent to the worker now. Every send passes here.
-    fn legal(&self, request: &Request, worker: usize) -> bool {
-        let (class, w) = (&request.rules, &self.workers[worker]);
+    /// Returns whether the request may be sent to the worker now. Every send is checked here.
+    fn may_send(&self, request: &Request, worker: usize) -> bool {
+        let (class, target) = (&request.rules, &self.workers[worker]);
         let over = request.ended || request.streaming || self.now >= request.deadline;
-        let bars = |a: &Attempt| a.open && (!self.set.may_duplicate || a.e.worker == worker);
-        let spent = request.attempts.len() >= request.most.min(self.set.max_attempts);
-        if over || !w.up || spent || !self.budget.open(w) || request.attempts.iter().any(bars) {
+        let blocks = |a: &Attempt| a.open && (!self.set.may_duplicate || a.e.worker == worker);
+        let exhausted = request.attempts.len() >= request.max_attempts.min(self.set.max_attempts);
+        let allowed = !over && target.up && !exhausted && self.budget.open(target);
+        if !allowed || request.attempts.iter().any(blocks) {
             return false;
         }
         let Some(first) = request.attempts.iter().find(|a| a.may_have_run) else { return true };
-        let group = &self.workers[first.e.worker];
+        let first_worker = &self.workers[first.e.worker];
         match class.effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => false,
             Effect::Deduplicated => {
-                let same = match class.key_scope {
+                let same_scope = match class.key_scope {
                     KeyScope::All => true,
-                    KeyScope::Zone => group.zone == w.zone,
-                    KeyScope::Cell => group.zone == w.zone && group.cell == w.cell,
+                    KeyScope::Zone => first_worker.zone == target.zone,
+                    KeyScope::Cell => first_worker.zone == target.zone && first_worker.cell == target.cell,
                 };
-                // Danger: an attempt proved not to have run still starts the window where it was pending.
-                let began = request.attempts[0].sent;
-                same && ((self.now - began) as f64) < WINDOW_USED * class.repeat_window as f64
+                // The window is counted from the first send, even if that attempt proved not to have run:
+                // while it was pending, it may have started the window.
+                let window_start = request.attempts[0].sent_at;
+                same_scope
+                    && ((self.now - window_start) as f64) < REPEAT_WINDOW_SHARE * class.repeat_window as f64
             }
         }
     }
 
+    /// Returns whether the request may be refused: if the client may retry it, or if no attempt can have run.
     fn may_refuse(&self, request: &Request) -> bool {
         let class = &request.rules;
         class.effect == Effect::Idempotent
@@ -531,63 +619,76 @@
             || request.attempts.iter().all(|a| !a.may_have_run)
     }
 
-    /// The share of its full capacity that a worker has now, at the least.
-    fn present_share(&self, w: &Worker) -> f64 {
-        let Some(age) = w.ready_at.map(|r| self.now.saturating_sub(r)) else { return 1.0 };
+    /// Returns the share of its full capacity that a worker is sure to have now.
+    fn present_share(&self, worker: &Worker) -> f64 {
+        let Some(age) = worker.ready_at.map(|r| self.now.saturating_sub(r)) else { return 1.0 };
         let (least, warm) = (self.set.cold_share, self.set.warm_after.max(1) as f64);
         (least + (1.0 - least) * age as f64 / warm).min(1.0)
     }
 
-    /// Danger: all routers together push a fresh worker over. Its budget goes round them in turn; a turn not
-    /// used lapses. Its capacity is what its peers serve, or one core's. The turn to take, if it is ours.
-    fn turn(&self, w: &Worker, f: &Function, known: &Known) -> Option<u64> {
-        let age = w.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
-        let warm = self.set.warm_after as f64;
-        if age >= warm {
-            return Some(w.turn);
+    /// Returns the number of this router's next turn at a cold worker, if one is available; for a warm
+    /// worker, the turn last taken. Without turns, all routers together would overload a worker that has just
+    /// started. Its budget is dealt out to the routers in rotation, one request per turn, and an unused turn
+    /// lapses. The worker's full capacity is taken to be what its peers serve each, and at least what one
+    /// core could.
+    fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &Known) -> Option<u64> {
+        let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
+        let warm_after = self.set.warm_after as f64;
+        if age >= warm_after {
+            return Some(worker.turn);
         }
-        let (alive, routers, me) =
+        let (alive, parts, my_part) =
             self.division.unwrap_or((self.set.balancers, self.set.balancers, self.set.me));
-        let routers = routers.max(1) as u64;
-        let up = known.capacity.get_or_init(|| self.capacity()).max(1.0);
-        let each = self.served.rate(self.now, self.half) * alive as f64 / up;
-        let each = each.max(1.0 / self.pools[f.class].run.max(1.0));
-        // Danger: of many routers, one with a turn has few requests for it. As many more go round as lapse.
-        let kept = TURN_KEPT * self.set.fall_window as f64;
-        let since = self.taken.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
-        let wanted = COLD_DRAW * kept / up * (self.taken.len() + 1) as f64 / since;
-        let used = (1.0 - (-wanted).exp()).max(LEAST_USED);
-        let most = COLD_USED / used * self.set.fall_multiple * each;
-        let least = self.set.cold_share;
-        let turns = |age: f64| (most * (least * age + (1.0 - least) * age * age / (2.0 * warm))) as u64;
-        let lapsed = turns((age - kept).max(0.0));
-        let after = lapsed.max(w.turn);
-        let mine = rendezvous(&w.id, &w.id).wrapping_add(me as u64) % routers;
-        let next = after + 1 + (mine + routers - (after + 1) % routers) % routers;
-        (next <= turns(age)).then_some(next)
-    }
-
-    // ---- EET: choice and admission ----
-
-    /// Counts a request against this router's part of its tenant's quota; a client's retry belongs to its
-    /// first try.
-    fn over_quota(&mut self, tenant: usize, again: bool) -> bool {
+        let parts = parts.max(1) as u64;
+        let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
+        let rate_per_worker = self.served.rate(self.now, self.half) * alive as f64 / fleet_capacity;
+        let rate_per_worker = rate_per_worker.max(1.0 / self.pools[function.class].run.max(1.0));
+        // With many routers, the one whose turn it is often has no request to use it for. The rotation is
+        // sped up to make up for the turns that are expected to lapse.
+        let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.set.fall_window as f64;
+        let observed_for = self.taken.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
+        let expected_requests =
+            COLD_ATTRACTION_FACTOR * lifetime / fleet_capacity * (self.taken.len() + 1) as f64 / observed_for;
+        let used_share = (1.0 - (-expected_requests).exp()).max(MIN_TURN_USE_SHARE);
+        let full_rate = COLD_BUDGET_SHARE / used_share * self.set.fall_multiple * rate_per_worker;
+        let cold_share = self.set.cold_share;
+        // Turns dealt out up to an age: the integral of a rate that grows linearly from the cold share to the
+        // full one.
+        let turns_at = |age: f64| {
+            (full_rate * (cold_share * age + (1.0 - cold_share) * age * age / (2.0 * warm_after))) as u64
+        };
+        let lapsed = turns_at((age - lifetime).max(0.0));
+        let after = lapsed.max(worker.turn);
+        let offset = rendezvous(&worker.id, &worker.id).wrapping_add(my_part as u64) % parts;
+        let next = after + 1 + (offset + parts - (after + 1) % parts) % parts;
+        (next <= turns_at(age)).then_some(next)
+    }
+
+    // ---- Estimated completion times: choice and admission ----
+
+    /// Charges a request to this router's part of its tenant's quota and returns whether the quota was
+    /// exhausted. A client's retry of a request that this router refused is not charged again.
+    fn charge_quota(&mut self, tenant: usize, is_retry: bool) -> bool {
         let Some(quota) = self.set.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
-        let part = quota / self.set.balancers as f64 / 1e6;
-        let (left, at, turned) = self.quota_left[tenant];
-        let left = (left + part * (self.now - at) as f64).min((part * QUOTA_SAVED).max(1.0));
-        // Danger: a client may mark all that it sends. Only as many go uncounted as this router turned away.
-        let free = if again && turned >= 1.0 { 1.0 } else { 0.0 };
-        let drawn = if left < 1.0 { 0.0 } else { 1.0 - free };
-        self.quota_left[tenant] = (left - drawn, self.now, turned - free);
-        left < 1.0
+        let tokens_per_us = quota / self.set.balancers as f64 / 1e6;
+        let TenantQuota { tokens, updated_at, refused } = self.tenant_quotas[tenant];
+        let refilled = tokens + tokens_per_us * (self.now - updated_at) as f64;
+        let tokens = refilled.min((tokens_per_us * QUOTA_BURST_US).max(1.0));
+        // A client could mark every request as a retry. So no more go uncharged than this router refused.
+        let uncharged = if is_retry && refused >= 1.0 { 1.0 } else { 0.0 };
+        let charge = if tokens < 1.0 { 0.0 } else { 1.0 - uncharged };
+        self.tenant_quotas[tenant] =
+            TenantQuota { tokens: tokens - charge, updated_at: self.now, refused: refused - uncharged };
+        tokens < 1.0
     }
 
-    /// The time of a load, and what its fetch costs in time.
+    /// Returns the time of a load, plus the price of its fetch converted to time.
     fn whole_load(&self, request: &Request) -> f64 {
         self.load_time(request.function) + self.set.fetch_price * request.rules.aim as f64
     }
 
+    /// Predicts the completion of a request at a worker; `None` if it may not be sent there now. `rank` is
+    /// the worker's rank if it is one of the function's homes.
     fn estimate(
         &self,
         request: &Request,
@@ -595,125 +696,153 @@
         rank: Option<&Rank>,
         known: &Known,
     ) -> Option<Estimate> {
-        let w = &self.workers[worker];
-        let f = &self.functions[request.function];
+        let target = &self.workers[worker];
+        let function = &self.functions[request.function];
         let class = &request.rules;
-        let slow = self.slowness(w, known.peers) / self.present_share(w).powf(USUAL_COLD);
-        let run = f.run * slow * request.size.size;
-        let turn = self.turn(w, f, known).filter(|_| self.legal(request, worker))?;
-        let mark = w.marks.get(&request.function).copied().unwrap_or_default();
+        let slowness =
+            self.slowness(target, known.peers) / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
+        let run_time = function.run * slowness * request.size.size;
+        let cold_turn =
+            self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
+        let mark = target.marks.get(&request.function).copied().unwrap_or_default();
         let warmth = self.warmth(&mark);
         let whole_load = self.whole_load(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
-        let kept = rank.map(|rank| self.kept_by_others(f, rank, known));
-        let (load, copies) = match warmth {
+        let peer_copy = rank.map(|rank| self.peer_copy_probability(function, rank, known));
+        let (load_wait, copies) = match warmth {
             Warmth::Warm => (0.0, mark.copies),
             Warmth::Loading(left) => (left, 1),
-            Warmth::Cold => ((1.0 - kept.unwrap_or(0.0)) * whole_load, 1),
+            Warmth::Cold => ((1.0 - peer_copy.unwrap_or(0.0)) * whole_load, 1),
+        };
+        let run_time_of =
+            |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.e.run_time);
+        let own_work: f64 = target.open.iter().filter_map(run_time_of).sum();
+        let routers = self.set.balancers as f64;
+        let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
+        let (reported, report_weight) = target.report.others(self.now);
+        let reported_work = report_weight * REMAINING_RUN_SHARE * reported * self.pools[request.class].run;
+        let concurrency =
+            if self.report_fields.told() { WORKER_CONCURRENCY_REPORTED } else { function.lanes.min(2.0) };
+        let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
+        let in_flight = f64::from(mark.own) + mark.others_in_flight;
+        let lanes = function.lanes * f64::from(copies.max(1));
+        let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
+        let total = self.set.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
+        // A worker that has just rejected this request would probably do so again: every other worker comes
+        // first.
+        let rejected = request.attempts.iter().any(|a| a.e.worker == worker && a.rejected);
+        let crossing = if target.zone == self.set.my_zone {
+            0.0
+        } else {
+            CROSSING_PRICE_FACTOR * self.set.cross_zone_price
         };
-        let run_of = |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.e.run);
-        let own: f64 = w.open.iter().filter_map(run_of).sum();
-        let n = self.set.balancers as f64;
-        let unseen = UNSEEN * own * (n - 1.0) / (n + 1.0);
-        let (others, worth) = w.report.others(self.now);
-        let told = worth * LEFT_TOLD * others * self.pools[request.class].run;
-        let beside = if self.fields.told() { BESIDE_TOLD } else { f.lanes.min(2.0) };
-        let pending = (own + told + (1.0 - worth) * unseen) / beside;
-        let held = f64::from(mark.own) + mark.others;
-        let slots = f.lanes * f64::from(copies.max(1));
-        let lane_wait = run * ((held + 1.0 - slots) / slots).max(0.0);
-        let total = self.set.tick as f64 + load + pending.max(lane_wait) + run;
-        // A worker that has just turned a request away does so again: any other comes first.
-        let turned_away = request.attempts.iter().any(|a| a.e.worker == worker && a.turned_away);
-        let crossing = if w.zone == self.set.my_zone { 0.0 } else { ZONE * self.set.cross_zone_price };
-        // A zone that is lost shows in all its workers: a few tell of the rest.
-        let zone = self.zones.get(&w.zone).map_or(0.0, |h| h.mean(self.now, self.half, 0.0, 1.0));
-        let zone = self.thin * ((zone - ZONE_DOUBT) / (1.0 - ZONE_DOUBT)).max(0.0);
-        // Danger: fast failures make a worker look idle and would draw all traffic; a hang or a cut link are
-        // silence. A loss costs the client's whole patience; no risk refuses.
-        let risk = w.lost[request.class].mean(self.now, self.half, zone, DOUBT) * class.deadline as f64
+        // When a zone is lost, attempts fail at all its workers: failures at a few are held against the rest
+        // too.
+        let zone_loss = self.zones.get(&target.zone).map_or(0.0, |h| h.mean(self.now, self.half, 0.0, 1.0));
+        let excess_loss = ((zone_loss - ZONE_LOSS_THRESHOLD) / (1.0 - ZONE_LOSS_THRESHOLD)).max(0.0);
+        let expected_loss = self.thin * excess_loss;
+        // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
+        // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
+        // The penalty only ranks workers; it causes no refusal.
+        let risk_penalty = target.lost[request.class].mean(self.now, self.half, expected_loss, DOUBT)
+            * class.deadline as f64
             + crossing * class.aim as f64
-            + if turned_away { class.deadline as f64 } else { 0.0 };
-        // Only the usual time of a load is nobody's fault: what a slow store adds counts as a queue.
-        let expected_load = load;
-        let load = load.min(self.base_load(f));
+            + if rejected { class.deadline as f64 } else { 0.0 };
+        let total_if_warm = total - load_wait;
         Some(Estimate {
             worker,
             total,
-            risk,
-            load,
-            run,
-            size: request.size.size,
-            cold: matches!(warmth, Warmth::Cold) && kept.is_none_or(|p| p <= PRIOR_FOUND),
-            blind: kept.is_some(),
-            warm: total - expected_load,
-            whole: if kept.is_some() { total - expected_load + whole_load } else { total },
-            turn,
-            // All routers' tries together come to about one request at a time.
-            idle: w.open.is_empty()
-                && (self.now - w.sent) as f64
+            risk_penalty,
+            // Only the usual load time is excused as a load: what a slow store adds counts as queueing.
+            load_wait: load_wait.min(self.base_load_time(function)),
+            run_time,
+            work_factor: request.size.size,
+            cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_FOUND),
+            unobserved: peer_copy.is_some(),
+            total_if_warm,
+            total_if_cold: if peer_copy.is_some() { total_if_warm + whole_load } else { total },
+            cold_turn,
+            // The wait grows with the number of routers, so that all of them together try an unused worker
+            // with about one request at a time.
+            idle: target.open.is_empty()
+                && (self.now - target.sent) as f64
                     >= (self.set.balancers - 1) as f64 * self.pools[request.class].run,
         })
     }
 
-    /// All routers' requests for the function, and the number of its homes, by the crowds that answers told.
-    fn demand(&self, f: &Function) -> (f64, f64) {
-        // Danger: of many functions each router sees a few by chance, and all would spread all. The request
-        // that made it known here counts once, what came besides for all routers.
-        let (seen, routers) = (f.seen.samples(self.now, self.half), self.set.balancers as f64);
-        let besides = (seen - 1.0).max(0.0) / seen.max(1.0);
-        let rate = f.seen.rate(self.now, self.half) * (1.0 + (routers - 1.0) * besides);
-        let of_class = self.pools[f.class].crowd.mean(self.now, self.half, rate * f.run, 1.0);
-        let expected = (of_class + seen * rate * f.run) / (1.0 + seen);
-        let busy = f.crowd.mean(self.now, self.half, expected, 1.0);
-        let fill = if self.fields.told() { FILL_TOLD } else { FILL + (FILL_THIN - FILL) * self.thin };
-        (rate, (busy / (f.lanes.min(2.0) * fill)).max(1.0).ceil())
-    }
-
-    /// The chance that others keep the function warm at the worker, one of its first ranks. Danger: after a
-    /// loss of many, all believe in copies that none has loaded yet. What rose has had its time from then on.
-    fn kept_by_others(&self, f: &Function, rank: &Rank, known: &Known) -> f64 {
-        let (rate, homes, up) = (known.rate, known.homes, rank.up);
-        let fell = Some(rank.fell).filter(|_| rank.all >= homes);
-        let age = match self.workers[rank.worker].ready_at.max(fell) {
-            Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load(f)).max(0.0),
+    /// Returns the request rate for the function over all routers, per microsecond, and the number of its
+    /// homes. Both are estimates; the homes follow from the concurrency that answers report.
+    fn demand(&self, function: &Function) -> (f64, f64) {
+        // Of many rarely used functions each router sees a few by chance. Scaling every request up by the
+        // number of routers would give all of them many homes. So the request that made the function known
+        // here counts once, and only further ones are scaled up.
+        let (seen, routers) = (function.seen.samples(self.now, self.half), self.set.balancers as f64);
+        let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
+        let rate = function.seen.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
+        let rate_times_run = rate * function.run;
+        let of_class = self.pools[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
+        let expected = (of_class + seen * rate * function.run) / (1.0 + seen);
+        let concurrency = function.concurrency.mean(self.now, self.half, expected, 1.0);
+        let lane_use = if self.report_fields.told() {
+            TARGET_LANE_USE_REPORTED
+        } else {
+            TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.thin
+        };
+        (rate, (concurrency / (function.lanes.min(2.0) * lane_use)).max(1.0).ceil())
+    }
+
+    /// Returns the probability that other routers keep the function warm at a worker, one of its homes. A
+    /// worker that became a home only because others left counts as one from the time they left: otherwise,
+    /// after the loss of many workers, all routers would assume copies that none has loaded yet.
+    fn peer_copy_probability(&self, function: &Function, rank: &Rank, known: &Known) -> f64 {
+        let (rate, homes, up_before) = (known.rate, known.homes, rank.up);
+        let home_since = Some(rank.fell).filter(|_| rank.all >= homes);
+        let age = match self.workers[rank.worker].ready_at.max(home_since) {
+            Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load_time(function)).max(0.0),
             None => f64::INFINITY,
         };
         let uses = (rate / homes).max(1.0 / self.set.keep_alive as f64) * age;
-        // The first ranks are homes by all guesses, the last by few: all fill them in one order.
-        known.found * (1.0 - (-uses).exp()) * (-self.thin * up / homes).exp()
+        // All routers fill the homes in the same order, but estimate different numbers of them: the first
+        // workers are homes by every estimate, the last ones by few.
+        known.found * (1.0 - (-uses).exp()) * (-self.thin * up_before / homes).exp()
     }
 
-    /// The chance that a function is found at its homes where this router does not know, given time.
+    /// Returns the probability that a function is found warm at one of its homes where this router has
+    /// observed no copy, once there has been time to load it.
     fn found(&self, f: &Function) -> f64 {
         let of_class = self.pools[f.class].found.mean(self.now, self.half, PRIOR_FOUND, 1.0);
         f.found.mean(self.now, self.half, of_class, 1.0)
     }
 
+    /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
     fn warmth(&self, mark: &Mark) -> Warmth {
         if let Some((began, due)) = mark.loading {
-            let patience = LOAD_PATIENCE * (due - began) as f64;
-            if ((self.now - began) as f64) < patience {
+            let timeout = LOAD_TIMEOUT_FACTOR * (due - began) as f64;
+            if ((self.now - began) as f64) < timeout {
+                // A load that is overdue is expected to take as long again, up to the whole expected time.
                 let (left, so_far) = (due.saturating_sub(self.now), self.now.saturating_sub(began));
                 return Warmth::Loading(left.max(so_far.min(due - began)) as f64);
             }
         }
         let idle = self.now.saturating_sub(mark.used) as f64;
-        if mark.copies > 0 && (mark.own > 0 || idle < BELIEVE * self.set.keep_alive as f64) {
+        if mark.copies > 0 && (mark.own > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) {
             return Warmth::Warm;
         }
         Warmth::Cold
     }
 
-    /// The smallest estimate; cold ties are broken by a hash that all routers share, warm ones at random.
+    /// Returns the worker with the smallest estimate. Ties between cold workers are broken by the order of
+    /// preference that all routers share, ties between warm ones at random.
     fn best(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
         let known = self.known(request.function);
         let load = self.load_time(request.function);
-        let tie = load * if self.fields.told() { COLD_TIE_TOLD } else { COLD_TIE };
-        // Danger: routers with the same late view choose alike and flood the worker that looked best.
-        let error = VIEW_ERROR * (1.0 - 1.0 / (1.0 + self.set.balancers as f64));
+        let tie =
+            load * if self.report_fields.told() { COLD_TIE_LOAD_TIMES_REPORTED } else { COLD_TIE_LOAD_TIMES };
+        // Without randomness, routers with the same delayed view would all choose the worker that looked best
+        // and overload it.
+        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.set.balancers as f64));
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
-        let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run;
+        let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run_time;
         if self.scans {
             return self.best_of_all(request, &known, only_cold, tie, key);
         }
@@ -723,53 +852,61 @@
         let least_warm = least(&search.warm, Estimate::key);
         let cold = only_cold || search.any_cold_before(least_warm);
         let found = if cold { search.first_cold(tie) } else { least_of(&search.warm, key) };
-        // As many again next time without a search of the ring for each.
-        let wanted = search.end();
-        self.find_preferred(request.function, wanted);
+        // Keeps as many preferred workers for the next choice, so that the ring is not searched again for
+        // each.
+        let taken = search.end();
+        self.find_preferred(request.function, taken);
         found
     }
 
-    /// Sends a request that has no attempt out, or ends it.
-    fn decide(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a request that has no open attempt to a worker, or refuses or fails it.
+    fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         if let Some(retry_after) = self.sheds(&request) {
             self.requests.insert(id, request);
-            return self.end(id, Action::Refuse { id, retry_after }, out);
+            return self.finish(id, Action::Refuse { id, retry_after }, out);
         }
         let worth = self.worth(request.class);
         let left = request.deadline.saturating_sub(self.now) as f64;
-        let over = if request.over_quota { IDLE } else { self.pools[request.class].queue };
-        let (function, whole_aim) = (request.function, request.rules.aim as f64);
-        let aim = over * whole_aim;
+        let aim_share =
+            if request.over_quota { IDLE_AIM_SHARE } else { self.pools[request.class].queue_aim_share };
+        let (function, aim) = (request.function, request.rules.aim as f64);
+        let queue_limit = aim_share * aim;
         let mut choice = self.trial(&request).or_else(|| self.best(&request, false));
-        if choice.is_some_and(|e| !e.idle && e.beside_load() > aim) {
-            choice = self.best(&request, true).filter(|e| e.beside_load() <= IDLE * aim).or(choice);
+        if choice.is_some_and(|e| !e.idle && e.total_without_load() > queue_limit) {
+            let unqueued = |e: &Estimate| e.total_without_load() <= IDLE_AIM_SHARE * queue_limit;
+            choice = self.best(&request, true).filter(unqueued).or(choice);
         }
-        let refusable = self.may_refuse(&request);
-        let again = request.attempts.last().map_or(0.0, |a| if a.may_have_run { 1.0 } else { NEVER_RAN });
+        let may_refuse = self.may_refuse(&request);
+        let resend_cost =
+            request.attempts.last().map_or(0.0, |a| if a.may_have_run { 1.0 } else { UNRUN_RESEND_COST });
         self.requests.insert(id, request);
         match choice {
-            // Danger: under overload all answers come late. What queues alone make late is refused; a load is
-            // waited for. A worker with nothing of ours is tried even so: only answers correct an estimate.
+            // Under overload every answer would come late, so a request that queues alone make late is
+            // refused. A load is waited for. An unused worker is tried regardless, because only answers
+            // correct an estimate.
             Some(e)
-                if e.likely() <= left
-                    && (e.idle || e.beside_load() <= aim)
-                    && self.extra >= again
-                    && self.budget.resend(again > 0.0, worth) =>
+                if e.probable_total() <= left
+                    && (e.idle || e.total_without_load() <= queue_limit)
+                    && self.resend_tokens >= resend_cost
+                    && self.budget.resend(resend_cost > 0.0, worth) =>
             {
-                self.extra -= again;
+                self.resend_tokens -= resend_cost;
                 self.send(id, e, out);
             }
-            _ if refusable => {
-                // Danger: an estimate that refuses everything is never corrected by an answer, but by this.
+            _ if may_refuse => {
+                // An estimate that refuses every request gets no answers to correct it. So each refusal moves
+                // the run time back towards its prior.
                 let f = &mut self.functions[function];
-                f.run -= LEARN_RUN * (f.run - PRIOR_RUN * whole_aim).max(0.0);
-                let wait = |e: Estimate| (e.likely() - left).max(e.beside_load() - aim).max(0.0);
-                let over = choice.map_or(self.set.max_retry_after as f64, wait);
-                let retry_after = (over as Micros).min(self.set.max_retry_after);
-                self.end(id, Action::Refuse { id, retry_after }, out);
+                f.run -= RUN_TIME_LEARNING_RATE * (f.run - PRIOR_RUN_AIM_SHARE * aim).max(0.0);
+                let excess = |e: Estimate| {
+                    (e.probable_total() - left).max(e.total_without_load() - queue_limit).max(0.0)
+                };
+                let wait = choice.map_or(self.set.max_retry_after as f64, excess);
+                let retry_after = (wait as Micros).min(self.set.max_retry_after);
+                self.finish(id, Action::Refuse { id, retry_after }, out);
             }
-            _ => self.end(id, Action::Fail { id }, out),
+            _ => self.finish(id, Action::Fail { id }, out),
         }
     }
 
@@ -780,91 +917,104 @@
         let w = &mut self.workers[e.worker];
         self.budget.enter(w);
         w.open.push((id, request.attempts.len()));
-        let mark = mark(w, e.worker, &mut self.functions[function], function);
+        let mark = mark_mut(w, e.worker, &mut self.functions[function], function);
         self.renewals.push(Use { at: self.now, worker: e.worker, function });
         mark.own += 1;
         (mark.used, mark.asked) = (self.now, self.now);
         if e.cold {
-            (mark.copies, mark.others) = (0, 0.0);
+            (mark.copies, mark.others_in_flight) = (0, 0.0);
             mark.loading = Some((self.now, self.now.saturating_add(load)));
         }
-        let (sent, open, may_have_run, turned_away, lost) = (self.now, true, true, false, false);
-        request.attempts.push(Attempt { e, sent, open, may_have_run, turned_away, lost });
-        self.tally.cold_turns += u64::from(w.turn != e.turn);
-        (w.sent, w.turn) = (self.now, e.turn);
-        let look = self.now.saturating_add((SECOND_LOOK * e.whole) as Micros);
+        request.attempts.push(Attempt {
+            e,
+            sent_at: self.now,
+            open: true,
+            may_have_run: true,
+            rejected: false,
+            presumed_lost: false,
+        });
+        self.tally.cold_turns += u64::from(w.turn != e.cold_turn);
+        (w.sent, w.turn) = (self.now, e.cold_turn);
+        let hedge_at = self.now.saturating_add((HEDGE_DELAY_FACTOR * e.total_if_cold) as Micros);
         out.push(Action::Send { id, worker: w.id.clone(), until: None });
-        if look < request.deadline {
-            out.push(Action::Timer { at: look, cookie: id });
+        if hedge_at < request.deadline {
+            out.push(Action::Timer { at: hedge_at, cookie: id });
         }
     }
 
-    /// A timer of a request: its deadline, or a second look at an attempt that takes long.
-    fn look(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Handles a timer of a request: fails it at its deadline, marks attempts as lost, and hedges or cancels
+    /// one that takes long.
+    fn on_timer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.ended && !r.streaming) else { return };
         if self.now >= request.deadline || request.attempts.is_empty() {
-            return self.end(id, Action::Fail { id }, out);
+            return self.finish(id, Action::Fail { id }, out);
         }
-        let (class, number) = (request.class, request.attempts.len() - 1);
+        let (class, last_number) = (request.class, request.attempts.len() - 1);
         let mut due = Micros::MAX;
-        for a in request.attempts.iter_mut().filter(|a| a.open && !a.lost) {
-            let silence = a.sent.saturating_add((SILENCE * a.e.whole) as Micros);
-            let quiet = self.workers[a.e.worker].heard[class] <= a.sent;
-            a.lost = self.now >= silence;
-            if !a.lost {
-                due = due.min(silence);
-            } else if quiet {
-                self.workers[a.e.worker].lost[class].learn(self.now, self.half, 1.0, LAST);
+        for a in request.attempts.iter_mut().filter(|a| a.open && !a.presumed_lost) {
+            let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.e.total_if_cold) as Micros);
+            let no_answer_since = self.workers[a.e.worker].heard[class] <= a.sent_at;
+            a.presumed_lost = self.now >= lost_at;
+            if !a.presumed_lost {
+                due = due.min(lost_at);
+            } else if no_answer_since {
+                self.workers[a.e.worker].lost[class].learn(self.now, self.half, 1.0, MAX_WORKER_SAMPLES);
             }
         }
         if due < request.deadline {
             out.push(Action::Timer { at: due, cookie: id });
         }
-        // Danger: a hang, a loss or a stall; long work looks alike: only a budget goes into second attempts.
+        // A hang, a loss or a stall looks the same as long work. So hedged requests are limited by a budget,
+        // and none is sent while the worker still answers others of the class.
         let last = request.attempts.last().filter(|a| a.open);
-        let early = |a: &Attempt| {
-            (self.now - a.sent) as f64 + 1.0 < SECOND_LOOK * a.e.whole
-                || self.workers[a.e.worker].heard[class] > a.sent
+        let too_early = |a: &Attempt| {
+            (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.e.total_if_cold
+                || self.workers[a.e.worker].heard[class] > a.sent_at
         };
-        if self.spare < 1.0 || last.is_none_or(early) {
+        if self.hedge_tokens < 1.0 || last.is_none_or(too_early) {
             return;
         }
         if self.set.may_duplicate {
-            self.back_up(id, out);
+            self.send_hedge(id, out);
         } else if self.set.may_cancel && request.rules.effect == Effect::Idempotent {
-            out.push(Action::Cancel { id, attempt: number });
+            out.push(Action::Cancel { id, attempt: last_number });
         }
     }
 
-    fn back_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Sends a second attempt of a request to another worker, if it can be expected to help.
+    fn send_hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let left = request.deadline.saturating_sub(self.now) as f64;
-        // Danger: a copy loaded for a second attempt drives out others and mostly comes too late.
+        // A copy loaded for a second attempt displaces others and mostly comes too late. So a cold worker
+        // qualifies only if the answer is still expected within the aim.
         let aim = request.rules.aim as f64;
-        let spent = (self.now - request.attempts[0].sent) as f64;
-        let worth_it = |e: &Estimate| e.likely() <= left && (!e.cold || spent + e.likely() <= aim);
+        let spent = (self.now - request.attempts[0].sent_at) as f64;
+        let worth_it =
+            |e: &Estimate| e.probable_total() <= left && (!e.cold || spent + e.probable_total() <= aim);
         let choice = self.best(&request, false).filter(worth_it);
-        let twice = request.attempts.iter().filter(|a| a.open).count() > 1;
+        let already_hedged = request.attempts.iter().filter(|a| a.open).count() > 1;
         self.requests.insert(id, request);
-        if let Some(e) = choice.filter(|_| !twice) {
-            self.spare -= 1.0;
+        if let Some(e) = choice.filter(|_| !already_hedged) {
+            self.hedge_tokens -= 1.0;
             self.send(id, e, out);
         }
     }
 
-    fn end(&mut self, id: RequestId, action: Action, out: &mut Vec<Action>) {
+    /// Ends a request with its final action, a refusal or a failure.
+    fn finish(&mut self, id: RequestId, action: Action, out: &mut Vec<Action>) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.ended = true;
-            if let Some(quota) = self.quota_left.get_mut(request.tenant) {
-                quota.2 = (quota.2 + 1.0).min(MOST_TURNED);
+            if let Some(quota) = self.tenant_quotas.get_mut(request.tenant) {
+                quota.refused = (quota.refused + 1.0).min(MAX_REFUSALS_REMEMBERED);
             }
             out.push(action);
-            self.tidy(id, out);
+            self.clean_up(id, out);
         }
     }
 
-    /// After the end: withdraws what is still out, and forgets the request once nothing is.
-    fn tidy(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Cancels the open attempts of a request that has ended, and removes the request once none is open. An
+    /// attempt that starts a load is not cancelled.
+    fn clean_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.e.cold);
         if self.set.may_cancel {
@@ -877,7 +1027,8 @@
         }
     }
 
-    fn closed(&mut self, event: &Event) {
+    /// Records the outcome of an attempt and learns from it.
+    fn close_attempt(&mut self, event: &Event) {
         let Event::Outcome { id, attempt, outcome, found, crowd, latency, report, .. } = event else {
             return;
         };
@@ -887,54 +1038,66 @@
         let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.open) else { return };
         attempt.open = false;
         let (now, worker) = (self.now, attempt.e.worker);
-        let lost = match outcome {
+        // How far the attempt counts as lost, from 0 (answered) to 1; `None` if it says nothing about the
+        // worker.
+        let loss = match outcome {
             Outcome::Ok | Outcome::Miss => Some(0.0),
-            Outcome::Full => Some(TURNED_AWAY),
-            // Danger: requests that no worker can use end in errors everywhere, which must condemn none.
+            Outcome::Full => Some(REJECTION_LOSS),
+            // A request that no worker can serve ends in errors everywhere. It must not count against any
+            // worker.
             Outcome::Error if !self.functions[function].served => None,
-            // Danger: a connection that breaks ends all that is out on it; that is one event, not many.
+            // A connection that breaks ends all open attempts on it. They count as one loss, not as many.
             Outcome::Reset | Outcome::ConnectFailed | Outcome::Unknown
-                if self.workers[worker].broke == now =>
+                if self.workers[worker].last_broken == now =>
             {
                 None
             }
-            Outcome::Unknown => Some(SPOILT),
+            Outcome::Unknown => Some(UNKNOWN_OUTCOME_LOSS),
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => Some(1.0),
-            // Clients with little time left go before an answer is due.
-            Outcome::Timeout if !attempt.lost && *latency as f64 > SILENCE * attempt.e.whole => Some(1.0),
+            // A client with little time left gives up before an answer is due, so a timeout counts only after
+            // that.
+            Outcome::Timeout
+                if !attempt.presumed_lost
+                    && *latency as f64 > LOST_DELAY_FACTOR * attempt.e.total_if_cold =>
+            {
+                Some(1.0)
+            }
             _ => None,
         };
-        attempt.turned_away = outcome == Outcome::Full;
+        attempt.rejected = outcome == Outcome::Full;
         attempt.may_have_run =
             !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
         let e = attempt.e;
         let class = self.functions[function].class;
         if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
             let f = &self.functions[function];
-            let busy = f64::from(crowd).min(f.lanes) * self.demand(f).1;
-            self.functions[function].crowd.learn(now, self.half, busy, LAST);
-            self.pools[class].crowd.add(now, self.half, busy);
+            let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
+            self.functions[function].concurrency.learn(now, self.half, concurrency, MAX_WORKER_SAMPLES);
+            self.pools[class].concurrency.add(now, self.half, concurrency);
         }
         let w = &mut self.workers[worker];
-        if let Some(sample) = lost.filter(|_| found != Found::LoadFailed) {
-            w.lost[class].learn(now, self.half, sample, LAST);
-            self.zones.entry(w.zone).or_default().learn(now, self.half, sample, ZONE_LAST);
+        if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
+            w.lost[class].learn(now, self.half, sample, MAX_WORKER_SAMPLES);
+            self.zones.entry(w.zone).or_default().learn(now, self.half, sample, MAX_ZONE_SAMPLES);
             w.heard[class] = now;
-            w.heard_any = if sample == 0.0 { now } else { w.heard_any };
+            w.last_answer = if sample == 0.0 { now } else { w.last_answer };
         }
         w.open.retain(|o| *o != (id, number));
-        if let Some(held) = self.fields.held(report) {
+        if let Some(held) = self.report_fields.held(report) {
             w.report = Report::hear(now, held, w.open.len());
         }
-        let mark = mark(w, worker, &mut self.functions[function], function);
+        let mark = mark_mut(w, worker, &mut self.functions[function], function);
         mark.own = mark.own.saturating_sub(1);
         if let Some(crowd) = crowd {
-            mark.others = f64::from(crowd.saturating_sub(mark.own));
+            mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own));
         }
-        // Danger: a load that outlasts its request is never told of; the next would be sent into it as well.
-        // Of the class it tells nothing: queues under overload look alike.
-        let outlasted = self.thin > 0.5 && outcome == Outcome::Timeout && *latency as f64 > SILENCE * e.warm;
-        if e.blind && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
+        // A load that outlasts its request is never reported, and the next request would be sent there to
+        // wait for it too. So such a timeout counts as a copy not found. It is not counted for the class,
+        // because queues under overload look the same.
+        let outlasted = self.thin > 0.5
+            && outcome == Outcome::Timeout
+            && *latency as f64 > LOST_DELAY_FACTOR * e.total_if_warm;
+        if e.unobserved && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
             let sample = if found == Found::Warm { 1.0 } else { 0.0 };
             let f = &mut self.functions[function];
             f.found.add(now, self.half, sample);
@@ -952,14 +1115,14 @@
                 mark.loading = None;
                 let took = *latency as f64;
                 match found {
-                    Found::BeganLoad => self.learn_load(function, (took - e.run).max(0.0)),
+                    Found::BeganLoad => self.learn_load_time(function, (took - e.run_time).max(0.0)),
                     Found::Warm => {
-                        let usual = (e.warm / size.size).max(1.0);
-                        self.pools[class].power.learn(size.ratio, took / usual);
-                        self.learn_run(function, worker, took, e.warm)
+                        let usual = (e.total_if_warm / size.size).max(1.0);
+                        self.pools[class].hint_power.learn(size.ratio, took / usual);
+                        self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
-                    Found::Untold if !e.cold && took < e.warm => {
-                        self.learn_run(function, worker, took, e.warm)
+                    Found::Untold if !e.cold && took < e.total_if_warm => {
+                        self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
                     _ => {}
                 }
@@ -969,22 +1132,24 @@
                 if found == Found::LoadFailed {
                     mark.loading = None;
                 } else if outcome == Outcome::Full {
-                    // Its refusal counts as an answer that took twice the expected time.
+                    // A rejection counts as an answer that took twice the expected time.
                     self.learn_slowness(worker, 1.0);
                 }
             }
             Outcome::Reset | Outcome::ConnectFailed | Outcome::Unknown => {
-                w.cut_off(now, outcome == Outcome::ConnectFailed);
+                w.connection_failed(now, outcome == Outcome::ConnectFailed);
             }
-            // The load that it was to begin was never asked for.
+            // The attempt was never sent, so the load that it was meant to start is not under way.
             Outcome::Moot if e.cold && mark.own == 0 => mark.loading = None,
             Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
         }
     }
 }
 
+/// Whether a worker is assumed to hold a copy of a function.
 enum Warmth {
     Warm,
+    /// A load is under way; the expected time left, in microseconds.
     Loading(f64),
     Cold,
 }
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -1,4 +1,6 @@
-//! What a router holds of workers, functions, classes and requests. Nothing is decided here.
+//! The records that a router keeps of workers, functions, classes and requests, and small helpers on them. No
+//! request is decided here. `Worker`, `Mark`, `Function` and `Pool` are handed to the next process, so the
+//! order and the serialised names of their fields are fixed. Times are in microseconds.
 
 use super::hints::{Power, Size, Usual};
 use super::reports::Report;
@@ -9,103 +11,137 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-/// A worker, listed or not.
+/// A worker, whether it is in the current list or not.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(super) struct Worker {
     pub(super) id: WorkerId,
     pub(super) zone: usize,
     pub(super) cell: usize,
+    /// Healthy by the list: requests may be sent there.
     pub(super) up: bool,
     pub(super) listed: bool,
+    /// When its process last started, if that is not long past.
     pub(super) ready_at: Option<Micros>,
+    /// Its copies, by the slot of their function.
     pub(super) marks: BTreeMap<usize, Mark>,
+    /// Open attempts there: the request, and the number of the attempt.
     pub(super) open: Vec<(RequestId, usize)>,
-    /// Observed over predicted times: slow machines, and queues that other routers feed.
+    /// Observed over predicted times. Above 1 for slow machines and for queues fed by other routers.
     pub(super) slow: Evidence,
+    /// The share of lost attempts, by class.
     pub(super) lost: Vec<Evidence>,
+    /// When it last answered, by class.
     pub(super) heard: Vec<Micros>,
-    /// When a connection to it last broke, and when it last answered anything.
-    pub(super) broke: Micros,
-    pub(super) heard_any: Micros,
+    /// When a connection to it last broke or was refused.
+    #[serde(rename = "broke")]
+    pub(super) last_broken: Micros,
+    /// When it last served a request or reported a miss.
+    #[serde(rename = "heard_any")]
+    pub(super) last_answer: Micros,
+    /// When this router last sent a request there.
     pub(super) sent: Micros,
-    /// When it was last told to drain or to be gone.
+    /// When it last stopped being healthy, by the list.
     pub(super) fell: Micros,
-    /// What it last told of its load.
+    /// Its last load report.
     #[serde(default)]
     pub(super) report: Report,
-    /// While cold: the last of its turns that this router took.
+    /// While cold: the number of the last turn that this router took there.
     pub(super) turn: u64,
 }
 
-/// What is believed of a function's copies at a worker.
+/// The assumed state of a function's copies at a worker.
 #[derive(Default, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct Mark {
     pub(super) copies: u32,
-    /// When the load under way began and should end.
+    /// When the load under way began, and when it is expected to end.
     pub(super) loading: Option<(Micros, Micros)>,
+    /// When a copy was last used or ordered loaded.
     pub(super) used: Micros,
+    /// When this router last sent a request for it there.
     pub(super) asked: Micros,
+    /// Open attempts of this router.
     pub(super) own: u32,
-    /// Requests for the function from others, by the last note.
-    pub(super) others: f64,
+    /// Requests of other routers for the function, by the last answer.
+    #[serde(rename = "others")]
+    pub(super) others_in_flight: f64,
 }
 
-/// A function that was asked for.
+/// A function that was requested.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(super) struct Function {
     pub(super) id: FunctionId,
     pub(super) class: usize,
+    /// Requests that one copy runs at a time.
     pub(super) lanes: f64,
+    /// Load time given by requests.
     pub(super) told_load: Option<f64>,
+    /// Learned load time.
     pub(super) load: Option<f64>,
+    /// Learned run time.
     pub(super) run: f64,
+    /// Answers that the run time was learned from.
     pub(super) answers: u32,
-    /// The work that requests for it usually hint at.
+    /// The usual hint of its requests.
     #[serde(default)]
     pub(super) hinted: Usual,
+    /// Whether any request for it was served.
     pub(super) served: bool,
+    /// Requests for it at this router.
     pub(super) seen: Evidence,
-    /// Whether it was found loaded at homes where this router did not know.
+    /// Whether a copy was found at homes where this router had observed none.
     pub(super) found: Evidence,
-    /// The first of the workers that all dispatchers prefer for it, and the version of the ring that they are from.
+    /// The first workers in its order of preference, which all dispatchers share.
     #[serde(skip)]
     pub(super) preferred: Vec<u32>,
+    /// The version of the ring that `preferred` was taken from.
     #[serde(skip)]
     pub(super) preferred_version: u64,
-    /// Workers that hold a mark of it.
+    /// Workers that have a mark for it.
     #[serde(skip)]
     pub(super) holders: Vec<u32>,
-    /// Requests for it that are under way.
+    /// Requests for it under way at this router.
     #[serde(skip)]
     pub(super) in_flight: u32,
-    /// Requests for it that ran or waited at all its homes together, by the notes on answers.
-    pub(super) crowd: Evidence,
+    /// Requests for it running or waiting at all its homes together, as estimated from answers.
+    #[serde(rename = "crowd")]
+    pub(super) concurrency: Evidence,
 }
 
-/// What a class has in common.
+/// What is learned for a class over all its functions.
 #[derive(Default, Clone, Serialize, Deserialize)]
 pub(super) struct Pool {
+    /// Learned run time.
     pub(super) run: f64,
+    /// Learned load time.
     pub(super) load: Option<f64>,
+    /// Whether a copy was found at homes where this router had observed none.
     pub(super) found: Evidence,
-    pub(super) crowd: Evidence,
-    /// The work that its requests usually hint at, and how far hints foretell run times.
+    /// Concurrency of a function of the class, as in [`Function`].
+    #[serde(rename = "crowd")]
+    pub(super) concurrency: Evidence,
+    /// The usual hint of its requests.
     #[serde(default)]
     pub(super) hinted: Usual,
-    #[serde(default)]
-    pub(super) power: Power,
-    /// The share of its aim that a request may spend in queues.
-    pub(super) queue: f64,
+    /// How well hints predict run times.
+    #[serde(default, rename = "power")]
+    pub(super) hint_power: Power,
+    /// The share of its aim within which a request must be expected to finish, loads aside.
+    #[serde(rename = "queue")]
+    pub(super) queue_aim_share: f64,
 }
 
 /// One send of a request.
 pub(super) struct Attempt {
+    /// The prediction by which its worker was chosen.
     pub(super) e: Estimate,
-    pub(super) sent: Micros,
+    pub(super) sent_at: Micros,
+    /// No outcome has arrived yet.
     pub(super) open: bool,
     pub(super) may_have_run: bool,
-    pub(super) turned_away: bool,
-    pub(super) lost: bool,
+    /// The worker was full.
+    pub(super) rejected: bool,
+    /// Open for so long that it counts as lost.
+    pub(super) presumed_lost: bool,
 }
 
 /// A request under way.
@@ -113,46 +149,52 @@
 pub(super) struct Request {
     pub(super) class: usize,
     pub(super) tenant: usize,
-    /// What the class asked for, and the attempts allowed, when the request came.
+    /// The settings of its class when it arrived.
     pub(super) rules: Class,
-    pub(super) most: usize,
+    /// The attempts allowed when it arrived.
+    pub(super) max_attempts: usize,
+    /// The slot of its function.
     pub(super) function: usize,
-    /// What its hint tells.
+    /// Its hint, as weighed on arrival.
     pub(super) size: Size,
+    /// Its tenant's quota was exhausted when it arrived.
     pub(super) over_quota: bool,
     pub(super) deadline: Micros,
+    /// Answered, refused, failed or abandoned; attempts may still be open.
     pub(super) ended: bool,
+    /// The client is receiving a streamed answer.
     pub(super) streaming: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl Worker {
-    /// A connection to it broke, or none came up. Danger: connections break while the process lives on. It is dead where
-    /// no new one comes up.
-    pub(super) fn cut_off(&mut self, now: Micros, refused: bool) {
-        if refused && self.broke > self.heard_any && self.broke < now {
+    /// Records that a connection broke or was `refused`. A broken connection alone does not mean that the
+    /// process has died and its copies are gone. That is assumed only if a new connection is refused after
+    /// it, without an answer in between.
+    pub(super) fn connection_failed(&mut self, now: Micros, refused: bool) {
+        if refused && self.last_broken > self.last_answer && self.last_broken < now {
             self.forget_copies();
         }
-        self.broke = now;
+        self.last_broken = now;
     }
 
-    /// Nothing stands there any more, as far as is known.
+    /// Assumes that no copy is loaded there any more. Open attempts stay counted.
     pub(super) fn forget_copies(&mut self) {
         self.marks.values_mut().for_each(|m| *m = Mark { own: m.own, ..Mark::default() });
     }
 }
 
-/// Absurd figures are replaced, so that no estimate divides by zero or overflows.
-pub(super) fn usable(mut set: Settings) -> Settings {
-    set.balancers = set.balancers.max(1);
-    set.keep_alive = set.keep_alive.max(1);
-    set.cold_share = set.cold_share.clamp(0.05, 1.0);
-    set.max_attempts = set.max_attempts.max(1);
-    set.classes.iter_mut().for_each(|c| c.aim = c.aim.max(1));
-    set
+/// Replaces out-of-range settings, so that no estimate divides by zero or overflows.
+pub(super) fn sanitized(mut settings: Settings) -> Settings {
+    settings.balancers = settings.balancers.max(1);
+    settings.keep_alive = settings.keep_alive.max(1);
+    settings.cold_share = settings.cold_share.clamp(0.05, 1.0);
+    settings.max_attempts = settings.max_attempts.max(1);
+    settings.classes.iter_mut().for_each(|c| c.aim = c.aim.max(1));
+    settings
 }
 
-/// Ranks a worker for a function alike at all routers.
+/// Returns the rendezvous hash of a worker for a function, the same at all routers. The highest is preferred.
 pub(super) fn rendezvous(function: &FunctionId, worker: &WorkerId) -> u64 {
     let mut hasher = SipHasher13::new();
     function.as_bytes().hash(&mut hasher);
@@ -160,15 +202,16 @@
     hasher.finish()
 }
 
-/// What a worker holds of a function; nothing as yet, where nothing was known.
-pub(super) fn mark<'a>(
+/// Returns the mark of a function at a worker. Creates an empty one, and lists the worker as a holder, if
+/// there is none.
+pub(super) fn mark_mut<'a>(
     worker: &'a mut Worker,
-    slot: usize,
+    worker_slot: usize,
     function: &mut Function,
-    number: usize,
+    function_slot: usize,
 ) -> &'a mut Mark {
-    worker.marks.entry(number).or_insert_with(|| {
-        function.holders.push(slot as u32);
+    worker.marks.entry(function_slot).or_insert_with(|| {
+        function.holders.push(worker_slot as u32);
         Mark::default()
     })
 }
