--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,12 @@
-//! The five rules over seeded random event streams. The world below answers at random, breaks, drains and restarts
-//! workers; it keeps its own books and checks every action against them.
+//! Invariants of the decision module over seeded random event streams. A simulated environment answers at
+//! random and breaks, drains and restarts workers. It keeps records of its own and checks every action
+//! against them:
+//!
+//! - each request has exactly one end, by its deadline;
+//! - requests and load orders go to healthy workers only;
+//! - attempts, resends, refusals and cancellations stay within what the class and the settings allow;
+//! - load orders stay within the ration;
+//! - a cold worker gets no more than this router's part of its budget.
 
 use ochreward::*;
 use rand_pcg::Pcg32;
@@ -55,11 +62,12 @@
     }
 }
 
-/// Any legal settings: what one deployment has and another lacks, drawn alone and together.
-fn any(rng: &mut Pcg32) -> Settings {
+/// Returns random valid settings, with optional features switched on and off independently.
+fn random_settings(rng: &mut Pcg32) -> Settings {
     let mut set = settings(rng);
     let mut pick = |n: u32| rng.next_u32() % n;
-    // With more, turns at cold workers that lapse go round: tests/fleet.rs counts those over all routers.
+    // With more routers, turns at cold workers that lapse are made up for by further turns, which cannot be
+    // checked for one router alone: tests/fleet.rs counts them over all routers.
     set.balancers = 1 + pick(2) as usize;
     set.me = pick(set.balancers as u32) as usize;
     set.my_zone = pick(3) as usize;
@@ -90,7 +98,7 @@
     set
 }
 
-struct Try {
+struct AttemptRecord {
     worker: usize,
     sent: Micros,
     closes: Micros,
@@ -98,46 +106,49 @@
     may_have_run: bool,
 }
 
-struct Held {
+struct RequestRecord {
     class: usize,
     deadline: Micros,
-    tries: Vec<Try>,
+    attempts: Vec<AttemptRecord>,
     answered: bool,
 }
 
-struct World {
+struct Simulation {
     rng: Pcg32,
     set: Settings,
-    /// Requests that one copy runs at a time, and whether clients hint at work and mark retries.
+    /// Requests that one copy runs at a time.
     lanes: f64,
+    /// Whether clients send work hints and flag retries.
     hints: bool,
-    /// By this factor the world's estimate of what a cold worker's peers do may fall short of the module's: one looks
-    /// at a window, the other at samples that fade, and turns are whole. 1 under the settings that both were made for.
+    /// Factor by which the module may exceed the budget of a cold worker as estimated here. The two estimates
+    /// of what its peers do differ: this one counts answers in a window, the module weighs samples that
+    /// decay, and turns are whole numbers. It is 1 under the settings of `Simulation::new`, for which both
+    /// were written.
     slack: f64,
     router: Router,
     now: Micros,
     list: Vec<Listing>,
-    held: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, RequestRecord>,
     timers: Vec<(Micros, u64)>,
-    orders: Vec<(Micros, WorkerId, FunctionId)>,
-    taken: VecDeque<Micros>,
-    loads: VecDeque<Micros>,
-    /// When something was sent to each worker.
-    work: Vec<VecDeque<Micros>>,
-    /// Answers in the last seconds.
-    oks: VecDeque<Micros>,
-    actions: usize,
-    ends: usize,
+    open_orders: Vec<(Micros, WorkerId, FunctionId)>,
+    arrivals: VecDeque<Micros>,
+    load_orders: VecDeque<Micros>,
+    /// Times of the sends to each worker.
+    sends: Vec<VecDeque<Micros>>,
+    /// Times of the recent answers.
+    answers: VecDeque<Micros>,
+    action_count: usize,
+    end_count: usize,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut rng = Pcg32::seed_from_u64(seed);
         let set = settings(&mut rng);
-        World::with(seed, rng, set, 2, (2.0, false))
+        Simulation::with(seed, rng, set, 2, (2.0, false))
     }
 
-    fn with(seed: u64, rng: Pcg32, set: Settings, zones: usize, (lanes, hints): (f64, bool)) -> World {
+    fn with(seed: u64, rng: Pcg32, set: Settings, zones: usize, (lanes, hints): (f64, bool)) -> Simulation {
         let list: Vec<Listing> = (0..6)
             .map(|n| Listing {
                 worker: format!("worker-{n}").into(),
@@ -148,7 +159,7 @@
                 ready_at: None,
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             router: Router::new(set.clone(), seed, 1_000),
             rng,
             set,
@@ -156,55 +167,61 @@
             hints,
             slack: 1.0,
             now: 1_000,
-            work: vec![VecDeque::new(); list.len()],
-            oks: VecDeque::new(),
+            sends: vec![VecDeque::new(); list.len()],
+            answers: VecDeque::new(),
             list: list.clone(),
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: vec![],
-            orders: vec![],
-            taken: VecDeque::new(),
-            loads: VecDeque::new(),
-            actions: 0,
-            ends: 0,
+            open_orders: vec![],
+            arrivals: VecDeque::new(),
+            load_orders: VecDeque::new(),
+            action_count: 0,
+            end_count: 0,
         };
-        world.tell(Event::Workers { complete: true, entries: list });
-        world
+        simulation.handle(Event::Workers { complete: true, entries: list });
+        simulation
     }
 
     fn below(&mut self, n: u64) -> u64 {
         self.rng.next_u64() % n
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.router.handle(self.now, &event, &mut out);
         for action in out {
-            self.actions += 1;
-            self.act(action);
+            self.action_count += 1;
+            self.check_action(action);
         }
     }
 
     fn index(&self, worker: &WorkerId) -> usize {
-        self.list.iter().position(|l| l.worker == *worker).expect("a worker that was never listed")
+        self.list
+            .iter()
+            .position(|l| l.worker == *worker)
+            .expect("an action for a worker that was never listed")
     }
 
-    fn act(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.sent(id, self.index(&worker), until),
+            Action::Send { id, worker, until } => self.check_send(id, self.index(&worker), until),
             Action::Refuse { id, .. } => {
-                let class = &self.set.classes[self.held[&id].class];
-                let held = &self.held[&id];
+                let class = &self.set.classes[self.requests[&id].class];
+                let request = &self.requests[&id];
                 let all = class.effect == Effect::Deduplicated && class.key_scope == KeyScope::All;
                 if class.effect != Effect::Idempotent && !all {
-                    assert!(held.tries.iter().all(|t| !t.may_have_run), "refused though it may have run");
+                    assert!(
+                        request.attempts.iter().all(|t| !t.may_have_run),
+                        "refused though an attempt may have run"
+                    );
                 }
-                self.answered(id);
+                self.check_end(id);
             }
-            Action::Fail { id } => self.answered(id),
+            Action::Fail { id } => self.check_end(id),
             Action::Cancel { id, attempt } => {
                 assert!(self.set.may_cancel);
-                if let Some(held) = self.held.get_mut(&id) {
-                    let t = held.tries.get_mut(attempt).expect("cancelled an attempt never made");
+                if let Some(request) = self.requests.get_mut(&id) {
+                    let t = request.attempts.get_mut(attempt).expect("cancelled an attempt never made");
                     t.closes = t.closes.min(self.now + 1_000);
                 }
             }
@@ -212,75 +229,84 @@
                 let index = self.index(&worker);
                 assert!(
                     self.set.orders && self.set.load_window > 0,
-                    "orders where none are rationed or allowed"
+                    "a load order although none is allowed or rationed"
                 );
                 if copies > 0 {
                     assert_eq!(
                         self.list[index].standing,
                         Standing::Healthy,
-                        "load ordered at a drained worker"
+                        "load ordered at a worker that is not healthy"
                     );
-                    self.loads.push_back(self.now);
+                    self.load_orders.push_back(self.now);
                     let since = self.now.saturating_sub(self.set.load_window);
-                    self.loads.retain(|t| *t > since);
-                    self.taken.retain(|t| *t > since);
-                    let most = self.set.loads_anyway + self.set.loads_per_request * self.taken.len() as f64;
-                    assert!(self.loads.len() as f64 <= most, "loads beyond the ration");
+                    self.load_orders.retain(|t| *t > since);
+                    self.arrivals.retain(|t| *t > since);
+                    let most =
+                        self.set.loads_anyway + self.set.loads_per_request * self.arrivals.len() as f64;
+                    assert!(self.load_orders.len() as f64 <= most, "load orders beyond the ration");
                 }
                 let due = self.now + 2_000 + self.below(900_000);
-                self.orders.push((due, worker, function));
+                self.open_orders.push((due, worker, function));
             }
             Action::Timer { at, cookie } => self.timers.push((at, cookie)),
-            Action::Watch => panic!("the list is pushed here"),
+            Action::Watch => panic!("asked for the list although it is pushed"),
         }
     }
 
-    fn answered(&mut self, id: RequestId) {
-        let held = self.held.get_mut(&id).expect("answered a request that is not held");
-        assert!(!held.answered, "answered twice");
-        assert!(self.now <= held.deadline + 8_000, "answered late");
-        held.answered = true;
-        self.ends += 1;
+    fn check_end(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&id).expect("answered an unknown request");
+        assert!(!request.answered, "answered twice");
+        assert!(self.now <= request.deadline + 8_000, "answered late");
+        request.answered = true;
+        self.end_count += 1;
     }
 
-    fn sent(&mut self, id: RequestId, worker: usize, until: Option<Micros>) {
+    fn check_send(&mut self, id: RequestId, worker: usize, until: Option<Micros>) {
         let listing = &self.list[worker];
-        assert_eq!(listing.standing, Standing::Healthy, "sent to a drained worker");
-        let held = &self.held[&id];
-        let class = &self.set.classes[held.class];
-        assert!(!held.answered, "sent after the end");
-        assert!(held.tries.len() < self.set.max_attempts, "too many attempts");
+        assert_eq!(listing.standing, Standing::Healthy, "sent to a worker that is not healthy");
+        let request = &self.requests[&id];
+        let class = &self.set.classes[request.class];
+        assert!(!request.answered, "sent after the request ended");
+        assert!(request.attempts.len() < self.set.max_attempts, "too many attempts");
         if !self.set.may_duplicate {
-            assert!(held.tries.iter().all(|t| !t.open), "two at once");
+            assert!(
+                request.attempts.iter().all(|t| !t.open),
+                "two attempts open although duplicates are forbidden"
+            );
         }
-        if let Some(first) = held.tries.iter().find(|t| t.may_have_run) {
-            let group = &self.list[first.worker];
+        if let Some(first) = request.attempts.iter().find(|t| t.may_have_run) {
+            let first_worker = &self.list[first.worker];
             match (class.effect, class.key_scope) {
                 (Effect::Idempotent, _) => {}
-                (Effect::AtMostOnce, _) => panic!("an unsafe request went out again"),
+                (Effect::AtMostOnce, _) => panic!("an at-most-once request that may have run was resent"),
                 (_, KeyScope::All) => {}
-                (_, KeyScope::Zone) => assert_eq!(group.zone, listing.zone, "left the group"),
-                (_, KeyScope::Cell) => assert_eq!(group.cell, listing.cell, "left the group"),
+                (_, KeyScope::Zone) => {
+                    assert_eq!(first_worker.zone, listing.zone, "resent outside of the key scope")
+                }
+                (_, KeyScope::Cell) => {
+                    assert_eq!(first_worker.cell, listing.cell, "resent outside of the key scope")
+                }
             }
             if class.effect == Effect::Deduplicated {
-                assert!(self.now - first.sent <= class.repeat_window, "past the repeat window");
+                assert!(self.now - first.sent <= class.repeat_window, "resent after the repeat window");
             }
         }
-        // A cold worker: this router's half of the rule's budget, for a worker that can do what its peers do on
-        // average, or what one core can.
+        // A cold worker gets at most this router's part of its budget. Its full capacity is taken to be the
+        // average of its peers, and at least that of one core.
         if let Some(age) = listing.ready_at.map(|r| self.now.saturating_sub(r))
             && age < self.set.warm_after
         {
             let since = self.now.saturating_sub(self.set.fall_window);
-            let work = &mut self.work[worker];
-            work.retain(|t| *t > since);
-            work.push_back(self.now);
+            let sends = &mut self.sends[worker];
+            sends.retain(|t| *t > since);
+            sends.push_back(self.now);
             let share =
                 self.set.cold_share + (1.0 - self.set.cold_share) * age as f64 / self.set.warm_after as f64;
-            // What its peers do is told by a time that the module looks back over as well.
+            // The rate of its peers is taken over a window that the module looks back over as well.
             let window = self.set.keep_alive.max(8_000_000);
-            self.oks.retain(|t| *t + window > self.now);
-            // A cold peer counts by its share: where most are, the others' answers tell what one can do.
+            self.answers.retain(|t| *t + window > self.now);
+            // A cold peer counts by its share of capacity, so that the rate stays that of a warm worker where
+            // most peers are cold.
             let warmth = |l: &Listing| {
                 let age = l.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
                 (self.set.cold_share + (1.0 - self.set.cold_share) * age / self.set.warm_after as f64)
@@ -288,39 +314,46 @@
             };
             let peers = self.list.iter().filter(|l| l.standing == Standing::Healthy).map(warmth).sum::<f64>();
             let routers = self.set.balancers as f64;
-            let each = (routers * self.oks.len() as f64 / window as f64 / peers.max(1.0)).max(1.0 / 60e3);
+            let each = (routers * self.answers.len() as f64 / window as f64 / peers.max(1.0)).max(1.0 / 60e3);
             let budget = self.set.fall_multiple * share * self.set.fall_window as f64 * each;
-            // Alone, or nearly, a cold worker has no peers that could tell what it can do.
+            // A cold worker that is alone, or nearly, has no peers whose rate could be compared with, so where the
+            // estimates may differ the check needs a fleet with the capacity of two warm workers.
             assert!(
                 (self.slack > 1.0 && peers < 2.0)
-                    || work.len() as f64 * routers <= self.slack * budget.max(routers),
-                "cold worker pushed over: {} of {budget} by one of {routers}, age {age} share {share} each {each} oks {} peers {peers} {:?}",
-                work.len(),
-                self.oks.len(),
+                    || sends.len() as f64 * routers <= self.slack * budget.max(routers),
+                "cold worker overloaded: {} sends of {budget} by one of {routers}, age {age} share {share} each {each} answers {} peers {peers} {:?}",
+                sends.len(),
+                self.answers.len(),
                 self.set
             );
         }
-        let until = until.unwrap_or(Micros::MAX).min(held.deadline);
+        let until = until.unwrap_or(Micros::MAX).min(request.deadline);
         let closes = match self.below(10) {
             0 => until,
             1..3 => self.now + 500,
             _ => self.now + 20_000 + self.below(600_000),
         };
-        let held = self.held.get_mut(&id).expect("checked above");
-        held.tries.push(Try { worker, sent: self.now, closes, open: true, may_have_run: true });
+        let request = self.requests.get_mut(&id).expect("checked above");
+        request.attempts.push(AttemptRecord {
+            worker,
+            sent: self.now,
+            closes,
+            open: true,
+            may_have_run: true,
+        });
     }
 
     fn close_due(&mut self) {
         let due: Vec<(RequestId, usize)> = self
-            .held
+            .requests
             .iter()
-            .flat_map(|(id, h)| h.tries.iter().enumerate().map(move |(n, t)| (*id, n, t)))
+            .flat_map(|(id, h)| h.attempts.iter().enumerate().map(move |(n, t)| (*id, n, t)))
             .filter(|(_, _, t)| t.open && t.closes <= self.now)
             .map(|(id, n, _)| (id, n))
             .collect();
         for (id, attempt) in due {
             let outcome = match self.below(12) {
-                _ if self.now >= self.held[&id].deadline => Outcome::Timeout,
+                _ if self.now >= self.requests[&id].deadline => Outcome::Timeout,
                 0 => Outcome::Error,
                 1 => Outcome::Full,
                 2 => Outcome::Reset,
@@ -335,23 +368,23 @@
                 _ if outcome == Outcome::Ok => Found::Warm,
                 _ => Found::Untold,
             };
-            let held = self.held.get_mut(&id).expect("listed above");
-            let t = &mut held.tries[attempt];
+            let request = self.requests.get_mut(&id).expect("listed above");
+            let t = &mut request.attempts[attempt];
             t.open = false;
             t.may_have_run =
                 !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Miss | Outcome::Moot);
-            if outcome == Outcome::Ok && !held.answered {
-                held.answered = true;
-                self.ends += 1;
+            if outcome == Outcome::Ok && !request.answered {
+                request.answered = true;
+                self.end_count += 1;
             }
-            let (last, latency) = (held.answered, self.now - t.sent);
+            let (last, latency) = (request.answered, self.now - t.sent);
             if outcome == Outcome::Ok {
-                self.oks.push_back(self.now);
+                self.answers.push_back(self.now);
             }
             let odd = [0.0, 3.0, 9.0, -1.0, 1e300, f64::NAN, f64::INFINITY];
             let report = (0..self.below(4)).map(|_| odd[self.below(7) as usize]).collect();
             let crowd = Some(self.below(9) as u32);
-            self.tell(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+            self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
         }
     }
 
@@ -360,19 +393,22 @@
         self.close_due();
         let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= self.now).map(|t| t.1).collect();
         self.timers.retain(|t| t.0 > self.now);
-        due.into_iter().for_each(|cookie| self.tell(Event::Timer { cookie }));
-        let orders = std::mem::take(&mut self.orders);
+        due.into_iter().for_each(|cookie| self.handle(Event::Timer { cookie }));
+        let orders = std::mem::take(&mut self.open_orders);
         let (due, rest): (Vec<_>, Vec<_>) = orders.into_iter().partition(|o| o.0 <= self.now);
-        self.orders.extend(rest);
+        self.open_orders.extend(rest);
         for (_, worker, function) in due {
             let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][self.below(3) as usize];
             let copies = self.below(3) as u32;
-            self.tell(Event::Loaded { worker, function, outcome, latency: 5_000, copies });
+            self.handle(Event::Loaded { worker, function, outcome, latency: 5_000, copies });
         }
-        for (id, held) in &self.held {
-            assert!(held.answered || self.now <= held.deadline + 8_000, "request {id} was never answered");
+        for (id, request) in &self.requests {
+            assert!(
+                request.answered || self.now <= request.deadline + 8_000,
+                "request {id} was never answered"
+            );
         }
-        self.held.retain(|_, h| !h.answered || h.tries.iter().any(|t| t.open));
+        self.requests.retain(|_, h| !h.answered || h.attempts.iter().any(|t| t.open));
         if self.below(200) == 0 {
             let index = self.below(self.list.len() as u64) as usize;
             let listing = &mut self.list[index];
@@ -383,23 +419,23 @@
                 _ => {
                     listing.standing = Standing::Healthy;
                     listing.ready_at = Some(self.now - 1_000);
-                    self.work[index].clear();
+                    self.sends[index].clear();
                 }
             }
             let entries = vec![self.list[index].clone()];
-            self.tell(Event::Workers { complete: false, entries });
+            self.handle(Event::Workers { complete: false, entries });
         }
         if id < REQUESTS {
-            self.taken.push_back(self.now);
+            self.arrivals.push_back(self.now);
             let (class, time_left) = (self.below(5) as usize, 200_000 + self.below(2_800_000));
             let function: FunctionId = format!("function-{}-{}", class, self.below(6) * self.below(6)).into();
             let deadline = self.now + time_left;
-            self.held.insert(id, Held { class, deadline, tries: vec![], answered: false });
+            self.requests.insert(id, RequestRecord { class, deadline, attempts: vec![], answered: false });
             let (tenant, load_time) = (self.below(3) as usize, (!id.is_multiple_of(3)).then_some(700_000));
             let hint = [0, 1, 40_000, 400_000, u64::MAX][id as usize % 5];
             let (work, again, lanes) =
                 (self.hints.then_some(hint), self.hints && id.is_multiple_of(4), self.lanes);
-            self.tell(Event::Request {
+            self.handle(Event::Request {
                 id,
                 class,
                 tenant,
@@ -412,46 +448,46 @@
             });
         }
         if self.below(50) == 0
-            && let Some(id) = self.held.iter().find(|(_, h)| !h.answered).map(|(id, _)| *id)
+            && let Some(id) = self.requests.iter().find(|(_, h)| !h.answered).map(|(id, _)| *id)
         {
-            self.held.get_mut(&id).expect("found above").answered = true;
-            self.ends += 1;
-            self.tell(Event::Abandoned { id });
+            self.requests.get_mut(&id).expect("found above").answered = true;
+            self.end_count += 1;
+            self.handle(Event::Abandoned { id });
         }
     }
 }
 
 const REQUESTS: u64 = 3_000;
 
-fn runs(mut world: World, seed: u64) {
-    (0..REQUESTS + 1_500).for_each(|id| world.step(id));
-    assert_eq!(world.ends as u64, REQUESTS, "seed {seed}: every request has exactly one end");
-    assert!(world.held.is_empty(), "seed {seed}: nothing is left over");
+fn run_to_end(mut simulation: Simulation, seed: u64) {
+    (0..REQUESTS + 1_500).for_each(|id| simulation.step(id));
+    assert_eq!(simulation.end_count as u64, REQUESTS, "seed {seed}: every request has exactly one end");
+    assert!(simulation.requests.is_empty(), "seed {seed}: requests are left over");
 }
 
 #[test]
-fn the_five_rules_hold_over_random_events() {
-    (0..100).for_each(|seed| runs(World::new(seed), seed));
+fn every_action_is_allowed_over_random_events() {
+    (0..100).for_each(|seed| run_to_end(Simulation::new(seed), seed));
 }
 
 #[test]
-fn the_five_rules_hold_under_any_legal_settings() {
+fn every_action_is_allowed_under_random_valid_settings() {
     for seed in 1_000..1_100 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let set = any(&mut rng);
+        let set = random_settings(&mut rng);
         let (zones, lanes) = (1 + seed as usize % 3, [1.0, 2.0, 64.0][seed as usize / 3 % 3]);
-        let mut world = World::with(seed, rng, set, zones, (lanes, seed % 2 == 0));
-        world.slack = 1.8;
-        runs(world, seed);
+        let mut simulation = Simulation::with(seed, rng, set, zones, (lanes, seed % 2 == 0));
+        simulation.slack = 1.8;
+        run_to_end(simulation, seed);
     }
 }
 
 #[test]
 fn the_same_events_lead_to_the_same_actions() {
     let run = || {
-        let mut world = World::new(77);
-        (0..REQUESTS).for_each(|id| world.step(id));
-        (world.actions, world.now, world.rng.next_u64())
+        let mut simulation = Simulation::new(77);
+        (0..REQUESTS).for_each(|id| simulation.step(id));
+        (simulation.action_count, simulation.now, simulation.rng.next_u64())
     };
     assert_eq!(run(), run());
 }
