--- a/src/control.rs
+++ b/src/control.rs
@@ -106,7 +106,7 @@
 /// a copy costs more than a short wait.
 const TARGET_LANE_USE_REPORTED: f64 = 1.2;
 /// Concurrent requests that a worker is assumed to run, whatever one copy does, where workers report the
-/// requests they hold. Own pending work is divided by it.
+/// requests they hold. Pending work is divided by it.
 const WORKER_CONCURRENCY_REPORTED: f64 = 3.0;
 /// Share of a run that is left, on average, of each request that a worker reports for other routers. Evenly
 /// spread arrivals would leave half; uneven ones leave more.
@@ -189,6 +189,7 @@
     run_time: f64,
     /// Run time relative to a usual request, by the client's hint. What it adds to the run is not queueing.
     work_factor: f64,
+    /// The function would have to be loaded, more probably than not.
     cold: bool,
     /// The worker is a home where this router has observed no copy, but other routers may keep one.
     unobserved: bool,
@@ -910,6 +911,7 @@
         }
     }
 
+    /// Sends an attempt to the worker of the estimate and records it.
     fn send(&mut self, id: RequestId, e: Estimate, out: &mut Vec<Action>) {
         let load = self.load_time(self.requests[&id].function) as Micros;
         let Some(request) = self.requests.get_mut(&id) else { return };
