--- a/src/names/check.rs
+++ b/src/names/check.rs
@@ -1,9 +1,10 @@
-//! Which lists of the name service are believed. No I/O; the clock is passed in.
+//! Validates the lists of the name service. No I/O; the clock is passed in.
 //!
-//! A list replaces the one held only whole. One that contradicts itself (an id at two addresses) is refused, and so is
-//! one that empties a list at once: the last good list stands and serving goes on until a list can be believed. An
-//! empty list is believed once the name service has said so for `EMPTY_HOLD_US`, which takes three answers at the usual pace:
-//! it tells of every worker that it is gone, and nothing may be sent to one later than the grace of a drain after that.
+//! A list is accepted or refused as a whole. One that contradicts itself (an id at two addresses) or exceeds a limit is
+//! refused, and so is a sudden empty list: the last valid list stays in use and serving continues. An empty list is
+//! accepted once the name service has repeated it for `EMPTY_HOLD_US`, which takes three answers at the regular query
+//! interval. It cannot be refused for longer, because it announces that every worker is gone, and nothing may be sent to a
+//! worker after the drain grace period that starts then.
 
 use super::{Executor, MOST_EXECUTORS, MOST_ID_BYTES};
 use crate::api::WorkerId;
@@ -11,22 +12,22 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// How long an empty list must stand before it replaces one that names executors, in microseconds: with the answer that ends it
-/// less than the 250 ms and 50 ms that the platform allows from the telling of a drain.
+/// How long an empty list must be repeated before it replaces one with executors, in microseconds. With the wait for the
+/// answer that ends it, this is less than the 250 ms and 50 ms that the platform allows after a drain is announced.
 pub const EMPTY_HOLD_US: u64 = 150_000;
 
-/// Why a list was not taken.
+/// Why a list was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Doubt {
-    /// The answer can't be read, or was cut off (the reason of the DNS reader).
+    /// The answer could not be parsed or was truncated; carries the parser's reason.
     Unreadable(&'static str),
-    /// No executor at all, while the list held names some; not yet for `EMPTY_HOLD_US`.
+    /// The list is empty, while the one in use is not, and has not been so for `EMPTY_HOLD_US` yet.
     Empty,
-    /// One id at two addresses.
+    /// One id has two addresses.
     TwoAddresses(WorkerId, SocketAddr, SocketAddr),
-    /// More entries than a list may have.
+    /// The list has this many entries, more than [`MOST_EXECUTORS`].
     TooMany(usize),
-    /// An id of so many bytes, more than one may have.
+    /// An id has this many bytes, more than [`MOST_ID_BYTES`].
     LongId(usize),
 }
 
@@ -52,42 +53,44 @@
     }
 }
 
-/// What became of a list.
+/// The result of validating a list.
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
-    /// Taken.
+    /// The list is valid.
     Take {
-        /// The list in its order, each id once.
+        /// The list in its original order, each id once.
         executors: Vec<Executor>,
-        /// Entries that repeated another exactly and were dropped.
+        /// Entries dropped because they repeated the id and address of an earlier one.
         merged: usize,
     },
-    /// Refused.
+    /// The list is refused.
     Refuse {
-        /// Why.
+        /// The reason.
         doubt: Doubt,
-        /// True when the doubt is new, so that it is told once and not with every answer.
+        /// Whether the reason differs from that of the last refusal, so that it is logged once and not with every answer.
         first: bool,
     },
 }
 
-/// The checker's memory: since when the service says the list is empty, and the last doubt told.
+/// A validator of lists.
 #[derive(Debug, Default)]
 pub struct Checker {
+    /// When the first of the consecutive empty lists arrived.
     empty_since: Option<u64>,
-    told: Option<Doubt>,
+    /// The reason of the last refusal, until a list is accepted.
+    last_refusal: Option<Doubt>,
 }
 
 impl Checker {
-    /// Judges a readable list that is newer than the one held; `held` is how many executors that one names.
-    pub fn judge(&mut self, now: u64, mut executors: Vec<Executor>, held: usize) -> Verdict {
+    /// Validates a list that was parsed whole; `in_use_count` is the number of executors in the list in use.
+    pub fn judge(&mut self, now: u64, mut executors: Vec<Executor>, in_use_count: usize) -> Verdict {
         if executors.len() > MOST_EXECUTORS {
             return self.refuse(Doubt::TooMany(executors.len()));
         }
-        if let Some(long) = executors.iter().map(|e| e.id.len()).find(|bytes| *bytes > MOST_ID_BYTES) {
-            return self.refuse(Doubt::LongId(long));
+        if let Some(too_long) = executors.iter().map(|e| e.id.len()).find(|bytes| *bytes > MOST_ID_BYTES) {
+            return self.refuse(Doubt::LongId(too_long));
         }
-        if executors.is_empty() && held > 0 {
+        if executors.is_empty() && in_use_count > 0 {
             let since = *self.empty_since.get_or_insert(now);
             if now.saturating_sub(since) < EMPTY_HOLD_US {
                 return self.refuse(Doubt::Empty);
@@ -95,7 +98,7 @@
         } else {
             self.empty_since = None;
         }
-        // The list keeps its order: new workers take their places in it, as before the check.
+        // The order is kept: the decision module assigns places to new workers in list order.
         let before = executors.len();
         let mut seen: HashMap<WorkerId, SocketAddr> = HashMap::with_capacity(before);
         for e in &executors {
@@ -107,23 +110,23 @@
                 None => drop(seen.insert(e.id.clone(), e.address)),
             }
         }
-        // Same id and address: one executor said twice. The first saying counts.
+        // Entries with the same id and address are one executor; the first entry is kept.
         if seen.len() < before {
             let mut kept = HashSet::with_capacity(seen.len());
             executors.retain(|e| kept.insert(e.id.clone()));
         }
-        self.told = None;
+        self.last_refusal = None;
         Verdict::Take { merged: before - executors.len(), executors }
     }
 
-    /// Refuses an answer that can't be read.
+    /// Refuses an answer that could not be parsed.
     pub fn unreadable(&mut self, why: &'static str) -> Verdict {
         self.refuse(Doubt::Unreadable(why))
     }
 
     fn refuse(&mut self, doubt: Doubt) -> Verdict {
-        let first = self.told.as_ref() != Some(&doubt);
-        self.told = Some(doubt.clone());
+        let first = self.last_refusal.as_ref() != Some(&doubt);
+        self.last_refusal = Some(doubt.clone());
         Verdict::Refuse { doubt, first }
     }
 }
--- a/src/names/list.rs
+++ b/src/names/list.rs
@@ -1,29 +1,29 @@
-//! Executors as the list names them, and what the module is told of them.
+//! Entries of the list of executors, and their translation into what the decision module takes.
 
 use crate::api::{Listing, Standing, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Executors that a list may name: four times as many as any fleet in view has.
+/// Limit of executors in a list: four times the largest fleet that is planned for.
 pub const MOST_EXECUTORS: usize = 65_536;
-/// Bytes of an executor's id: more than a label of DNS can have.
+/// Limit of an executor's id, in bytes: more than a DNS label can have.
 pub const MOST_ID_BYTES: usize = 255;
 
-/// What the list says of an executor. One that is absent is gone.
+/// The state of an executor in the list. An executor that is absent from the list has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Takes nothing new.
+    /// Accepts no new requests.
     Draining,
 }
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Executor {
-    /// Its id; a new one may have the address of one that has gone.
+    /// Its id; a new executor may have the address of one that has left.
     pub id: WorkerId,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -31,13 +31,13 @@
     pub kind: String,
     /// Its cell.
     pub cell: usize,
-    /// What the list says of it.
+    /// Its state.
     pub state: State,
-    /// When it started, if that is not long past, in Unix milliseconds.
+    /// When it started, in Unix milliseconds, if recently; otherwise 0.
     pub started_ms: u64,
 }
 
-/// The settings' names for zones and kinds, which the module knows by position.
+/// The zone and machine kind names of the settings; the decision module refers to them by position.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
     /// Zones.
@@ -47,15 +47,15 @@
 }
 
 impl Vocabulary {
-    /// The entry as the module takes it. `ready_at` is the start on the program's own clock.
+    /// Converts an entry for the decision module. `ready_at` is the executor's start on the process clock.
     pub fn listing(&self, executor: &Executor, ready_at: Option<u64>) -> Listing {
-        // A name that the settings lack gets a place of its own: it equals no known zone.
-        let place =
+        // A name that the settings lack gets the position after the last: it equals no known name.
+        let position =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
         Listing {
             worker: executor.id.clone(),
-            zone: place(&self.zones, &executor.zone),
-            kind: place(&self.kinds, &executor.kind),
+            zone: position(&self.zones, &executor.zone),
+            kind: position(&self.kinds, &executor.kind),
             cell: executor.cell,
             standing: match executor.state {
                 State::Ready => Standing::Healthy,
--- a/src/names/mod.rs
+++ b/src/names/mod.rs
@@ -1,4 +1,7 @@
-//! The list of executors: read from the configuration at the start, from the name service afterwards.
+//! Discovery of executors: the list read from the configuration at the start, and from the DNS name service afterwards.
+//!
+//! [`Resolver`] queries the service and owns its sockets. [`Checker`] validates each received list, and [`ListTracker`]
+//! decides which list is in use and which of its executors may be sent requests.
 
 mod channel;
 mod check;
--- a/src/names/resolver.rs
+++ b/src/names/resolver.rs
@@ -1,13 +1,13 @@
-//! Asks the name service for the list of workers, over and over, and keeps the list in use.
+//! Queries the name service for the list of workers periodically and holds the list in use.
 //!
-//! [`Schedule`] decides when to ask, [`Checker`] which lists are believed, [`ListTracker`] which one is in use; this module
-//! owns the sockets. Bounds: [`MOST_CHANNELS`] sockets, one query over TCP at a time.
+//! [`QuerySchedule`] decides when to query, [`Checker`] which lists are valid, [`ListTracker`] which list is in use; this
+//! module owns the sockets. It opens at most [`MAX_CHANNELS`] UDP sockets and runs one query over TCP at a time.
 
 use super::channel::Channel;
 use super::check::{Checker, Doubt, Verdict};
-use super::dns::{self, MOST_ANSWER};
-use super::schedule::Schedule;
-use super::stream::Exchange;
+use super::dns::{self, MAX_MESSAGE_BYTES};
+use super::schedule::QuerySchedule;
+use super::stream::TcpExchange;
 use super::tracker::{Decision, ListTracker, ReceivedList};
 use super::{Executor, State};
 use crate::counters::{Counters, add, count};
@@ -18,53 +18,57 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// Sockets that answers may still come to. A path is replaced after 0.6 s of silence, and answers are awaited for 2.5 s.
-const MOST_CHANNELS: usize = 5;
-/// The slot of the connection over TCP; sockets are numbered below it.
-const STREAM_SLOT: usize = 0xffff;
-/// Errors of a socket that are passed over in one turn.
-const MOST_ERRORS: usize = 16;
-/// Ids of workers that one event names.
-const MOST_NAMED: usize = 16;
-/// A list that no answer has agreed with for this long is reported as old, in microseconds: what happens counts as told by then.
-const OLD_US: u64 = 1_500_000;
+/// Limit of open UDP sockets. A socket is replaced after 0.6 s of silence, and answers are accepted for 2.5 s, so that
+/// five sockets can have outstanding queries.
+const MAX_CHANNELS: usize = 5;
+/// The poll slot of the TCP connection; UDP sockets are numbered below it.
+const TCP_SLOT: usize = 0xffff;
+/// Receive errors of one socket that are skipped in one turn of the event loop.
+const MAX_RECEIVE_ERRORS: usize = 16;
+/// Limit of worker ids that one log event names.
+const MAX_LOGGED_IDS: usize = 16;
+/// Age at which a list that no answer has confirmed is logged as stale. The platform counts an event as announced 1.5 s
+/// after it happened, so that an older list may violate its rules.
+const STALE_AFTER_US: u64 = 1_500_000;
 
-/// Asks the name service.
+/// A client of the name service that holds the list of workers in use.
 pub struct Resolver {
     owner: u8,
     server: SocketAddr,
-    service: String,
-    /// The newest, which queries go out on, is the last.
+    service_name: String,
+    /// In the order in which they were opened; queries are sent on the last.
     channels: Vec<Channel>,
-    opened: usize,
-    stream: Option<Exchange>,
-    next_id: u16,
-    schedule: Schedule,
+    channels_opened: usize,
+    tcp_exchange: Option<TcpExchange>,
+    last_query_id: u16,
+    schedule: QuerySchedule,
     checker: Checker,
     tracker: ListTracker,
-    /// The answer, less its id, that told the list in use: most answers repeat it to the byte.
-    confirmed: Vec<u8>,
-    /// When the last answer was asked for that agreed with the list in use, and whether its age was reported.
-    fresh_at: u64,
-    old: bool,
-    buffer: Vec<u8>,
+    /// The answer that carried the list in use, without its message id. Most answers repeat it byte for byte and need not
+    /// be parsed.
+    confirmed_answer: Vec<u8>,
+    /// When the latest query was sent whose answer agreed with the list in use.
+    confirmed_at: u64,
+    /// Whether the list in use has been logged as stale.
+    logged_stale: bool,
+    receive_buffer: Vec<u8>,
     counters: Rc<Counters>,
 }
 
-/// The list that a process starts with, and what its random numbers begin with.
+/// The initial list of a process, and the seed of its query ids.
 pub struct Start {
     /// The number of the last event of the list.
     pub serial: u64,
     /// The list.
     pub executors: Vec<Executor>,
-    /// Where the ids of queries begin.
+    /// The seed of the query ids.
     pub seed: u64,
     /// The time now.
     pub now: u64,
 }
 
 impl Resolver {
-    /// A resolver that holds the list of the start.
+    /// Creates a resolver that holds the initial list, and opens its first socket.
     pub fn new(
         poll: &mut Poll,
         owner: u8,
@@ -75,144 +79,148 @@
     ) -> io::Result<Resolver> {
         let channel = Channel::open(poll, owner, 0, server)?;
         let (serial, listed) = (start.serial, start.executors.len());
-        info!(serial, listed, port = channel.port(), "the list of the start is in use");
+        info!(serial, listed, port = channel.port(), "using the initial list of workers");
         Ok(Resolver {
             owner,
             server,
-            service: service.to_string(),
+            service_name: service.to_string(),
             channels: vec![channel],
-            opened: 1,
-            stream: None,
-            next_id: start.seed as u16,
-            schedule: Schedule::default(),
+            channels_opened: 1,
+            tcp_exchange: None,
+            last_query_id: start.seed as u16,
+            schedule: QuerySchedule::default(),
             checker: Checker::default(),
             tracker: ListTracker::new(start.now, start.serial, start.executors),
-            confirmed: Vec::new(),
-            fresh_at: start.now,
-            old: false,
-            buffer: vec![0; MOST_ANSWER],
+            confirmed_answer: Vec::new(),
+            confirmed_at: start.now,
+            logged_stale: false,
+            receive_buffer: vec![0; MAX_MESSAGE_BYTES],
             counters,
         })
     }
 
-    /// Asks at another address from now on, and at once. Answers of the old one that are on their way still count.
+    /// Sends queries to another address from now on, and schedules the first at once. Answers from the old address to
+    /// outstanding queries are still accepted.
     pub fn move_to(&mut self, poll: &mut Poll, server: SocketAddr) -> io::Result<()> {
         if server != self.server {
             self.open_channel(poll, server)?;
             self.server = server;
-            self.stream = None;
-            self.schedule = Schedule::default();
+            self.tcp_exchange = None;
+            self.schedule = QuerySchedule::default();
         }
-        self.schedule.ask_at_once();
+        self.schedule.query_now();
         Ok(())
     }
 
-    /// Takes a list that did not come from the name service; `origin` names where from. True if the list in use has changed.
+    /// Applies a list that did not come from the name service; `origin` names its source in the log. Returns whether the
+    /// list in use has changed.
     pub fn offer(&mut self, now: u64, origin: &'static str, serial: u64, executors: Vec<Executor>) -> bool {
         let (listed, held) = (executors.len(), self.tracker.serial());
-        let whole = !self.tracker.from_service();
-        let changed = self.tracker.offer(now, serial, executors);
+        let whole = !self.tracker.is_from_service();
+        let changed = self.tracker.apply_external(now, serial, executors);
         info!(
             origin,
-            serial, held, listed, whole, changed, "a list came by another way than the name service"
+            serial, held, listed, whole, changed, "received a list from a source other than the name service"
         );
         if changed {
-            self.report_change();
+            self.log_change();
         }
         changed
     }
 
-    /// The list in use.
+    /// Returns the list in use.
     pub fn in_use(&self) -> &[Executor] {
         self.tracker.in_use()
     }
 
-    /// The number of the list in use.
+    /// Returns the number of the list in use.
     pub fn serial(&self) -> u64 {
         self.tracker.serial()
     }
 
-    /// How long ago the last answer was asked for that agreed with the list in use, in microseconds.
+    /// Returns the time since the latest query whose answer agreed with the list in use, in microseconds.
     pub fn age(&self, now: u64) -> u64 {
-        now.saturating_sub(self.fresh_at)
+        now.saturating_sub(self.confirmed_at)
     }
 
-    /// When it next has something to do.
+    /// Returns when [`Resolver::advance`] has to be called next.
     pub fn due(&self) -> u64 {
-        self.schedule.due()
+        self.schedule.next_query_at()
     }
 
-    /// Sends the next query when it is time.
+    /// Sends the next query if it is due.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
-        if now < self.schedule.due() {
+        if now < self.schedule.next_query_at() {
             return;
         }
-        self.drop_old_channels(now);
-        self.report_age(now);
-        if self.schedule.is_silent(now) {
-            self.replace_path(poll, now);
+        self.drop_expired_sockets(now);
+        self.update_staleness(now);
+        if self.schedule.is_path_silent(now) {
+            self.replace_channel(poll, now);
         }
-        self.schedule.asked(now);
-        self.ask(now);
+        self.schedule.query_sent(now);
+        self.send_query(now);
     }
 
-    /// Handles what happened on a socket of the name service; true if a newer list has come, or the list in use has changed.
+    /// Handles an event on one of the sockets. Returns whether a newer list was accepted or the list in use has changed.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
-        let changes = self.tracker.changes();
-        let news = self.read_stream(poll, now, ready);
-        if self.tracker.changes() > changes {
-            self.report_change();
+        let changes = self.tracker.change_count();
+        let updated = self.read_tcp(poll, now, ready);
+        if self.tracker.change_count() > changes {
+            self.log_change();
         }
-        self.read(poll, now) || news
+        self.read(poll, now) || updated
     }
 
-    /// Reads what has come over UDP; true if a newer list has come, or the list in use has changed.
+    /// Reads all packets that have arrived over UDP. Returns whether a newer list was accepted or the list in use has
+    /// changed.
     pub fn read(&mut self, poll: &mut Poll, now: u64) -> bool {
-        let (changes, mut news) = (self.tracker.changes(), false);
-        let mut buffer = std::mem::take(&mut self.buffer);
+        let (changes, mut updated) = (self.tracker.change_count(), false);
+        let mut buffer = std::mem::take(&mut self.receive_buffer);
         for index in 0..self.channels.len() {
-            news |= self.read_channel(poll, now, index, &mut buffer);
+            updated |= self.read_channel(poll, now, index, &mut buffer);
         }
-        self.buffer = buffer;
-        if self.tracker.changes() > changes {
-            self.report_change();
+        self.receive_buffer = buffer;
+        if self.tracker.change_count() > changes {
+            self.log_change();
         }
-        news
+        updated
     }
 
-    fn ask(&mut self, now: u64) {
-        let id = self.fresh_id();
+    fn send_query(&mut self, now: u64) {
+        let id = self.next_query_id();
         let Some(channel) = self.channels.last_mut() else { return };
-        match channel.ask(now, id, &self.service) {
+        match channel.send_query(now, id, &self.service_name) {
             Ok(sent) => {
                 count(&self.counters.dns_queries);
                 add(&self.counters.dns_sent_bytes, sent);
             }
             Err(error) => {
                 count(&self.counters.dns_send_errors);
-                debug!(%error, "a query to the name service could not be sent");
+                debug!(%error, "failed to send a query to the name service");
             }
         }
     }
 
-    /// An id that can't be foreseen from one answer; a full period before one comes again.
-    fn fresh_id(&mut self) -> u16 {
-        self.next_id = self.next_id.wrapping_mul(25_173).wrapping_add(13_849);
-        self.next_id
+    /// Returns the next id of a linear congruential generator: not predictable from one answer, and of full period, so
+    /// that no id repeats within 65,536 queries.
+    fn next_query_id(&mut self) -> u16 {
+        self.last_query_id = self.last_query_id.wrapping_mul(25_173).wrapping_add(13_849);
+        self.last_query_id
     }
 
     fn open_channel(&mut self, poll: &mut Poll, server: SocketAddr) -> io::Result<()> {
-        let channel = Channel::open(poll, self.owner, self.opened % STREAM_SLOT, server)?;
-        self.opened += 1;
+        let channel = Channel::open(poll, self.owner, self.channels_opened % TCP_SLOT, server)?;
+        self.channels_opened += 1;
         self.channels.push(channel);
-        if self.channels.len() > MOST_CHANNELS {
+        if self.channels.len() > MAX_CHANNELS {
             self.channels.remove(0);
         }
         Ok(())
     }
 
-    /// Asks on a new socket from now on. Where none can be opened the old one serves on, and the next query tries again.
-    fn replace_path(&mut self, poll: &mut Poll, now: u64) {
+    /// Opens a new socket for queries. If that fails, the old one stays in use and the next query tries again.
+    fn replace_channel(&mut self, poll: &mut Poll, now: u64) {
         match self.open_channel(poll, self.server) {
             Ok(()) => {
                 self.schedule.path_replaced(now);
@@ -220,26 +228,26 @@
                 let port = self.channels.last().map_or(0, Channel::port);
                 info!(
                     serial = self.serial(),
-                    port, "nothing came for a while: a new socket to the name service"
+                    port, "no packet from the name service within the silence time-out; opened a new socket"
                 );
             }
-            Err(error) => debug!(%error, "no new socket to the name service could be opened"),
+            Err(error) => debug!(%error, "failed to open a new socket to the name service"),
         }
     }
 
-    fn drop_old_channels(&mut self, now: u64) {
+    fn drop_expired_sockets(&mut self, now: u64) {
         let newest = self.channels.len().saturating_sub(1);
         let mut index = 0;
         self.channels.retain_mut(|channel| {
             index += 1;
-            channel.awaits(now) || index > newest
+            channel.expire_queries(now) || index > newest
         });
-        self.stream = self.stream.take().filter(|stream| !stream.is_over(now));
+        self.tcp_exchange = self.tcp_exchange.take().filter(|exchange| !exchange.is_expired(now));
     }
 
     fn read_channel(&mut self, poll: &mut Poll, now: u64, index: usize, buffer: &mut [u8]) -> bool {
-        let (mut news, mut errors) = (false, 0);
-        while errors < MOST_ERRORS {
+        let (mut updated, mut errors) = (false, 0);
+        while errors < MAX_RECEIVE_ERRORS {
             let size = match self.channels[index].receive(buffer) {
                 Ok(Some(size)) => size,
                 Ok(None) => break,
@@ -249,130 +257,136 @@
                     continue;
                 }
             };
-            self.schedule.heard();
+            self.schedule.packet_received();
             add(&self.counters.dns_received_bytes, size);
             let message = &buffer[..size];
-            // A packet may be forged, late or doubled: only an id that is out counts, and only once.
-            let Some((id, asked_at)) =
-                dns::id(message).and_then(|id| Some((id, self.channels[index].asked_at(id)?)))
+            // A packet may be forged, late or duplicated: only the id of an outstanding query is accepted, once.
+            let Some((id, queried_at)) =
+                dns::message_id(message).and_then(|id| Some((id, self.channels[index].query_sent_at(id)?)))
             else {
                 count(&self.counters.dns_dropped);
                 continue;
             };
-            // An unreadable packet leaves its id out: the real answer may still come.
-            let (readable, told) = self.take(now, asked_at, message);
+            // An unreadable packet leaves its query outstanding: the real answer may still arrive.
+            let (readable, updates) = self.handle_answer(now, queried_at, message);
             if readable {
-                self.channels[index].answered(id);
+                self.channels[index].complete_query(id);
             }
-            news |= told;
-            if dns::is_cut_off(message) {
-                self.ask_over_tcp(poll, now);
+            updated |= updates;
+            if dns::is_truncated(message) {
+                self.query_over_tcp(poll, now);
             }
         }
-        news
+        updated
     }
 
-    fn ask_over_tcp(&mut self, poll: &mut Poll, now: u64) {
-        if self.stream.is_some() {
+    fn query_over_tcp(&mut self, poll: &mut Poll, now: u64) {
+        if self.tcp_exchange.is_some() {
             return;
         }
-        let (id, place) = (self.fresh_id(), (self.owner, STREAM_SLOT));
-        match Exchange::begin(poll, place, self.server, (now, id), &self.service) {
+        let (id, place) = (self.next_query_id(), (self.owner, TCP_SLOT));
+        match TcpExchange::start(poll, place, self.server, (now, id), &self.service_name) {
             Ok(exchange) => {
                 count(&self.counters.dns_streams);
-                self.stream = Some(exchange);
+                self.tcp_exchange = Some(exchange);
             }
-            Err(error) => debug!(%error, "the name service can't be asked over TCP"),
+            Err(error) => debug!(%error, "failed to query the name service over TCP"),
         }
     }
 
-    fn read_stream(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
-        let Some(mut stream) = self.stream.take_if(|s| s.owns(ready)) else { return false };
-        match stream.ready(poll, ready) {
+    fn read_tcp(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
+        let Some(mut exchange) = self.tcp_exchange.take_if(|exchange| exchange.owns(ready)) else {
+            return false;
+        };
+        match exchange.ready(poll, ready) {
             Ok(None) => {
-                self.stream = Some(stream);
+                self.tcp_exchange = Some(exchange);
                 false
             }
             Ok(Some(message)) => {
                 add(&self.counters.dns_received_bytes, message.len());
-                self.take(now, stream.asked_at(), &message).1
+                self.handle_answer(now, exchange.started_at(), &message).1
             }
             Err(why) => {
-                debug!(?why, "the connection to the name service ended without an answer");
+                debug!(?why, "TCP connection to the name service closed without an answer");
                 false
             }
         }
     }
 
-    /// Takes an answer to a query of that time: whether it could be read whole, and whether it brings news.
-    fn take(&mut self, now: u64, asked_at: u64, message: &[u8]) -> (bool, bool) {
+    /// Handles an answer to the query sent at `queried_at`. Returns whether the message could be parsed whole, and
+    /// whether a newer list was accepted or the list in use has changed.
+    fn handle_answer(&mut self, now: u64, queried_at: u64, message: &[u8]) -> (bool, bool) {
         let body = message.get(2..).unwrap_or_default();
-        if !body.is_empty() && body == self.confirmed {
+        if !body.is_empty() && body == self.confirmed_answer {
             count(&self.counters.dns_answers);
             count(&self.counters.lists_stale);
-            let changed = self.tracker.repeat(asked_at);
-            self.confirmed_by(now, asked_at, message.len());
+            let changed = self.tracker.confirm_repeated(queried_at);
+            self.record_confirmation(now, queried_at, message.len());
             return (true, changed);
         }
-        match dns::read(message, &self.service) {
-            Err(bad) => {
-                if let Verdict::Refuse { doubt, first } = self.checker.unreadable(bad.0) {
-                    self.report_refusal(&doubt, first, message.len());
+        match dns::parse_answer(message, &self.service_name) {
+            Err(invalid) => {
+                if let Verdict::Refuse { doubt, first } = self.checker.unreadable(invalid.0) {
+                    self.log_refusal(&doubt, first, message.len());
                 }
-                let draining = dns::draining(message, &self.service);
+                let draining = dns::draining_workers(message, &self.service_name);
                 (false, !draining.is_empty() && self.tracker.drain(now, &draining))
             }
-            // Events are counted from 1: a service that has none yet tells nothing.
+            // Events are numbered from 1: serial 0 is a service that has no list yet.
             Ok(answer) if answer.serial == 0 => {
                 count(&self.counters.dns_answers);
                 count(&self.counters.lists_stale);
-                self.schedule.answered(now, asked_at, message.len(), false);
+                self.schedule.answer_received(now, queried_at, message.len(), false);
                 (true, false)
             }
             Ok(answer) => {
                 count(&self.counters.dns_answers);
-                let changed = self.take_list(now, asked_at, answer, message);
-                let unconfirmed = self.tracker.awaits_confirmation();
-                self.schedule.answered(now, asked_at, message.len(), unconfirmed);
-                (true, changed)
+                let updated = self.handle_list(now, queried_at, answer, message);
+                let unconfirmed = self.tracker.has_unconfirmed();
+                self.schedule.answer_received(now, queried_at, message.len(), unconfirmed);
+                (true, updated)
             }
         }
     }
 
-    fn take_list(&mut self, now: u64, asked_at: u64, answer: dns::Answer, message: &[u8]) -> bool {
-        let held = self.tracker.in_use().len();
-        let (serial, told) = (u64::from(answer.serial), answer.executors.clone());
-        let (executors, merged) = match self.checker.judge(now, answer.executors, held) {
+    fn handle_list(&mut self, now: u64, queried_at: u64, answer: dns::Answer, message: &[u8]) -> bool {
+        let executors_in_use = self.tracker.in_use().len();
+        let (serial, unchecked) = (u64::from(answer.serial), answer.executors.clone());
+        let (executors, merged) = match self.checker.judge(now, answer.executors, executors_in_use) {
             Verdict::Take { executors, merged } => (executors, merged),
             Verdict::Refuse { doubt, first } => {
-                self.report_refusal(&doubt, first, message.len());
-                return self.tracker.doubt(now, &told, asked_at >= self.fresh_at);
+                self.log_refusal(&doubt, first, message.len());
+                return self.tracker.apply_drains(now, &unchecked, queried_at >= self.confirmed_at);
             }
         };
         add(&self.counters.lists_merged, merged);
         let before = self.tracker.serial();
         let (listed, list) =
-            (executors.len(), ReceivedList { serial, executors, asked_at, received_at: now });
-        let (decision, changed) = self.tracker.take(list);
-        let asked_ms = now.saturating_sub(asked_at) / 1_000;
+            (executors.len(), ReceivedList { serial, executors, queried_at, received_at: now });
+        let (decision, changed) = self.tracker.apply(list);
+        let asked_ms = now.saturating_sub(queried_at) / 1_000;
         match decision {
             Decision::Newer | Decision::Renumbered | Decision::Confirms => {
-                self.confirmed.clear();
-                self.confirmed.extend(message.get(2..).unwrap_or_default());
-                self.fresh_at = self.fresh_at.max(asked_at);
+                self.confirmed_answer.clear();
+                self.confirmed_answer.extend(message.get(2..).unwrap_or_default());
+                self.confirmed_at = self.confirmed_at.max(queried_at);
             }
             Decision::Contradicts | Decision::Older => {}
         }
         match decision {
             Decision::Newer => {
                 let bytes = message.len();
-                info!(serial, before, asked_ms, bytes, listed, "a list with a higher number is in use");
+                info!(serial, before, asked_ms, bytes, listed, "using a list with a higher number");
             }
             Decision::Renumbered => {
                 count(&self.counters.lists_renumbered);
                 warn!(
                     serial,
-                    before, asked_ms, listed, "the name service keeps to lower numbers: its list is in use"
+                    before,
+                    asked_ms,
+                    listed,
+                    "the name service keeps sending lower numbers; using its list under the new numbering"
                 );
             }
             Decision::Confirms => count(&self.counters.lists_stale),
@@ -384,51 +398,51 @@
                     held = before,
                     asked_ms,
                     ?decision,
-                    "a list with no higher number: only its drains count"
+                    "received a list whose number is not higher; applying only its drains"
                 );
             }
         }
         changed || matches!(decision, Decision::Newer | Decision::Renumbered)
     }
 
-    fn confirmed_by(&mut self, now: u64, asked_at: u64, bytes: usize) {
-        self.fresh_at = self.fresh_at.max(asked_at);
-        self.schedule.answered(now, asked_at, bytes, self.tracker.awaits_confirmation());
+    fn record_confirmation(&mut self, now: u64, queried_at: u64, bytes: usize) {
+        self.confirmed_at = self.confirmed_at.max(queried_at);
+        self.schedule.answer_received(now, queried_at, bytes, self.tracker.has_unconfirmed());
     }
 
-    fn report_refusal(&self, doubt: &Doubt, first: bool, bytes: usize) {
+    fn log_refusal(&self, doubt: &Doubt, first: bool, bytes: usize) {
         count(&self.counters.lists_refused);
         if first {
-            warn!(serial = self.serial(), bytes, %doubt, "the last good list of executors stays in use");
+            warn!(serial = self.serial(), bytes, %doubt, "refused a list of executors; the last valid list stays in use");
         }
     }
 
-    /// Tells of a list that has grown old, and of its end.
-    fn report_age(&mut self, now: u64) {
+    /// Updates the age counter, and logs when the list in use becomes stale and when it is confirmed again.
+    fn update_staleness(&mut self, now: u64) {
         let age = self.age(now);
         self.counters.list_age_ms.set(age / 1_000);
-        let old = age >= OLD_US;
-        if old != self.old {
-            self.old = old;
+        let stale = age >= STALE_AFTER_US;
+        if stale != self.logged_stale {
+            self.logged_stale = stale;
             let (serial, age_ms) = (self.serial(), age / 1_000);
-            if old {
-                warn!(serial, age_ms, "no answer has agreed with the list in use for a while");
+            if stale {
+                warn!(serial, age_ms, "the list in use is stale: no answer has confirmed it recently");
             } else {
-                info!(serial, age_ms, "answers agree with the list in use again");
+                info!(serial, age_ms, "the list in use is confirmed again");
             }
         }
     }
 
-    fn report_change(&self) {
-        let ready = |list: &[Executor]| -> HashMap<_, _> {
+    fn log_change(&self) {
+        let readiness_by_id = |list: &[Executor]| -> HashMap<_, _> {
             list.iter().map(|e| (e.id.clone(), e.state == State::Ready)).collect()
         };
-        let (old, new) = (ready(self.tracker.previous()), ready(self.in_use()));
+        let (old, new) = (readiness_by_id(self.tracker.previous()), readiness_by_id(self.in_use()));
         let is_ready = |list: &HashMap<_, bool>, id| list.get(id) == Some(&true);
         let ended = old.keys().filter(|id| is_ready(&old, *id) && !is_ready(&new, *id));
         let begun = new.keys().filter(|id| is_ready(&new, *id) && !is_ready(&old, *id));
         let (ended, begun): (Vec<_>, Vec<_>) =
-            (ended.take(MOST_NAMED).collect(), begun.take(MOST_NAMED).collect());
-        info!(serial = self.serial(), ?ended, ?begun, "which workers are used has changed");
+            (ended.take(MAX_LOGGED_IDS).collect(), begun.take(MAX_LOGGED_IDS).collect());
+        info!(serial = self.serial(), ?ended, ?begun, "the set of usable workers has changed");
     }
 }
--- a/src/names/stream.rs
+++ b/src/names/stream.rs
@@ -1,82 +1,82 @@
-//! One query over TCP (RFC 7766), asked where an answer over UDP says that it does not hold all.
+//! One query over TCP (RFC 7766), sent after an answer over UDP had its truncation flag set.
 
-use super::dns::{self, MOST_ANSWER};
+use super::dns::{self, MAX_MESSAGE_BYTES};
 use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
 use std::io;
 use std::net::SocketAddr;
 
 /// How long the answer is awaited, in microseconds.
-const PATIENCE_US: u64 = 2_000_000;
-/// Bytes that tell a message's size, before the message.
-const SIZE_BYTES: usize = 2;
-/// Bytes that the one query may take.
-const MOST_QUERY: usize = 1_024;
+const ANSWER_TIMEOUT_US: u64 = 2_000_000;
+/// Bytes of the length prefix of a message.
+const LENGTH_PREFIX_BYTES: usize = 2;
+/// Limit of the query with its length prefix, in bytes.
+const MAX_QUERY_BYTES: usize = 1_024;
 
-/// Reads messages that are preceded by their size.
-struct Messages;
+/// A reader of length-prefixed messages.
+struct MessageReader;
 
-impl Callbacks for Messages {
+impl Callbacks for MessageReader {
     type Out = Vec<Vec<u8>>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
-        let Some((size, rest)) = bytes.split_first_chunk::<SIZE_BYTES>() else { return Ok(()) };
+        let Some((size, rest)) = bytes.split_first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(()) };
         let size = usize::from(u16::from_be_bytes(*size));
         let Some(message) = rest.get(..size) else { return Ok(()) };
         out.push(message.to_vec());
-        input.consume(SIZE_BYTES + size);
+        input.consume(LENGTH_PREFIX_BYTES + size);
         Ok(())
     }
 }
 
-/// A query that is on its way over TCP.
-pub struct Exchange {
-    link: Link<Messages>,
+/// An outstanding query over TCP, on a connection of its own.
+pub struct TcpExchange {
+    link: Link<MessageReader>,
     id: u16,
-    asked_at: u64,
+    started_at: u64,
 }
 
-impl Exchange {
-    /// Connects and asks.
-    pub fn begin(
+impl TcpExchange {
+    /// Starts a connection to the server and queues the query on it.
+    pub fn start(
         poll: &mut Poll,
         (owner, slot): (u8, usize),
         server: SocketAddr,
         (now, id): (u64, u16),
         service: &str,
-    ) -> io::Result<Exchange> {
+    ) -> io::Result<TcpExchange> {
         let token = poll.token(owner, slot);
-        let limits = (SIZE_BYTES + MOST_ANSWER, MOST_QUERY);
-        let mut link = Link::connect(poll, server, token, Messages, limits)?;
-        let query = dns::query(id, service);
+        let limits = (LENGTH_PREFIX_BYTES + MAX_MESSAGE_BYTES, MAX_QUERY_BYTES);
+        let mut link = Link::connect(poll, server, token, MessageReader, limits)?;
+        let query = dns::encode_query(id, service);
         let mut message = (query.len() as u16).to_be_bytes().to_vec();
         message.extend(query);
         if !link.io.queue(&message) {
-            return Err(io::Error::other("the query is longer than its buffer"));
+            return Err(io::Error::other("DNS query does not fit into the send buffer"));
         }
-        Ok(Exchange { link, id, asked_at: now })
+        Ok(TcpExchange { link, id, started_at: now })
     }
 
-    /// Whether an event is this connection's.
+    /// Returns whether an event belongs to this connection.
     pub fn owns(&self, ready: Ready) -> bool {
         self.link.io.token() == ready.token
     }
 
-    /// When the query was begun.
-    pub fn asked_at(&self) -> u64 {
-        self.asked_at
+    /// Returns when the query was started.
+    pub fn started_at(&self) -> u64 {
+        self.started_at
     }
 
-    /// Whether its answer is awaited no longer.
-    pub fn is_over(&self, now: u64) -> bool {
-        now >= self.asked_at + PATIENCE_US
+    /// Returns whether the query has timed out.
+    pub fn is_expired(&self, now: u64) -> bool {
+        now >= self.started_at + ANSWER_TIMEOUT_US
     }
 
-    /// Handles what happened on the connection: its answer, once that has come whole.
+    /// Handles an event on the connection. Returns the answer once it has arrived whole.
     pub fn ready(&mut self, poll: &mut Poll, ready: Ready) -> Result<Option<Vec<u8>>, Closed> {
         let mut messages = Vec::new();
         let handled = self.link.ready(poll, ready, &mut messages);
-        let answer = messages.into_iter().find(|m| dns::id(m) == Some(self.id));
+        let answer = messages.into_iter().find(|m| dns::message_id(m) == Some(self.id));
         match (answer, handled) {
             (Some(answer), _) => Ok(Some(answer)),
             (None, Err(why)) => Err(why),
--- a/src/names/tracker.rs
+++ b/src/names/tracker.rs
@@ -1,37 +1,40 @@
-//! Decides which list of workers is in use, and which of its workers may be sent to. No I/O; the clock is passed in.
+//! Decides which list of workers is in use, and which of its workers may be sent requests. No I/O; the clock is passed in.
 //!
-//! The name service numbers its lists. A number orders lists of one numbering only, and a list may come from another: a state
-//! of the service from before this process started, a configuration file, a process before this one, a service that
-//! lost its count. The service may also answer a later query with an older state. So a single list proves little:
+//! The name service numbers its lists. A number orders lists of one numbering only, and a list may come from another: a
+//! state of the service from before this process started, a configuration file, a predecessor process, or a service
+//! that lost its count. The service may also answer a later query with an older state. A single list is therefore weak
+//! evidence:
 //!
-//! - A drain is believed from any list, whatever its number: a worker that is told to drain, or that is absent from a list
-//!   asked for no earlier than the one in use, gets nothing new from that moment on.
-//! - Readiness has to be confirmed. A worker that is new, or that was told to drain, is used once further answers,
-//!   asked for after that, agree with the list in use.
-//! - A list with a higher number replaces the one in use. One with a lower number replaces it once [`RENUMBERED_ANSWERS`] in a
-//!   row, all of them asked for after the list in use had come, have contradicted it for [`RENUMBERED_US`].
+//! - A drain is applied from any list, whatever its number: a worker that is listed as draining, or that is absent from a
+//!   list queried no earlier than the accepted one, gets no new request from that moment on.
+//! - Readiness has to be confirmed. A worker that is new, or that was drained, is quarantined until further answers to
+//!   later queries agree with the accepted list.
+//! - A list with a higher number replaces the accepted one. One with a lower number replaces it once
+//!   [`RENUMBERING_ANSWERS`] in a row, all queried after the accepted list had arrived, have contradicted it for
+//!   [`RENUMBERING_TIME_US`].
 //!
-//! A list that did not come from the service (the configuration's, a predecessor's, a peer's) stands until the service speaks.
-//! State is bounded by [`MOST_MARKS`] workers that are not usable, and the list itself.
+//! A list that did not come from the service (the configuration's, a predecessor's, a peer's) is provisional: it stays
+//! accepted until the service answers. State is bounded by the list itself and [`MAX_UNLISTED_QUARANTINES`].
 
 use super::{Executor, State};
 use crate::api::WorkerId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Answers in a row that contradict the list in use before they replace it under a lower number.
-pub const RENUMBERED_ANSWERS: u32 = 3;
-/// And the time from the first of them to the last, in microseconds: longer than a few answers of one state that is late.
-pub const RENUMBERED_US: u64 = 300_000;
+/// Consecutive answers that contradict the accepted list before they replace it under a lower number.
+pub const RENUMBERING_ANSWERS: u32 = 3;
+/// The least time from the first of these answers to the last, in microseconds: longer than a few answers that all carry
+/// the same outdated state take.
+pub const RENUMBERING_TIME_US: u64 = 300_000;
 /// Further answers that must list a new worker before it is used.
 const NEW_CONFIRMATIONS: u32 = 1;
-/// Further answers that must list a worker as ready that was told to drain, or was absent, before it is used again.
+/// Further answers that must list a drained or absent worker as ready before it is used again.
 const DRAINED_CONFIRMATIONS: u32 = 2;
-/// How long a worker that is not listed any more is remembered as drained, in microseconds: longer than any answer travels.
-const MARK_MEMORY_US: u64 = 600_000_000;
-/// Workers that are remembered as not usable while they are not listed.
-const MOST_MARKS: usize = 16_384;
+/// How long a worker that is no longer listed stays quarantined, in microseconds: longer than any answer is under way.
+const QUARANTINE_RETENTION_US: u64 = 600_000_000;
+/// Limit of quarantined workers that are not listed.
+const MAX_UNLISTED_QUARANTINES: usize = 16_384;
 
-/// A whole list of workers, as the name service told it.
+/// A complete list of workers from the name service.
 #[derive(Clone, Debug)]
 pub struct ReceivedList {
     /// The number of its last event; never 0.
@@ -39,307 +42,323 @@
     /// Its entries, each id once.
     pub executors: Vec<Executor>,
     /// When the query that it answers was sent.
-    pub asked_at: u64,
-    /// When it came.
+    pub queried_at: u64,
+    /// When it arrived.
     pub received_at: u64,
 }
 
-/// What a list was taken for.
+/// The outcome of comparing a received list with the accepted one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It has a higher number, or is the first one of the service, and is in use now.
+    /// It has a higher number, or is the first one of the service, and is accepted.
     Newer,
-    /// It has a lower number and is in use now: the service counts anew, or the list before came from another numbering.
+    /// It has a lower number and is accepted: the service counts anew, or the list before came from another numbering.
     Renumbered,
-    /// It is the list in use.
+    /// It equals the accepted list.
     Confirms,
-    /// It was asked for after the list in use had come, and is another under no higher number. Only its drains count yet.
+    /// It was queried after the accepted list had arrived, and differs from it without a higher number. Only its drains
+    /// are applied so far.
     Contradicts,
-    /// It is older than the list in use. Only its drains count.
+    /// It is older than the accepted list. Only its drains are applied.
     Older,
 }
 
-/// Why a worker is not usable although the list in use may say that it is ready.
+/// Why a worker is not usable although the accepted list may have it as ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reason {
+enum QuarantineReason {
     /// It was not in the list before.
     New,
-    /// A list told that it drains, or did not name it.
+    /// A list had it as draining, or did not contain it.
     Drained,
 }
 
+/// The exclusion of one worker until enough answers have listed it as ready.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
-    reason: Reason,
-    /// When that was last told.
-    told_at: u64,
-    /// Lists since that agree with the one in use and name the worker as ready.
+struct Quarantine {
+    reason: QuarantineReason,
+    /// When a list last gave the reason.
+    since: u64,
+    /// Answers since then that agree with the accepted list, which has the worker as ready.
     confirmations: u32,
 }
 
-impl Mark {
-    fn confirmed(&self) -> bool {
+impl Quarantine {
+    fn is_over(&self) -> bool {
         self.confirmations
             >= match self.reason {
-                Reason::New => NEW_CONFIRMATIONS,
-                Reason::Drained => DRAINED_CONFIRMATIONS,
+                QuarantineReason::New => NEW_CONFIRMATIONS,
+                QuarantineReason::Drained => DRAINED_CONFIRMATIONS,
             }
     }
 }
 
-/// Answers in a row that contradict the list in use.
+/// Consecutive answers that contradict the accepted list.
 #[derive(Clone, Copy, Debug)]
 struct Contradiction {
     since: u64,
     answers: u32,
 }
 
+/// The list accepted last, before quarantines are applied to it.
 #[derive(Debug)]
-struct Held {
+struct AcceptedList {
     serial: u64,
     executors: Vec<Executor>,
-    asked_at: u64,
+    queried_at: u64,
     received_at: u64,
-    /// The name service told it.
+    /// Whether it came from the name service; otherwise it is provisional.
     from_service: bool,
 }
 
-/// The list in use and what is known against it.
+/// The accepted list, the quarantines of its workers, and the list in use that results from both.
 #[derive(Debug)]
 pub struct ListTracker {
-    held: Held,
-    marks: BTreeMap<WorkerId, Mark>,
+    accepted: AcceptedList,
+    quarantines: BTreeMap<WorkerId, Quarantine>,
     contradiction: Option<Contradiction>,
     in_use: Vec<Executor>,
-    /// The list that was in use before the last change, and how many changes there were.
+    /// The list that was in use before the last change.
     previous: Vec<Executor>,
-    changes: u64,
-    /// Workers that the held list names as ready and that further answers have to confirm.
-    awaiting: Vec<WorkerId>,
+    change_count: u64,
+    /// Quarantined workers that the accepted list has as ready: further answers have to confirm them.
+    unconfirmed: Vec<WorkerId>,
 }
 
 impl ListTracker {
-    /// Starts with the list of the configuration, which stands until the service speaks.
+    /// Creates a tracker with the list of the configuration, which is provisional until the service answers.
     pub fn new(now: u64, serial: u64, executors: Vec<Executor>) -> ListTracker {
-        let held =
-            Held { serial, executors: Vec::new(), asked_at: now, received_at: now, from_service: false };
-        let (marks, in_use, awaiting) = (BTreeMap::new(), Vec::new(), Vec::new());
-        let previous = Vec::new();
-        let mut tracker =
-            ListTracker { held, marks, contradiction: None, in_use, previous, changes: 0, awaiting };
-        tracker.stand_in(now, serial, executors);
-        tracker.publish();
+        let accepted = AcceptedList {
+            serial,
+            executors: Vec::new(),
+            queried_at: now,
+            received_at: now,
+            from_service: false,
+        };
+        let mut tracker = ListTracker {
+            accepted,
+            quarantines: BTreeMap::new(),
+            contradiction: None,
+            in_use: Vec::new(),
+            previous: Vec::new(),
+            change_count: 0,
+            unconfirmed: Vec::new(),
+        };
+        tracker.accept_provisional(now, serial, executors);
+        tracker.update_in_use();
         tracker
     }
 
-    /// Takes a whole list of the service; true if the list in use has changed by it.
-    pub fn take(&mut self, list: ReceivedList) -> (Decision, bool) {
+    /// Applies a complete list of the service. Returns the decision and whether the list in use has changed.
+    pub fn apply(&mut self, list: ReceivedList) -> (Decision, bool) {
         let decision = self.decide(&list);
-        let absence_counts = list.asked_at >= self.held.asked_at || decision == Decision::Newer;
-        self.believe_drains(list.received_at, &list.executors, absence_counts);
+        let absent_is_drained = list.queried_at >= self.accepted.queried_at || decision == Decision::Newer;
+        self.quarantine_drained(list.received_at, &list.executors, absent_is_drained);
         match decision {
-            Decision::Newer | Decision::Renumbered => self.replace(list),
-            Decision::Confirms => self.confirm(list.asked_at),
+            Decision::Newer | Decision::Renumbered => self.accept(list),
+            Decision::Confirms => self.count_confirmation(list.queried_at),
             Decision::Contradicts | Decision::Older => {}
         }
-        (decision, self.publish())
+        (decision, self.update_in_use())
     }
 
-    /// The service has told the list in use once more, in answer to a query of that time; true if the list in use has
-    /// changed, since workers are confirmed by it.
-    pub fn repeat(&mut self, asked_at: u64) -> bool {
+    /// Records that the service has sent the accepted list once more, in answer to a query sent at `queried_at`. Returns
+    /// whether the list in use has changed, because workers were confirmed.
+    pub fn confirm_repeated(&mut self, queried_at: u64) -> bool {
         self.contradiction = None;
-        if self.awaiting.is_empty() {
+        if self.unconfirmed.is_empty() {
             return false;
         }
-        self.confirm(asked_at);
-        self.publish()
+        self.count_confirmation(queried_at);
+        self.update_in_use()
     }
 
-    /// Takes only the drains of a list that is doubted or cut off; absence counts where the list is whole. True if the
-    /// list in use has changed by it.
-    pub fn doubt(&mut self, now: u64, executors: &[Executor], whole: bool) -> bool {
-        self.believe_drains(now, executors, whole && !executors.is_empty());
-        self.publish()
+    /// Applies only the drains of a list that was refused or truncated; absent workers count as drained if `complete`.
+    /// Returns whether the list in use has changed.
+    pub fn apply_drains(&mut self, now: u64, executors: &[Executor], complete: bool) -> bool {
+        self.quarantine_drained(now, executors, complete && !executors.is_empty());
+        self.update_in_use()
     }
 
-    /// Takes the drains of workers known by their ids alone; true if the list in use has changed by it.
+    /// Drains workers of which only the ids are known. Returns whether the list in use has changed.
     pub fn drain(&mut self, now: u64, workers: &[WorkerId]) -> bool {
         for id in workers {
-            self.mark_drained(now, id);
+            self.quarantine_as_drained(now, id);
         }
-        self.publish()
+        self.update_in_use()
     }
 
-    /// Takes a list that did not come from the service: whole while the service has not spoken, later only its drains. True
-    /// if the list in use has changed by it.
-    pub fn offer(&mut self, now: u64, serial: u64, executors: Vec<Executor>) -> bool {
-        if self.held.from_service {
-            self.believe_drains(now, &executors, false);
+    /// Applies a list that did not come from the service: whole until the service has answered, afterwards only its
+    /// drains. Returns whether the list in use has changed.
+    pub fn apply_external(&mut self, now: u64, serial: u64, executors: Vec<Executor>) -> bool {
+        if self.accepted.from_service {
+            self.quarantine_drained(now, &executors, false);
         } else {
-            self.stand_in(now, serial, executors);
+            self.accept_provisional(now, serial, executors);
         }
-        self.publish()
+        self.update_in_use()
     }
 
-    /// The list in use: workers that are not usable are draining in it, or not in it.
+    /// Returns the list in use: quarantined workers are draining in it, or absent.
     pub fn in_use(&self) -> &[Executor] {
         &self.in_use
     }
 
-    /// The list that was in use before the last change.
+    /// Returns the list that was in use before the last change.
     pub fn previous(&self) -> &[Executor] {
         &self.previous
     }
 
-    /// How often the list in use has changed.
-    pub fn changes(&self) -> u64 {
-        self.changes
+    /// Returns how often the list in use has changed.
+    pub fn change_count(&self) -> u64 {
+        self.change_count
     }
 
-    /// The number of the list in use.
+    /// Returns the number of the accepted list.
     pub fn serial(&self) -> u64 {
-        self.held.serial
+        self.accepted.serial
     }
 
-    /// Whether the service itself has told the list in use.
-    pub fn from_service(&self) -> bool {
-        self.held.from_service
+    /// Returns whether the accepted list came from the service itself.
+    pub fn is_from_service(&self) -> bool {
+        self.accepted.from_service
     }
 
-    /// Whether a worker that the list in use names as ready waits for further answers.
-    pub fn awaits_confirmation(&self) -> bool {
-        !self.awaiting.is_empty()
+    /// Returns whether a worker that the accepted list has as ready needs further answers before it is used.
+    pub fn has_unconfirmed(&self) -> bool {
+        !self.unconfirmed.is_empty()
     }
 
     fn decide(&mut self, list: &ReceivedList) -> Decision {
-        if !self.held.from_service || list.serial > self.held.serial {
+        if !self.accepted.from_service || list.serial > self.accepted.serial {
             return Decision::Newer;
         }
-        if list.serial == self.held.serial && same_workers(&list.executors, &self.held.executors) {
+        if list.serial == self.accepted.serial && same_workers(&list.executors, &self.accepted.executors) {
             self.contradiction = None;
             return Decision::Confirms;
         }
-        if list.asked_at < self.held.received_at {
+        if list.queried_at < self.accepted.received_at {
             return Decision::Older;
         }
         let now = list.received_at;
         let contradiction = self.contradiction.get_or_insert(Contradiction { since: now, answers: 0 });
         contradiction.answers += 1;
-        let lasts = now.saturating_sub(contradiction.since) >= RENUMBERED_US;
-        if lasts && contradiction.answers >= RENUMBERED_ANSWERS {
+        let lasts = now.saturating_sub(contradiction.since) >= RENUMBERING_TIME_US;
+        if lasts && contradiction.answers >= RENUMBERING_ANSWERS {
             Decision::Renumbered
         } else {
             Decision::Contradicts
         }
     }
 
-    fn replace(&mut self, list: ReceivedList) {
+    fn accept(&mut self, list: ReceivedList) {
         let known: HashSet<&WorkerId> = self.in_use.iter().map(|e| &e.id).collect();
         for executor in list.executors.iter().filter(|e| e.state == State::Ready) {
             if !known.contains(&executor.id) {
-                let new = Mark { reason: Reason::New, told_at: list.received_at, confirmations: 0 };
-                self.marks.entry(executor.id.clone()).or_insert(new);
+                let quarantine =
+                    Quarantine { reason: QuarantineReason::New, since: list.received_at, confirmations: 0 };
+                self.quarantines.entry(executor.id.clone()).or_insert(quarantine);
             }
         }
         self.contradiction = None;
-        self.held = Held {
+        self.accepted = AcceptedList {
             serial: list.serial,
             executors: list.executors,
-            asked_at: list.asked_at,
+            queried_at: list.queried_at,
             received_at: list.received_at,
             from_service: true,
         };
-        self.forget_old_marks();
+        self.evict_quarantines();
     }
 
-    /// A list that did not come from the service: what it says is ready is used at once, unless it was told to drain.
-    fn stand_in(&mut self, now: u64, serial: u64, executors: Vec<Executor>) {
-        self.believe_drains(now, &executors, true);
-        self.held = Held { serial, executors, asked_at: now, received_at: now, from_service: false };
+    /// Accepts a list that did not come from the service: its ready workers are used at once, unless they were drained.
+    fn accept_provisional(&mut self, now: u64, serial: u64, executors: Vec<Executor>) {
+        self.quarantine_drained(now, &executors, true);
+        self.accepted =
+            AcceptedList { serial, executors, queried_at: now, received_at: now, from_service: false };
     }
 
-    fn believe_drains(&mut self, now: u64, executors: &[Executor], absence_counts: bool) {
-        let told: HashMap<&WorkerId, State> = executors.iter().map(|e| (&e.id, e.state)).collect();
-        for (id, _) in told.iter().filter(|(_, state)| **state == State::Draining) {
-            self.mark_drained(now, id);
+    /// Quarantines the workers that a list has as draining and, if `absent_is_drained`, those that it does not contain.
+    fn quarantine_drained(&mut self, now: u64, executors: &[Executor], absent_is_drained: bool) {
+        let states: HashMap<&WorkerId, State> = executors.iter().map(|e| (&e.id, e.state)).collect();
+        for (id, _) in states.iter().filter(|(_, state)| **state == State::Draining) {
+            self.quarantine_as_drained(now, id);
         }
-        if !absence_counts {
+        if !absent_is_drained {
             return;
         }
         let listed = self.in_use.iter().filter(|e| e.state == State::Ready).map(|e| &e.id);
-        let absent = listed.chain(&self.awaiting).filter(|id| !told.contains_key(id));
+        let absent = listed.chain(&self.unconfirmed).filter(|id| !states.contains_key(id));
         let absent: Vec<WorkerId> = absent.cloned().collect();
         for id in absent {
-            self.mark_drained(now, &id);
+            self.quarantine_as_drained(now, &id);
         }
     }
 
-    fn mark_drained(&mut self, now: u64, id: &WorkerId) {
-        let mark = Mark { reason: Reason::Drained, told_at: now, confirmations: 0 };
-        self.marks.insert(id.clone(), mark);
+    fn quarantine_as_drained(&mut self, now: u64, id: &WorkerId) {
+        let quarantine = Quarantine { reason: QuarantineReason::Drained, since: now, confirmations: 0 };
+        self.quarantines.insert(id.clone(), quarantine);
     }
 
-    /// Counts an answer that agrees with the list in use.
-    fn confirm(&mut self, asked_at: u64) {
-        for id in &self.awaiting {
-            let Some(mark) = self.marks.get_mut(id) else { continue };
-            if asked_at >= mark.told_at {
-                mark.confirmations += 1;
+    /// Counts an answer that agrees with the accepted list, and ends the quarantines that it completes.
+    fn count_confirmation(&mut self, queried_at: u64) {
+        for id in &self.unconfirmed {
+            let Some(quarantine) = self.quarantines.get_mut(id) else { continue };
+            if queried_at >= quarantine.since {
+                quarantine.confirmations += 1;
             }
-            if mark.confirmed() {
-                self.marks.remove(id);
+            if quarantine.is_over() {
+                self.quarantines.remove(id);
             }
         }
     }
 
-    /// Works out the list in use anew; true if it differs.
-    fn publish(&mut self) -> bool {
+    /// Recomputes the list in use from the accepted list and the quarantines. Returns whether it differs.
+    fn update_in_use(&mut self) -> bool {
         let before: HashMap<&WorkerId, State> = self.in_use.iter().map(|e| (&e.id, e.state)).collect();
         let was_ready = |id: &WorkerId| before.get(id) == Some(&State::Ready);
         let ready = |e: &&Executor| e.state == State::Ready;
-        // A new worker serves unconfirmed where there is no other: refusing all that comes would be worse.
-        let mut usable = self.held.executors.iter().filter(ready);
-        let none_confirmed = !usable.any(|e| !self.marks.contains_key(&e.id));
-        let mut in_use = Vec::with_capacity(self.held.executors.len());
-        for executor in &self.held.executors {
-            let state = match self.marks.get(&executor.id).map(|m| m.reason) {
+        // New workers are used unconfirmed if there is no other: refusing all requests would be worse.
+        let mut ready_workers = self.accepted.executors.iter().filter(ready);
+        let none_confirmed = !ready_workers.any(|e| !self.quarantines.contains_key(&e.id));
+        let mut in_use = Vec::with_capacity(self.accepted.executors.len());
+        for executor in &self.accepted.executors {
+            let state = match self.quarantines.get(&executor.id).map(|q| q.reason) {
                 None => executor.state,
-                Some(Reason::Drained) => State::Draining,
-                Some(Reason::New) if was_ready(&executor.id) || none_confirmed => executor.state,
-                Some(Reason::New) => continue,
+                Some(QuarantineReason::Drained) => State::Draining,
+                Some(QuarantineReason::New) if was_ready(&executor.id) || none_confirmed => executor.state,
+                Some(QuarantineReason::New) => continue,
             };
             in_use.push(Executor { state, ..executor.clone() });
         }
-        let waits = |e: &&Executor| e.state == State::Ready && self.marks.contains_key(&e.id);
-        self.awaiting = self.held.executors.iter().filter(waits).map(|e| e.id.clone()).collect();
+        let unconfirmed = |e: &&Executor| e.state == State::Ready && self.quarantines.contains_key(&e.id);
+        self.unconfirmed = self.accepted.executors.iter().filter(unconfirmed).map(|e| e.id.clone()).collect();
         let changed = in_use != self.in_use;
         if changed {
             self.previous = std::mem::replace(&mut self.in_use, in_use);
-            self.changes += 1;
+            self.change_count += 1;
         }
         changed
     }
 
-    /// Drops what was told of workers that have long gone.
-    fn forget_old_marks(&mut self) {
-        let listed: HashSet<&WorkerId> = self.held.executors.iter().map(|e| &e.id).collect();
-        let now = self.held.received_at;
-        self.marks.retain(|id, mark| listed.contains(id) || now < mark.told_at + MARK_MEMORY_US);
-        let excess = self.marks.len().saturating_sub(MOST_MARKS + listed.len());
+    /// Evicts the quarantines of unlisted workers that are past their retention, then the oldest above the limit.
+    fn evict_quarantines(&mut self) {
+        let listed: HashSet<&WorkerId> = self.accepted.executors.iter().map(|e| &e.id).collect();
+        let now = self.accepted.received_at;
+        self.quarantines.retain(|id, q| listed.contains(id) || now < q.since + QUARANTINE_RETENTION_US);
+        let excess = self.quarantines.len().saturating_sub(MAX_UNLISTED_QUARANTINES + listed.len());
         if excess == 0 {
             return;
         }
-        let unlisted = self.marks.iter().filter(|(id, _)| !listed.contains(id));
-        let mut oldest: Vec<(u64, WorkerId)> = unlisted.map(|(id, m)| (m.told_at, id.clone())).collect();
+        let unlisted = self.quarantines.iter().filter(|(id, _)| !listed.contains(id));
+        let mut oldest: Vec<(u64, WorkerId)> = unlisted.map(|(id, q)| (q.since, id.clone())).collect();
         oldest.sort_unstable();
         for (_, id) in oldest.into_iter().take(excess) {
-            self.marks.remove(&id);
+            self.quarantines.remove(&id);
         }
     }
 }
 
-/// Whether two lists say the same, in whatever order.
+/// Returns whether two lists have the same entries, in any order.
 fn same_workers(one: &[Executor], other: &[Executor]) -> bool {
     if one == other {
         return true;
--- a/src/names/tracker/tests.rs
+++ b/src/names/tracker/tests.rs
@@ -22,12 +22,12 @@
     states.iter().map(|(id, state)| worker(id, *state)).collect()
 }
 
-/// A list that was asked for at `at` and came 1 ms later.
+/// A list that was queried at `at` and arrived 1 ms later.
 fn list(serial: u64, at: u64, states: &[(&str, State)]) -> ReceivedList {
-    ReceivedList { serial, executors: workers(states), asked_at: at, received_at: at + 1_000 }
+    ReceivedList { serial, executors: workers(states), queried_at: at, received_at: at + 1_000 }
 }
 
-/// The workers that may be sent to.
+/// Returns the ids of the workers that may be sent requests.
 fn usable(tracker: &ListTracker) -> Vec<String> {
     let ready = tracker.in_use().iter().filter(|e| e.state == READY);
     ready.map(|e| e.id.to_string()).collect()
@@ -40,47 +40,47 @@
 const MS: u64 = 1_000;
 
 #[test]
-fn a_drain_is_believed_under_a_lower_number_too() {
+fn drain_is_applied_from_a_list_with_a_lower_number() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    assert_eq!(tracker.take(list(8, 0, &[("a", READY), ("b", READY)])).0, Decision::Newer);
-    let (decision, changed) = tracker.take(list(3, 100 * MS, &[("a", DRAINING), ("b", READY)]));
+    assert_eq!(tracker.apply(list(8, 0, &[("a", READY), ("b", READY)])).0, Decision::Newer);
+    let (decision, changed) = tracker.apply(list(3, 100 * MS, &[("a", DRAINING), ("b", READY)]));
     assert_eq!((decision, changed), (Decision::Contradicts, true));
     assert_eq!(usable(&tracker), ["b"]);
 }
 
 #[test]
-fn a_worker_that_is_absent_under_a_lower_number_is_drained_unless_the_answer_is_the_older_one() {
+fn worker_absent_from_a_list_with_a_lower_number_is_drained_unless_the_list_was_queried_earlier() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(8, 100 * MS, &[("a", READY), ("b", READY)]));
+    tracker.apply(list(8, 100 * MS, &[("a", READY), ("b", READY)]));
     let older = ReceivedList { received_at: 150 * MS, ..list(3, 50 * MS, &[("b", READY)]) };
-    assert_eq!(tracker.take(older), (Decision::Older, false));
-    assert_eq!(tracker.take(list(3, 200 * MS, &[("b", READY)])).0, Decision::Contradicts);
+    assert_eq!(tracker.apply(older), (Decision::Older, false));
+    assert_eq!(tracker.apply(list(3, 200 * MS, &[("b", READY)])).0, Decision::Contradicts);
     assert_eq!(usable(&tracker), ["b"]);
 }
 
 #[test]
-fn lower_numbers_replace_the_list_once_three_answers_have_kept_to_them_for_300_ms() {
+fn list_with_a_lower_number_is_accepted_after_at_least_three_contradicting_answers_over_300_ms() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(8, 0, &[("a", READY), ("b", READY)]));
-    let now = [("a", READY), ("b", READY), ("c", READY)];
+    tracker.apply(list(8, 0, &[("a", READY), ("b", READY)]));
+    let renumbered = [("a", READY), ("b", READY), ("c", READY)];
     for at in [100, 200, 300] {
-        assert_eq!(tracker.take(list(3, at * MS, &now)).0, Decision::Contradicts);
+        assert_eq!(tracker.apply(list(3, at * MS, &renumbered)).0, Decision::Contradicts);
     }
-    assert_eq!(tracker.take(list(3, 400 * MS, &now)).0, Decision::Renumbered);
+    assert_eq!(tracker.apply(list(3, 400 * MS, &renumbered)).0, Decision::Renumbered);
     assert_eq!(tracker.serial(), 3);
-    tracker.take(list(3, 500 * MS, &now));
+    tracker.apply(list(3, 500 * MS, &renumbered));
     assert_eq!(usable(&tracker), ["a", "b", "c"]);
 }
 
 #[test]
-fn single_older_states_do_not_replace_the_list() {
+fn contradicting_answers_that_alternate_with_confirming_ones_do_not_replace_the_list() {
     let mut tracker = tracker(&[("a", READY)]);
-    tracker.take(list(8, 0, &[("a", READY), ("b", READY)]));
-    tracker.take(list(8, 100 * MS, &[("a", READY), ("b", READY)]));
+    tracker.apply(list(8, 0, &[("a", READY), ("b", READY)]));
+    tracker.apply(list(8, 100 * MS, &[("a", READY), ("b", READY)]));
     for at in (200..2_000).step_by(200) {
-        assert_eq!(tracker.take(list(7, at * MS, &[("a", READY)])).0, Decision::Contradicts);
+        assert_eq!(tracker.apply(list(7, at * MS, &[("a", READY)])).0, Decision::Contradicts);
         assert_eq!(
-            tracker.take(list(8, (at + 100) * MS, &[("a", READY), ("b", READY)])).0,
+            tracker.apply(list(8, (at + 100) * MS, &[("a", READY), ("b", READY)])).0,
             Decision::Confirms
         );
     }
@@ -88,123 +88,127 @@
 }
 
 #[test]
-fn a_drained_worker_is_used_again_after_two_further_answers_that_were_asked_for_later() {
+fn drained_worker_is_used_again_after_two_further_answers_that_were_queried_later() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(2, 0, &[("a", DRAINING), ("b", READY)]));
+    tracker.apply(list(2, 0, &[("a", DRAINING), ("b", READY)]));
     let ready = [("a", READY), ("b", READY)];
-    tracker.take(list(3, 100 * MS, &ready));
+    tracker.apply(list(3, 100 * MS, &ready));
     assert_eq!(usable(&tracker), ["b"]);
-    assert!(tracker.awaits_confirmation());
-    assert!(!tracker.repeat(110 * MS));
-    assert!(tracker.repeat(120 * MS));
+    assert!(tracker.has_unconfirmed());
+    assert!(!tracker.confirm_repeated(110 * MS));
+    assert!(tracker.confirm_repeated(120 * MS));
     assert_eq!(usable(&tracker), ["a", "b"]);
-    assert!(!tracker.awaits_confirmation());
+    assert!(!tracker.has_unconfirmed());
 }
 
 #[test]
-fn an_answer_that_was_asked_for_before_the_drain_came_does_not_confirm() {
+fn answers_queried_before_the_drain_arrived_do_not_confirm() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(2, 100 * MS, &[("a", DRAINING), ("b", READY)]));
-    tracker.take(list(3, 100 * MS, &[("a", READY), ("b", READY)]));
+    tracker.apply(list(2, 100 * MS, &[("a", DRAINING), ("b", READY)]));
+    tracker.apply(list(3, 100 * MS, &[("a", READY), ("b", READY)]));
     for _ in 0..5 {
-        tracker.repeat(100 * MS);
+        tracker.confirm_repeated(100 * MS);
     }
     assert_eq!(usable(&tracker), ["b"]);
 }
 
 #[test]
-fn a_new_worker_is_used_after_one_further_answer_or_at_once_where_there_is_no_other() {
-    let mut held = tracker(&[("a", READY)]);
-    held.take(list(2, 0, &[("a", READY), ("b", READY)]));
-    assert_eq!(usable(&held), ["a"]);
-    held.repeat(10 * MS);
-    assert_eq!(usable(&held), ["a", "b"]);
-    let mut alone = tracker(&[("a", READY)]);
-    alone.take(list(2, 0, &[("a", DRAINING), ("b", READY)]));
-    assert_eq!(usable(&alone), ["b"]);
+fn new_worker_is_used_after_one_further_answer_or_at_once_if_there_is_no_other() {
+    let mut with_other = tracker(&[("a", READY)]);
+    with_other.apply(list(2, 0, &[("a", READY), ("b", READY)]));
+    assert_eq!(usable(&with_other), ["a"]);
+    with_other.confirm_repeated(10 * MS);
+    assert_eq!(usable(&with_other), ["a", "b"]);
+    let mut without_other = tracker(&[("a", READY)]);
+    without_other.apply(list(2, 0, &[("a", DRAINING), ("b", READY)]));
+    assert_eq!(usable(&without_other), ["b"]);
 }
 
 #[test]
-fn an_older_state_under_a_higher_number_brings_no_drained_worker_back() {
+fn outdated_list_with_a_higher_number_does_not_restore_a_drained_worker() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(2, 0, &[("a", DRAINING), ("b", READY)]));
-    // The state of the life before, under its number, told twice among the true answers.
+    tracker.apply(list(2, 0, &[("a", DRAINING), ("b", READY)]));
+    // A state of the previous numbering, under its higher number, arrives twice between current answers.
     for at in [100, 300] {
-        tracker.take(list(8, at * MS, &[("a", READY), ("b", READY)]));
+        tracker.apply(list(8, at * MS, &[("a", READY), ("b", READY)]));
         assert_eq!(usable(&tracker), ["b"]);
-        tracker.take(list(2, (at + 100) * MS, &[("a", DRAINING), ("b", READY)]));
+        tracker.apply(list(2, (at + 100) * MS, &[("a", DRAINING), ("b", READY)]));
         assert_eq!(usable(&tracker), ["b"]);
     }
 }
 
 #[test]
-fn a_list_of_the_configuration_tells_only_drains_once_the_service_has_spoken() {
+fn configuration_list_applies_only_its_drains_once_the_service_has_answered() {
     let mut tracker = tracker(&[("a", READY), ("b", READY)]);
-    tracker.take(list(2, 0, &[("a", READY), ("b", READY)]));
-    assert!(!tracker.offer(50 * MS, 90, workers(&[("a", READY), ("b", READY), ("gone", READY)])));
-    assert!(tracker.offer(60 * MS, 91, workers(&[("a", DRAINING)])));
+    tracker.apply(list(2, 0, &[("a", READY), ("b", READY)]));
+    assert!(!tracker.apply_external(50 * MS, 90, workers(&[("a", READY), ("b", READY), ("gone", READY)])));
+    assert!(tracker.apply_external(60 * MS, 91, workers(&[("a", DRAINING)])));
     assert_eq!((usable(&tracker), tracker.serial()), (vec!["b".to_string()], 2));
 }
 
 #[test]
-fn a_list_of_another_origin_stands_until_the_service_speaks_under_whatever_number() {
+fn external_list_is_used_until_the_service_answers_with_any_number() {
     let mut tracker = tracker(&[("a", READY)]);
-    assert!(tracker.offer(10 * MS, 41, workers(&[("a", READY), ("b", READY)])));
+    assert!(tracker.apply_external(10 * MS, 41, workers(&[("a", READY), ("b", READY)])));
     assert_eq!(usable(&tracker), ["a", "b"]);
-    assert_eq!(tracker.take(list(2, 20 * MS, &[("b", READY)])).0, Decision::Newer);
+    assert_eq!(tracker.apply(list(2, 20 * MS, &[("b", READY)])).0, Decision::Newer);
     assert_eq!(usable(&tracker), ["b"]);
 }
 
 #[test]
-fn the_drains_of_a_doubted_list_count() {
+fn drains_of_a_refused_list_are_applied() {
     let mut tracker = tracker(&[("a", READY), ("b", READY), ("c", READY)]);
-    assert!(tracker.doubt(0, &workers(&[("a", DRAINING), ("b", READY)]), false));
+    assert!(tracker.apply_drains(0, &workers(&[("a", DRAINING), ("b", READY)]), false));
     assert_eq!(usable(&tracker), ["b", "c"]);
-    assert!(tracker.doubt(1, &workers(&[("b", READY)]), true));
+    assert!(tracker.apply_drains(1, &workers(&[("b", READY)]), true));
     assert_eq!(usable(&tracker), ["b"]);
-    // An empty one tells nothing of absence.
-    assert!(!tracker.doubt(2, &[], true));
+    // Absence from an empty list does not drain.
+    assert!(!tracker.apply_drains(2, &[], true));
     assert!(tracker.drain(3, &["b".into()]));
     assert!(usable(&tracker).is_empty());
 }
 
 #[test]
-fn what_is_remembered_is_bounded_however_many_workers_come_and_go() {
+fn quarantines_stay_bounded_however_many_workers_join_and_leave() {
     let mut tracker = tracker(&[]);
     for round in 0..400u64 {
         let ids: Vec<String> = (0..100).map(|n| format!("s{round}-{n}")).collect();
         let states: Vec<(&str, State)> = ids.iter().map(|id| (id.as_str(), READY)).collect();
-        tracker.take(list(round + 2, round * 1_000 * MS, &states));
-        assert!(tracker.marks.len() <= MOST_MARKS + 200, "round {round}: {}", tracker.marks.len());
+        tracker.apply(list(round + 2, round * 1_000 * MS, &states));
+        assert!(
+            tracker.quarantines.len() <= MAX_UNLISTED_QUARANTINES + 200,
+            "round {round}: {}",
+            tracker.quarantines.len()
+        );
     }
 }
 
-/// A name service whose answers may be late, doubled, of an older state, or of another numbering. Whatever comes in whatever
-/// order, no worker is usable that an answer which has come told to drain, unless the service itself took that back.
+/// Simulates a name service whose answers may be late, reordered, of an older state, or of another numbering. A worker that
+/// any received answer had as draining must not be usable afterwards; the simulated service never reverts a drain.
 #[test]
-fn no_drained_worker_is_usable_under_random_faults_of_the_name_service() {
+fn drained_workers_stay_unusable_under_random_faults_of_the_name_service() {
     for seed in 0..2_000u64 {
         let mut random = Pcg32::seed_from_u64(seed);
         let ids = ["a", "b", "c", "d", "e", "f"];
         let mut truth: Vec<(&str, State)> = ids[..3].iter().map(|id| (*id, READY)).collect();
         let mut history = vec![(101u64, truth.clone()), (1, truth.clone())];
         let mut tracker = ListTracker::new(0, 1, workers(&truth));
-        let (mut serial, mut next, mut gone) = (1u64, 3, Vec::<&str>::new());
-        let mut flights: Vec<(u64, ReceivedList)> = Vec::new();
-        let mut told: Vec<&str> = Vec::new();
+        let (mut serial, mut next_new, mut removed) = (1u64, 3, Vec::<&str>::new());
+        let mut in_flight: Vec<(u64, ReceivedList)> = Vec::new();
+        let mut drained: Vec<&str> = Vec::new();
         for step in 0..200u64 {
             let now = step * 100 * MS;
             if random.next_u32() % 10 == 0 {
-                let n = random.next_u32() as usize % truth.len().max(1);
-                match truth.get(n).copied() {
+                let index = random.next_u32() as usize % truth.len().max(1);
+                match truth.get(index).copied() {
                     Some((id, DRAINING)) => {
-                        truth.remove(n);
-                        gone.push(id);
+                        truth.remove(index);
+                        removed.push(id);
                     }
-                    Some((id, READY)) if random.next_u32() % 2 == 0 => truth[n] = (id, DRAINING),
-                    _ if next < ids.len() => {
-                        truth.push((ids[next], READY));
-                        next += 1;
+                    Some((id, READY)) if random.next_u32() % 2 == 0 => truth[index] = (id, DRAINING),
+                    _ if next_new < ids.len() => {
+                        truth.push((ids[next_new], READY));
+                        next_new += 1;
                     }
                     _ => {}
                 }
@@ -217,23 +221,23 @@
                 0 => history[pick].clone(),
                 _ => (serial, truth.clone()),
             };
-            let arrives = now + u64::from(random.next_u32() % 1_500) * MS * u64::from(fault < 5);
+            let arrives_at = now + u64::from(random.next_u32() % 1_500) * MS * u64::from(fault < 5);
             let list = ReceivedList {
                 serial: number,
                 executors: workers(&state),
-                asked_at: now,
-                received_at: arrives,
+                queried_at: now,
+                received_at: arrives_at,
             };
-            flights.push((arrives, list));
-            flights.sort_by_key(|(at, _)| *at);
-            while flights.first().is_some_and(|(at, _)| *at <= now) {
-                let (_, list) = flights.remove(0);
-                let drains = list.executors.iter().filter(|e| e.state == DRAINING);
-                told.extend(drains.filter_map(|e| ids.iter().find(|id| **id == &*e.id)));
-                tracker.take(list);
-                // Nothing is taken back in this schedule, so that what was told to drain stays out of use.
+            in_flight.push((arrives_at, list));
+            in_flight.sort_by_key(|(at, _)| *at);
+            while in_flight.first().is_some_and(|(at, _)| *at <= now) {
+                let (_, list) = in_flight.remove(0);
+                let draining = list.executors.iter().filter(|e| e.state == DRAINING);
+                drained.extend(draining.filter_map(|e| ids.iter().find(|id| **id == &*e.id)));
+                tracker.apply(list);
+                // No drain is reverted in this schedule.
                 for id in usable(&tracker) {
-                    assert!(!told.contains(&id.as_str()), "seed {seed}, step {step}: {id} is usable");
+                    assert!(!drained.contains(&id.as_str()), "seed {seed}, step {step}: {id} is usable");
                 }
             }
         }
