--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,41 +1,42 @@
-//! The one clock: whole microseconds, monotonic, read once a turn of the loop.
+//! The clock of the process: monotonic, in whole microseconds, read once in each turn of the event loop.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Reads as the Unix clock did at the program's start, and goes on monotonically from there: so two processes of one
-/// dispatcher read nearly the same.
+/// A monotonic clock that starts at the Unix time of the process start, so that two processes of one dispatcher have
+/// nearly the same readings.
 pub struct Clock {
     start: Instant,
-    unix_us: u64,
-    /// How far the readings are ahead of that.
-    ahead: u64,
+    start_unix_us: u64,
+    /// Microseconds by which readings are ahead of the start plus the elapsed time.
+    ahead_us: u64,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_us: unix.as_micros() as u64, ahead: 0 }
+        Clock { start: Instant::now(), start_unix_us: unix.as_micros() as u64, ahead_us: 0 }
     }
 
-    /// The monotonic time.
+    /// Returns the current reading.
     pub fn read(&self) -> u64 {
-        self.unix_us + self.ahead + self.start.elapsed().as_micros() as u64
+        self.start_unix_us + self.ahead_us + self.start.elapsed().as_micros() as u64
     }
 
-    /// Never reads less than this from now on. Danger: figures of another process must not lie in the future.
+    /// Advances the clock to `reading` if it is behind it. Readings taken over from another process must not lie in the
+    /// future.
     pub fn catch_up(&mut self, reading: u64) {
-        self.ahead += reading.saturating_sub(self.read());
+        self.ahead_us += reading.saturating_sub(self.read());
     }
 
-    /// A Unix time in milliseconds, as a reading of this clock. The only place where the two meet.
+    /// Converts a Unix time in milliseconds to a reading. Only this and [`Clock::unix_ms`] convert between the two.
     pub fn from_unix_ms(&self, ms: u64) -> u64 {
-        ms.saturating_mul(1000).saturating_add(self.ahead)
+        ms.saturating_mul(1000).saturating_add(self.ahead_us)
     }
 
-    /// The Unix time of a reading, in milliseconds.
+    /// Converts a reading to a Unix time in milliseconds.
     pub fn unix_ms(&self, now: u64) -> u64 {
-        now.saturating_sub(self.ahead) / 1000
+        now.saturating_sub(self.ahead_us) / 1000
     }
 }
 
--- a/crates/net/src/clock/tests.rs
+++ b/crates/net/src/clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_catches_up_and_never_goes_back() {
+fn clock_catches_up_and_never_goes_back() {
     let mut clock = Clock::start();
     let unix = clock.unix_ms(clock.read());
     clock.catch_up(clock.read() + 7_000_000);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_unix_time_before_the_start_is_a_reading_before_the_start() {
+fn unix_time_before_the_start_converts_to_a_reading_before_the_start() {
     let clock = Clock::start();
     let (now, unix) = (clock.read(), clock.unix_ms(clock.read()));
     let earlier = clock.from_unix_ms(unix - 5_000);
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,6 +1,8 @@
-//! The event loop, its clock, and what hangs on it: connections, their rings, listeners, signals.
+//! The building blocks of the event loop: the epoll instance, its clock, connections with bounded buffers, listeners,
+//! signals, and a background thread for blocking jobs.
 //!
-//! One thread, one epoll instance; nothing here knows a protocol. Times are whole microseconds on [`Clock`].
+//! The loop is one thread with one epoll instance. This package is independent of any protocol. Times are whole
+//! microseconds on [`Clock`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,4 +1,4 @@
-//! A connection: an object with two rings, whose callbacks are told of what happens on it.
+//! A TCP connection with a bounded ring for each direction, and a protocol handler that consumes the received bytes.
 
 use super::{Interest, Poll, Ready, Ring, Token};
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType, sockopt};
@@ -6,100 +6,101 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// Bytes read a turn from one connection, so that none holds up the others. Reads are not counted: the system may give what is
-/// there in any number of pieces, and an end that lies behind them must be seen in the same turn.
-const MOST_READ: usize = 256 * 1024;
+/// Bytes read from one connection in a turn, so that no connection delays the others. The number of reads is not limited: the
+/// kernel may return the pending data in any number of pieces, and a close behind them must be detected in the same turn.
+const MAX_READ_BYTES_PER_TURN: usize = 256 * 1024;
 
-/// Bytes that the system may hold for the peer of a connection of ours.
-const SEND_BUFFER: usize = 64 * 1024;
+/// The kernel send buffer of an outgoing connection.
+const SEND_BUFFER_BYTES: usize = 64 * 1024;
 
-/// The peer sent what no well-behaved one sends; says what.
+/// A protocol violation by the peer; says which.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closed {
-    /// It never came up.
+    /// It could not be established.
     NoConnect,
     /// The peer closed or reset it.
     Broken,
-    /// The peer sent nonsense.
+    /// The peer violated the protocol; says how.
     Malformed(&'static str),
 }
 
-/// What happens on a connection, told to the object that speaks its protocol.
+/// The protocol handler of a connection.
 pub trait Callbacks {
-    /// Where that object leaves what it has read.
+    /// Where the handler puts the messages that it has parsed.
     type Out;
-    /// Bytes have come; takes off the ring what it can read.
+    /// Consumes the complete messages in `input`, which has received bytes.
     fn received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed>;
-    /// Whether reading should go on with so much room left for what is not taken off the ring yet; else the peer is
-    /// left to wait.
+    /// Returns whether to continue reading while the ring has space for `_room` more bytes; otherwise the peer is subject to
+    /// backpressure.
     fn wants_more(&self, _room: usize) -> bool {
         true
     }
 }
 
-/// The bytes' side of a connection.
+/// The socket of a connection with its buffers.
 pub struct Io {
     fd: OwnedFd,
     token: Token,
     interest: Interest,
     connecting: bool,
-    held: bool,
+    writes_held: bool,
     input: Ring,
     output: Ring,
-    /// The peer will send no more.
+    /// Whether the peer has closed its sending side.
     pub ended: bool,
-    /// Bytes ever queued for sending.
+    /// Bytes queued since the start, less those that were taken back. It is the stream position of the next byte queued.
     pub queued: u64,
-    /// Bytes that the system has taken.
+    /// Bytes passed to the kernel since the start.
     pub written: u64,
-    /// Bytes ever received.
+    /// Bytes received since the start.
     pub received: u64,
 }
 
-/// A connection and the object that speaks on it.
+/// A connection and its protocol handler.
 pub struct Link<C> {
-    /// The bytes' side.
+    /// The socket and its buffers.
     pub io: Io,
-    /// The object that speaks.
+    /// The protocol handler.
     pub peer: C,
 }
 
 impl Io {
-    /// Whether the connection is not up yet.
+    /// Returns whether the connection is still being established.
     pub fn connecting(&self) -> bool {
         self.connecting
     }
 
-    /// Has writes wait, or no longer wait. What waits is written by a later [`Link::flush`], or once the descriptor is ready.
+    /// Holds back writes, or releases them. Held bytes are written by a later [`Link::flush`], or once the descriptor is
+    /// ready.
     pub fn hold(&mut self, held: bool) {
-        self.held = held;
+        self.writes_held = held;
     }
 
-    /// Whether writes wait.
+    /// Returns whether writes are held back.
     pub fn is_held(&self) -> bool {
-        self.held
+        self.writes_held
     }
 
-    /// The token it is registered under.
+    /// Returns the token of the descriptor.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// Bytes that wait to be sent.
+    /// Returns the number of queued bytes that are not written yet.
     pub fn unsent(&self) -> usize {
         self.output.len()
     }
 
-    /// Bytes received and not yet read as a whole message.
+    /// Returns the number of received bytes that are not yet consumed as part of a message.
     pub fn unread(&self) -> usize {
         self.input.len()
     }
 
-    /// Queues bytes: all of them, or none if they do not fit.
+    /// Queues all of `data`, or nothing if it does not fit. Returns whether it was queued.
     #[must_use]
     pub fn queue(&mut self, data: &[u8]) -> bool {
         let fits = self.output.push(data);
@@ -107,14 +108,15 @@
         fits
     }
 
-    /// Takes back everything queued beyond `keep` bytes ever queued.
+    /// Takes back all queued bytes from stream position `keep` on that are not written yet.
     pub fn unqueue_after(&mut self, keep: u64) {
-        let drop = self.queued.saturating_sub(keep.max(self.written)) as usize;
-        self.output.truncate(drop);
-        self.queued -= drop as u64;
+        let dropped = self.queued.saturating_sub(keep.max(self.written)) as usize;
+        self.output.truncate(dropped);
+        self.queued -= dropped as u64;
     }
 
-    /// Takes back the bytes from `begins` to `ends`, as counted in all ever queued, if none of them has been sent.
+    /// Takes back the queued bytes from stream position `begins` to `ends`. Returns false, and changes nothing, if some of
+    /// them were written already or are not queued.
     #[must_use]
     pub fn unqueue(&mut self, begins: u64, ends: u64) -> bool {
         let unsent = begins >= self.written && begins <= ends && ends <= self.queued;
@@ -125,26 +127,26 @@
         unsent
     }
 
-    /// Writes `data` over bytes that wait to be sent, from `begins` on as counted in all ever queued; false where some of
-    /// them have been sent, or are not there.
+    /// Overwrites queued bytes from stream position `begins` on with `data`. Returns false, and changes nothing, if some of
+    /// them were written already or are not queued.
     #[must_use]
     pub fn overwrite(&mut self, begins: u64, data: &[u8]) -> bool {
         let at = begins.checked_sub(self.written).and_then(|at| usize::try_from(at).ok());
         at.is_some_and(|at| self.output.overwrite(at, data))
     }
 
-    /// Whether the peer has sent something that was not read yet.
+    /// Returns whether the socket has something to report that was not read yet: data, the end of the stream or an error.
     pub fn pending(&self) -> bool {
         !matches!(rustix::net::recv(&self.fd, &mut [0u8; 1], RecvFlags::PEEK), Err(rustix::io::Errno::AGAIN))
     }
 
-    /// Tells the peer that nothing more will be sent.
+    /// Shuts down the sending side.
     pub fn finish(&self) {
         let _ = rustix::net::shutdown(&self.fd, rustix::net::Shutdown::Write);
     }
 
     fn flush(&mut self) -> Result<(), Closed> {
-        while !self.connecting && !self.held && !self.output.is_empty() {
+        while !self.connecting && !self.writes_held && !self.output.is_empty() {
             match rustix::net::send(&self.fd, self.output.front(), SendFlags::NOSIGNAL) {
                 Ok(count) => {
                     self.output.consume(count);
@@ -160,7 +162,7 @@
 }
 
 impl<C: Callbacks> Link<C> {
-    /// Takes over an accepted connection.
+    /// Creates a link of an accepted connection. `limits` are the sizes of the input and output ring, in bytes.
     pub fn accepted(
         poll: &Poll,
         fd: OwnedFd,
@@ -174,7 +176,7 @@
         Ok(Link { io: Io::new(fd, token, interest, false, limits), peer })
     }
 
-    /// Begins a connection.
+    /// Starts to connect. `limits` are the sizes of the input and output ring, in bytes.
     pub fn connect(
         poll: &Poll,
         to: SocketAddr,
@@ -186,8 +188,8 @@
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
         let _ = sockopt::set_tcp_nodelay(&fd, true);
-        // Danger: what the system holds for a peer that does not read can't be taken back when it drains.
-        let _ = sockopt::set_socket_send_buffer_size(&fd, SEND_BUFFER);
+        // A small buffer, because bytes in the kernel cannot be taken back when the peer drains without reading them.
+        let _ = sockopt::set_socket_send_buffer_size(&fd, SEND_BUFFER_BYTES);
         match rustix::net::connect(&fd, &to) {
             Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {}
             Err(e) => return Err(e.into()),
@@ -197,7 +199,7 @@
         Ok(Link { io: Io::new(fd, token, interest, true, limits), peer })
     }
 
-    /// Handles what happened to the descriptor. After an error the owner drops the connection.
+    /// Handles an event on the descriptor. After an error the owner must drop the connection.
     pub fn ready(&mut self, poll: &mut Poll, ready: Ready, out: &mut C::Out) -> Result<(), Closed> {
         if self.io.connecting {
             if !ready.write && !ready.hung {
@@ -215,14 +217,14 @@
         if let Some(why) = broken {
             return Err(why);
         }
-        // Danger: a peer that resets while it is left to wait would wake every turn and never be read.
+        // A reset of a connection that is not being read would otherwise wake the loop in every turn without being read.
         if ready.hung && (self.io.ended || !self.wants_more()) {
             return Err(Closed::Broken);
         }
         self.flush(poll)
     }
 
-    /// Reads on from what is held already: the object takes now what it left on the ring.
+    /// Passes the bytes that the handler left in the ring to it again.
     pub fn resume(&mut self, out: &mut C::Out) -> Result<(), Closed> {
         self.parse(out)
     }
@@ -231,26 +233,26 @@
         self.peer.wants_more(self.io.input.room())
     }
 
-    /// Reads what is there, to its end. A break is returned only after all that came before it has been read.
-    /// Danger: what a peer sent just before it closed must not be acted on as if the peer were still there, so that
-    /// the end is looked for in the same turn.
+    /// Reads and parses all pending data, up to the limit of a turn. A failure of the connection is returned only after the
+    /// data before it has been parsed. A close is detected in the same turn as the data before it, because messages that a
+    /// peer sent just before it closed must not be handled as if it were still connected.
     fn read(&mut self, poll: &mut Poll, out: &mut C::Out) -> Result<Option<Closed>, Closed> {
         let mut read = 0;
-        while read < MOST_READ {
-            let most = poll.scratch.len().min(self.io.input.room());
+        while read < MAX_READ_BYTES_PER_TURN {
+            let read_limit = poll.scratch.len().min(self.io.input.room());
             if !self.wants_more() {
                 break;
             }
-            if most == 0 {
+            if read_limit == 0 {
                 return Err(Closed::Malformed("a message larger than allowed"));
             }
-            match rustix::net::recv(&self.io.fd, &mut poll.scratch[..most], RecvFlags::empty()) {
+            match rustix::net::recv(&self.io.fd, &mut poll.scratch[..read_limit], RecvFlags::empty()) {
                 Ok((0, _)) => {
                     self.io.ended = true;
                     break;
                 }
                 Ok((count, _)) => {
-                    // Fits: no more than the room was asked for.
+                    // Always fits: the read is limited to the space in the ring.
                     let _ = self.io.input.push(&poll.scratch[..count]);
                     self.io.received += count as u64;
                     read += count;
@@ -268,7 +270,7 @@
         self.peer.received(&mut self.io.input, out).map_err(|m| Closed::Malformed(m.0))
     }
 
-    /// Sends what can be sent and waits for what is left.
+    /// Writes as much as possible, and registers for write readiness if bytes are left.
     pub fn flush(&mut self, poll: &Poll) -> Result<(), Closed> {
         self.io.flush()?;
         let write = self.io.connecting || !self.io.output.is_empty();
@@ -289,7 +291,7 @@
             token,
             interest,
             connecting,
-            held: false,
+            writes_held: false,
             input,
             output,
             ended: false,
--- a/crates/net/src/link/tests.rs
+++ b/crates/net/src/link/tests.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// Takes whatever comes off the ring.
+/// A handler that consumes all bytes and counts them.
 struct Sink;
 
 impl Callbacks for Sink {
@@ -17,24 +17,25 @@
 }
 
 #[test]
-fn what_lies_behind_many_short_reads_is_seen_in_the_same_turn() {
-    // So small a ring that the system gives what is there in many pieces.
-    const RING: usize = 8;
-    const SENT: usize = 1_000;
+fn close_after_many_short_reads_is_detected_in_the_same_turn() {
+    // A ring so small that the pending data takes many reads.
+    const RING_BYTES: usize = 8;
+    const SENT_BYTES: usize = 1_000;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut peer = std::net::TcpStream::connect(address).expect("a connection");
     let (stream, _) = listener.accept().expect("a connection");
-    stream.set_nonblocking(true).expect("a stream that does not wait");
-    peer.write_all(&[7; SENT]).expect("sent");
+    stream.set_nonblocking(true).expect("a non-blocking stream");
+    peer.write_all(&[7; SENT_BYTES]).expect("sent");
     drop(peer);
     std::thread::sleep(Duration::from_millis(50));
     let mut poll = Poll::new().expect("an epoll instance");
     let token = poll.token(1, 0);
-    let mut link = Link::accepted(&poll, stream.into(), token, Sink, (RING, RING)).expect("a link");
-    let mut happened = Vec::new();
-    poll.wait(1_000_000, &mut happened).expect("a turn");
+    let mut link =
+        Link::accepted(&poll, stream.into(), token, Sink, (RING_BYTES, RING_BYTES)).expect("a link");
+    let mut events = Vec::new();
+    poll.wait(1_000_000, &mut events).expect("a turn");
     let mut received = 0;
-    let _ = link.ready(&mut poll, happened[0], &mut received);
-    assert_eq!((received, link.io.ended), (SENT, true));
+    let _ = link.ready(&mut poll, events[0], &mut received);
+    assert_eq!((received, link.io.ended), (SENT_BYTES, true));
 }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that can stop accepting for a while.
+//! A listening socket that can pause accepting.
 
 use super::{Interest, Poll, Token};
 use rustix::fs::OFlags;
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// What one try to accept brought.
+/// The result of one attempt to accept a connection.
 pub enum Accepted {
     /// A connection.
     One(OwnedFd),
-    /// None waits.
+    /// No connection is pending.
     None,
-    /// No descriptors are left; the connection still waits.
+    /// No descriptor or memory is left; the connection stays pending.
     OutOfDescriptors,
 }
 
@@ -23,11 +23,11 @@
 pub struct Listener {
     fd: OwnedFd,
     token: Token,
-    open: bool,
+    accepting: bool,
 }
 
 impl Listener {
-    /// Listens on the address.
+    /// Creates a socket that listens on the address.
     pub fn bind(poll: &mut Poll, owner: u8, address: SocketAddr) -> io::Result<Listener> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -38,13 +38,13 @@
         Listener::register(poll, owner, fd)
     }
 
-    /// Takes over a listening socket that the process was started with, by a descriptor of its own: duplicated
-    /// through the process's own pidfd, which asks for no trust in a bare number.
+    /// Takes over a listening socket that the process was started with. The descriptor is duplicated through the process's
+    /// own pidfd, which makes an owned descriptor of a bare number without unsafe code.
     pub fn inherit(poll: &mut Poll, owner: u8, number: i32) -> io::Result<Listener> {
-        let myself = rustix::process::pidfd_open(rustix::process::getpid(), PidfdFlags::empty())?;
-        let fd = rustix::process::pidfd_getfd(myself, number, PidfdGetfdFlags::empty())?;
+        let own_process = rustix::process::pidfd_open(rustix::process::getpid(), PidfdFlags::empty())?;
+        let fd = rustix::process::pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?;
         if !sockopt::socket_acceptconn(&fd)? {
-            return Err(io::Error::other(format!("descriptor {number} is no socket that listens")));
+            return Err(io::Error::other(format!("descriptor {number} is not a listening socket")));
         }
         let flags = rustix::fs::fcntl_getfl(&fd)?;
         rustix::fs::fcntl_setfl(&fd, flags | OFlags::NONBLOCK)?;
@@ -54,26 +54,26 @@
     fn register(poll: &mut Poll, owner: u8, fd: OwnedFd) -> io::Result<Listener> {
         let token = poll.token(owner, 0);
         poll.add(&fd, token, Interest { read: true, write: false })?;
-        Ok(Listener { fd, token, open: true })
+        Ok(Listener { fd, token, accepting: true })
     }
 
-    /// Listens no more. Danger: the description of an inherited socket lives on in other processes, and epoll
-    /// would go on telling of it for ever; so it is taken out first.
+    /// Closes the socket, after removing it from epoll: the open file description of an inherited socket lives on in other
+    /// processes, and epoll would report events for it indefinitely.
     pub fn close(self, poll: &Poll) {
         let _ = poll.remove(&self.fd);
     }
 
-    /// The address it listens on.
+    /// Returns the address of the socket.
     pub fn address(&self) -> io::Result<SocketAddr> {
         SocketAddr::try_from(rustix::net::getsockname(&self.fd)?).map_err(|e| io::Error::other(e.to_string()))
     }
 
-    /// Whether the token is its own.
+    /// Returns whether the token belongs to this socket.
     pub fn is(&self, token: Token) -> bool {
         self.token == token
     }
 
-    /// Accepts one connection.
+    /// Accepts one connection, skipping those that were aborted.
     pub fn accept(&self) -> Accepted {
         loop {
             match rustix::net::accept_with(&self.fd, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
@@ -87,16 +87,17 @@
         }
     }
 
-    /// A descriptor that does nothing but keep a place: given up, it leaves room for a connection.
+    /// Returns a duplicate descriptor that only reserves an entry of the descriptor table: closing it makes room to accept
+    /// a connection when no descriptors are left.
     pub fn spare(&self) -> io::Result<OwnedFd> {
         Ok(rustix::io::fcntl_dupfd_cloexec(&self.fd, 0)?)
     }
 
-    /// Stops or resumes being told of connections that wait.
-    pub fn listen(&mut self, poll: &Poll, open: bool) {
-        if self.open != open {
-            self.open = open;
-            let _ = poll.change(&self.fd, self.token, Interest { read: open, write: false });
+    /// Pauses or resumes events for pending connections.
+    pub fn listen(&mut self, poll: &Poll, accepting: bool) {
+        if self.accepting != accepting {
+            self.accepting = accepting;
+            let _ = poll.change(&self.fd, self.token, Interest { read: accepting, write: false });
         }
     }
 }
--- a/crates/net/src/poll.rs
+++ b/crates/net/src/poll.rs
@@ -1,24 +1,25 @@
-//! The epoll instance and the tokens of what is registered with it.
+//! The epoll instance, and the tokens of the descriptors registered with it.
 
 use rustix::event::Timespec;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 
-/// Bytes read from a socket at a time.
-const SCRATCH: usize = 64 * 1024;
-/// Events taken in one turn: as many as the platform allows descriptors. Danger: of what is ready at a time, a client's
-/// leaving must not be seen a turn later than what would send its request on.
-const EVENTS: usize = 1_024;
+/// The size of the shared read buffer, in bytes: the limit of one read from a socket.
+const SCRATCH_BYTES: usize = 64 * 1024;
+/// Limit of events handled in one turn: as many as the platform allows descriptors. With a lower limit, the close of a client
+/// connection could be handled a turn later than an event that was ready with it and that sends the client's request.
+const MAX_EVENTS: usize = 1_024;
 
-/// Names a registered descriptor: its owner, its place there, and a number that no later one in that place has.
+/// The identity of a registered descriptor: its owner, its slot there, and a serial number that distinguishes it from
+/// later ones in that slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Token {
-    /// Which part of the program owns it.
+    /// The part of the program that owns it.
     pub owner: u8,
-    /// Its place there.
+    /// Its slot within the owner.
     pub slot: u32,
-    /// Tells it from earlier ones in that place: an event may come for one that closed in the same turn.
+    /// Distinguishes it from earlier ones in that slot: an event may arrive for one that was closed in the same turn.
     pub serial: u32,
 }
 
@@ -27,17 +28,17 @@
         u64::from(self.owner) << 56 | u64::from(self.slot & 0xff_ffff) << 32 | u64::from(self.serial)
     }
 
-    fn unpack(word: u64) -> Token {
-        Token { owner: (word >> 56) as u8, slot: (word >> 32) as u32 & 0xff_ffff, serial: word as u32 }
+    fn unpack(data: u64) -> Token {
+        Token { owner: (data >> 56) as u8, slot: (data >> 32) as u32 & 0xff_ffff, serial: data as u32 }
     }
 }
 
-/// What a descriptor waits for.
+/// The events that a descriptor waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Something to read.
+    /// Data to read.
     pub read: bool,
-    /// Room to write.
+    /// Space to write.
     pub write: bool,
 }
 
@@ -50,39 +51,44 @@
     }
 }
 
-/// What happened to a descriptor.
+/// An event on a descriptor.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
-    /// Which one.
+    /// The token of the descriptor.
     pub token: Token,
-    /// Something to read, or its end.
+    /// Data or the end of the stream is ready to be read.
     pub read: bool,
-    /// Room to write.
+    /// Space to write.
     pub write: bool,
-    /// It broke or was closed by the peer.
+    /// The connection failed or was closed in both directions (`EPOLLERR` or `EPOLLHUP`).
     pub hung: bool,
 }
 
-/// The event loop's descriptor.
+/// The epoll instance of the event loop.
 pub struct Poll {
     epoll: OwnedFd,
-    buffer: Vec<epoll::Event>,
-    /// Where all connections read to before their rings take it.
+    events: Vec<epoll::Event>,
+    /// The buffer that all connections read into before the data is copied to their rings.
     pub scratch: Vec<u8>,
-    serial: u32,
+    last_serial: u32,
 }
 
 impl Poll {
-    /// A new epoll instance.
+    /// Creates an epoll instance.
     pub fn new() -> io::Result<Poll> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Poll { epoll, buffer: Vec::with_capacity(EVENTS), scratch: vec![0; SCRATCH], serial: 0 })
+        Ok(Poll {
+            epoll,
+            events: Vec::with_capacity(MAX_EVENTS),
+            scratch: vec![0; SCRATCH_BYTES],
+            last_serial: 0,
+        })
     }
 
-    /// A token for a new descriptor.
+    /// Creates a token for a new descriptor.
     pub fn token(&mut self, owner: u8, slot: usize) -> Token {
-        self.serial = self.serial.wrapping_add(1);
-        Token { owner, slot: slot as u32, serial: self.serial }
+        self.last_serial = self.last_serial.wrapping_add(1);
+        Token { owner, slot: slot as u32, serial: self.last_serial }
     }
 
     /// Registers a descriptor.
@@ -90,32 +96,32 @@
         Ok(epoll::add(&self.epoll, fd, EventData::new_u64(token.pack()), interest.flags())?)
     }
 
-    /// Changes what a descriptor waits for.
+    /// Changes the events that a descriptor waits for.
     pub fn change(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, fd, EventData::new_u64(token.pack()), interest.flags())?)
     }
 
-    /// Takes a descriptor out.
+    /// Removes a descriptor.
     pub fn remove(&self, fd: impl AsFd) -> io::Result<()> {
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
-    /// Waits until something happens, at most so many microseconds.
-    pub fn wait(&mut self, most_us: u64, out: &mut Vec<Ready>) -> io::Result<()> {
-        // Whole milliseconds, rounded up: a turn that wakes too soon only turns again.
-        let ms = most_us.div_ceil(1000).min(60_000);
+    /// Waits for events, at most `max_wait_us` microseconds, and appends them to `out`.
+    pub fn wait(&mut self, max_wait_us: u64, out: &mut Vec<Ready>) -> io::Result<()> {
+        // Whole milliseconds, rounded up: waking before a deadline would only cost another turn.
+        let ms = max_wait_us.div_ceil(1000).min(60_000);
         let limit = Timespec { tv_sec: (ms / 1000) as i64, tv_nsec: (ms % 1000 * 1_000_000) as i64 };
-        self.buffer.clear();
+        self.events.clear();
         loop {
-            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.buffer), Some(&limit)) {
+            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut self.events), Some(&limit)) {
                 Ok(_) => break,
-                // A look that does not wait has to see what is there: who asks for it acts on that.
+                // A call with time-out 0 must report every pending event, because its caller acts on their absence.
                 Err(rustix::io::Errno::INTR) if ms == 0 => {}
                 Err(rustix::io::Errno::INTR) => break,
                 Err(e) => return Err(e.into()),
             }
         }
-        out.extend(self.buffer.iter().map(|event| {
+        out.extend(self.events.iter().map(|event| {
             let flags = event.flags;
             let hung = flags.intersects(EventFlags::HUP | EventFlags::ERR);
             Ready {
--- a/crates/net/src/reader.rs
+++ b/crates/net/src/reader.rs
@@ -1,53 +1,53 @@
-//! Takes things off the front of a message whose every length is checked.
+//! A reader of binary messages that checks every length.
 
 use super::Malformed;
 
-/// What is left of a message. Numbers are big-endian, as on all wires here.
+/// The unread rest of a message. Numbers are big-endian, as in all protocols here.
 pub struct Reader<'a> {
     bytes: &'a [u8],
 }
 
-const SHORT: Malformed = Malformed("a message that ends early");
+const ENDS_EARLY: Malformed = Malformed("a message that ends early");
 
 impl<'a> Reader<'a> {
-    /// A reader at the front of a message.
+    /// Creates a reader at the start of a message.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
         Reader { bytes }
     }
 
-    /// What has not been taken.
+    /// Returns the bytes that are not read yet.
     pub fn rest(&self) -> &'a [u8] {
         self.bytes
     }
 
-    /// The next bytes.
+    /// Reads `count` bytes.
     pub fn take(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
-        let (head, tail) = self.bytes.split_at_checked(count).ok_or(SHORT)?;
+        let (head, tail) = self.bytes.split_at_checked(count).ok_or(ENDS_EARLY)?;
         self.bytes = tail;
         Ok(head)
     }
 
-    /// The next bytes, as many as the caller's type says.
+    /// Reads an array of the length that the caller's type has.
     pub fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        self.take(N)?.try_into().map_err(|_| SHORT)
+        self.take(N)?.try_into().map_err(|_| ENDS_EARLY)
     }
 
-    /// A byte.
+    /// Reads one byte.
     pub fn u8(&mut self) -> Result<u8, Malformed> {
         Ok(self.array::<1>()?[0])
     }
 
-    /// Two bytes.
+    /// Reads a two-byte number.
     pub fn u16(&mut self) -> Result<u16, Malformed> {
         Ok(u16::from_be_bytes(self.array()?))
     }
 
-    /// Four bytes.
+    /// Reads a four-byte number.
     pub fn u32(&mut self) -> Result<u32, Malformed> {
         Ok(u32::from_be_bytes(self.array()?))
     }
 
-    /// So many bytes of text.
+    /// Reads `count` bytes of UTF-8 text.
     pub fn text(&mut self, count: usize) -> Result<String, Malformed> {
         let text = std::str::from_utf8(self.take(count)?).map_err(|_| Malformed("text that is not UTF-8"))?;
         Ok(text.to_string())
--- a/crates/net/src/ring.rs
+++ b/crates/net/src/ring.rs
@@ -1,38 +1,38 @@
-//! The ring buffer of one direction of a connection: allocated on first use, bounded, given back when empty.
+//! The ring buffer of one direction of a connection: bounded, allocated on first use, and freed when it is empty and large.
 
 use std::collections::VecDeque;
 
-/// An empty ring larger than this gives its memory back.
-const KEPT: usize = 16 * 1024;
+/// Capacity above which an empty ring frees its memory, in bytes.
+const MAX_IDLE_CAPACITY_BYTES: usize = 16 * 1024;
 
-/// Bytes on their way in or out.
+/// A bounded queue of bytes.
 pub struct Ring {
     bytes: VecDeque<u8>,
     limit: usize,
 }
 
 impl Ring {
-    /// An empty ring for at most `limit` bytes; allocates nothing.
+    /// Creates an empty ring for at most `limit` bytes, without allocating.
     pub fn new(limit: usize) -> Ring {
         Ring { bytes: VecDeque::new(), limit }
     }
 
-    /// The bytes held.
+    /// Returns the number of bytes held.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it holds nothing.
+    /// Returns whether the ring is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The bytes that still fit.
+    /// Returns the number of bytes that still fit.
     pub fn room(&self) -> usize {
         self.limit.saturating_sub(self.bytes.len())
     }
 
-    /// Appends all of `data`, or nothing if it does not fit.
+    /// Appends all of `data`, or nothing if it does not fit. Returns whether it was appended.
     #[must_use]
     pub fn push(&mut self, data: &[u8]) -> bool {
         if data.len() > self.room() {
@@ -42,43 +42,43 @@
         true
     }
 
-    /// What is held, in one piece.
+    /// Returns all bytes held, as one slice.
     pub fn contiguous(&mut self) -> &[u8] {
         self.bytes.make_contiguous()
     }
 
-    /// The first piece of what is held.
+    /// Returns the first contiguous part of the bytes held.
     pub fn front(&self) -> &[u8] {
         self.bytes.as_slices().0
     }
 
-    /// Takes `count` bytes off the back.
+    /// Removes `count` bytes from the back.
     pub fn truncate(&mut self, count: usize) {
         self.bytes.truncate(self.bytes.len().saturating_sub(count));
     }
 
-    /// Takes `count` bytes out, from `at` on.
+    /// Removes `count` bytes starting at `at`.
     pub fn cut(&mut self, at: usize, count: usize) {
         let end = at.saturating_add(count).min(self.bytes.len());
         self.bytes.drain(at.min(end)..end);
     }
 
-    /// Writes `data` over as many bytes that are held, from `at` on; false, and nothing is written, beyond the end.
+    /// Overwrites the bytes starting at `at` with `data`. Returns false, and writes nothing, if they extend beyond the end.
     #[must_use]
     pub fn overwrite(&mut self, at: usize, data: &[u8]) -> bool {
         let Some(end) = at.checked_add(data.len()).filter(|end| *end <= self.bytes.len()) else {
             return false;
         };
-        for (held, new) in self.bytes.range_mut(at..end).zip(data) {
-            *held = *new;
+        for (byte, replacement) in self.bytes.range_mut(at..end).zip(data) {
+            *byte = *replacement;
         }
         true
     }
 
-    /// Takes `count` bytes off the front.
+    /// Removes `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count.min(self.bytes.len()));
-        if self.bytes.is_empty() && self.bytes.capacity() > KEPT {
+        if self.bytes.is_empty() && self.bytes.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.bytes = VecDeque::new();
         }
     }
--- a/crates/net/src/ring/tests.rs
+++ b/crates/net/src/ring/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_ring_is_lazy_and_bounded_and_gives_its_memory_back() {
+fn ring_allocates_on_first_use_is_bounded_and_frees_its_memory_when_empty() {
     let mut ring = Ring::new(100_000);
     assert_eq!(ring.bytes.capacity(), 0);
     assert!(ring.push(&[7; 90_000]));
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,7 +1,7 @@
-//! Signals, as events like all others: each kind sets a flag, and wakes the loop by a socket pair of its own.
+//! Signals as events of the loop: each signal sets a flag and wakes the loop through a socket pair of its own.
 //!
-//! The flag is what counts. The write that wakes the loop is made in a signal handler, where nothing can be done if it fails; the
-//! flag is then seen in the next turn.
+//! The flag is authoritative. The write that wakes the loop is made in a signal handler, where a failure cannot be handled;
+//! the flag is then read in the next turn.
 
 use super::{Interest, Poll, Token};
 use rustix::net::RecvFlags;
@@ -11,63 +11,66 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What a signal asks for.
+/// The request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wish {
-    /// To settle everything and end.
+    /// Finish the work in progress and exit.
     Stop,
-    /// To print the counters.
+    /// Print the counters.
     Print,
-    /// To read the configuration again.
+    /// Reload the configuration.
     Reload,
 }
 
-/// One kind of signal.
-struct Kind {
+/// A handled signal.
+struct HandledSignal {
     token: Token,
-    /// The end that is read.
-    wakes: UnixStream,
-    came: Arc<AtomicBool>,
+    /// The end of the socket pair that the loop reads.
+    wake_receiver: UnixStream,
+    /// Set by the signal handler.
+    raised: Arc<AtomicBool>,
     wish: Wish,
 }
 
-/// All kinds that are handled.
+/// All handled signals.
 pub struct Signals {
-    kinds: Vec<Kind>,
+    signals: Vec<HandledSignal>,
 }
 
 impl Signals {
     /// Registers the handlers.
     pub fn new(poll: &mut Poll, owner: u8) -> io::Result<Signals> {
-        let mut kinds = Vec::new();
-        // Danger: a signal that is not handled ends the process, SIGHUP among them.
+        let mut signals = Vec::new();
+        // The default action of each of these, SIGHUP included, would end the process.
         let wishes =
             [(SIGTERM, Wish::Stop), (SIGINT, Wish::Stop), (SIGUSR1, Wish::Print), (SIGHUP, Wish::Reload)];
         for (slot, (signal, wish)) in wishes.into_iter().enumerate() {
-            let (read, write) = UnixStream::pair()?;
-            read.set_nonblocking(true)?;
+            let (wake_receiver, wake_sender) = UnixStream::pair()?;
+            wake_receiver.set_nonblocking(true)?;
             let token = poll.token(owner, slot);
-            poll.add(&read, token, Interest { read: true, write: false })?;
-            // Handlers run in this order: whoever is woken finds the flag.
-            let came = Arc::new(AtomicBool::new(false));
-            signal_hook::flag::register(signal, came.clone())?;
-            signal_hook::low_level::pipe::register(signal, write)?;
-            kinds.push(Kind { token, wakes: read, came, wish });
+            poll.add(&wake_receiver, token, Interest { read: true, write: false })?;
+            // Handlers run in the order of registration: the flag is set before the loop is woken.
+            let raised = Arc::new(AtomicBool::new(false));
+            signal_hook::flag::register(signal, raised.clone())?;
+            signal_hook::low_level::pipe::register(signal, wake_sender)?;
+            signals.push(HandledSignal { token, wake_receiver, raised, wish });
         }
-        Ok(Signals { kinds })
+        Ok(Signals { signals })
     }
 
-    /// Takes what has woken the loop under the token.
+    /// Reads the bytes that woke the loop under this token.
     pub fn ready(&self, token: Token) {
         let mut bytes = [0; 64];
-        for kind in self.kinds.iter().filter(|k| k.token == token) {
-            while let Ok((1.., _)) = rustix::net::recv(&kind.wakes, &mut bytes, RecvFlags::empty()) {}
+        for signal in self.signals.iter().filter(|s| s.token == token) {
+            while let Ok((1.., _)) = rustix::net::recv(&signal.wake_receiver, &mut bytes, RecvFlags::empty())
+            {
+            }
         }
     }
 
-    /// What has been asked for since this was last called, each wish once for each kind of signal.
+    /// Returns the requests since the last call, at most one for each signal.
     pub fn asked(&self) -> Vec<Wish> {
-        let came = self.kinds.iter().filter(|k| k.came.swap(false, Ordering::SeqCst));
-        came.map(|k| k.wish).collect()
+        let raised = self.signals.iter().filter(|s| s.raised.swap(false, Ordering::SeqCst));
+        raised.map(|s| s.wish).collect()
     }
 }
--- a/crates/net/src/worker.rs
+++ b/crates/net/src/worker.rs
@@ -1,4 +1,5 @@
-//! A thread beside the loop, for what would hold it up: one job after the other, and the loop is woken when one is done.
+//! A background thread for jobs that would block the event loop. It runs one job after the other, and wakes the loop after
+//! each one that has a result. The queue of jobs is unbounded; [`Worker::waiting`] tells its length.
 
 use super::{Interest, Poll, Token};
 use std::io::{self, Read, Write};
@@ -7,69 +8,69 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// The loop's side of the thread, which ends with it.
+/// The loop's handle of the thread, which ends after the handle is dropped.
 pub struct Worker<J, D> {
     jobs: Sender<J>,
-    /// Jobs that the thread has not begun.
+    /// The number of jobs that the thread has not started.
     waiting: Arc<AtomicUsize>,
-    done: Receiver<D>,
-    woken: UnixStream,
+    results: Receiver<D>,
+    wake_receiver: UnixStream,
     token: Token,
 }
 
 impl<J: Send + 'static, D: Send + 'static> Worker<J, D> {
-    /// Starts the thread, which wakes the loop under this token's owner and slot.
+    /// Starts the thread, which wakes the loop under this owner and slot. `work` returns `None` for a job without a result.
     pub fn start(
         poll: &mut Poll,
         (owner, slot): (u8, usize),
         name: &str,
         mut work: impl FnMut(J) -> Option<D> + Send + 'static,
     ) -> io::Result<Worker<J, D>> {
-        let (woken, wake) = UnixStream::pair()?;
-        woken.set_nonblocking(true)?;
-        wake.set_nonblocking(true)?;
+        let (wake_receiver, wake_sender) = UnixStream::pair()?;
+        wake_receiver.set_nonblocking(true)?;
+        wake_sender.set_nonblocking(true)?;
         let token = poll.token(owner, slot);
-        poll.add(&woken, token, Interest { read: true, write: false })?;
-        let (jobs, todo) = channel();
-        let (tell, done) = channel();
+        poll.add(&wake_receiver, token, Interest { read: true, write: false })?;
+        let (jobs, job_receiver) = channel();
+        let (result_sender, results) = channel();
         let waiting = Arc::new(AtomicUsize::new(0));
-        let begun = waiting.clone();
+        let waiting_in_thread = waiting.clone();
         std::thread::Builder::new().name(name.to_string()).spawn(move || {
-            for job in todo {
-                begun.fetch_sub(1, Ordering::Relaxed);
-                if let Some(done) = work(job) {
-                    if tell.send(done).is_err() {
+            for job in job_receiver {
+                waiting_in_thread.fetch_sub(1, Ordering::Relaxed);
+                if let Some(result) = work(job) {
+                    if result_sender.send(result).is_err() {
                         return;
                     }
-                    // A full pair wakes the loop as well.
-                    let _ = (&wake).write(&[0]);
+                    // The write fails only if the socket is full, and then the loop is woken anyway.
+                    let _ = (&wake_sender).write(&[0]);
                 }
             }
         })?;
-        Ok(Worker { jobs, waiting, done, woken, token })
+        Ok(Worker { jobs, waiting, results, wake_receiver, token })
     }
 
-    /// Whether the token is its own.
+    /// Returns whether the token belongs to this thread.
     pub fn is(&self, token: Token) -> bool {
         self.token == token
     }
 
-    /// Jobs that wait to be begun.
+    /// Returns the number of jobs that are not started.
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Hands a job over.
+    /// Queues a job.
     pub fn ask(&self, job: J) {
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        // The thread ends only after this side.
+        // Sending fails only once the thread has ended, which is after this handle is dropped.
         let _ = self.jobs.send(job);
     }
 
-    /// What is done by now.
+    /// Returns the results that are available.
     pub fn take(&mut self) -> Vec<D> {
         let mut bytes = [0; 64];
-        while matches!(self.woken.read(&mut bytes), Ok(1..)) {}
-        self.done.try_iter().collect()
+        while matches!(self.wake_receiver.read(&mut bytes), Ok(1..)) {}
+        self.results.try_iter().collect()
     }
 }
