--- a/crates/budget/src/admission.rs
+++ b/crates/budget/src/admission.rs
@@ -1,48 +1,52 @@
-//! The level of admission: requests below it are refused before anything runs, the lowest worth first, and at every
-//! dispatcher alike.
+//! The admission level: requests whose priority is below it are refused before anything runs, those of the
+//! lowest worth first, and alike at every dispatcher.
 //!
-//! Each member has a wish, by the queue that it measures; the level is the median of the wishes that members told *themselves*
-//! of late. So no less than half of those that are heard can move it: one that lies, or that alone has a bad link to the workers,
-//! can't. It rises at once and falls step by step, each step after a stay. One that hears nobody goes by its own wish,
-//! and no laxer than what was agreed last until that level's stay is over, step by step.
+//! Each member derives a requested level, its wish, from the queueing delay that it measures; the level is
+//! the median of the recent wishes that members sent *first hand*. It takes at least half of the members with
+//! a recent wish to move it, so a single member that lies, or that alone has a bad link to the workers,
+//! cannot. The level rises at once and falls step by step, each step after a hold time. A member that
+//! receives no wishes uses its own, but leaves the last agreed level only after that level's hold time, step
+//! by step.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The highest level: nothing but the most worthy is let in.
-pub const MOST_LEVEL: u8 = 64;
-/// Members whose wishes are held.
-pub const MOST_REPORTS: usize = 512;
-/// The most that a wish rises in one interval, in levels.
-const MOST_RISE: u64 = 3;
-
-/// The longest time between two rises while the queue is too long and does not drain.
-const SLOWEST_RISE: Micros = 600_000;
-/// So many levels above one that was too low count as near it, for so long.
-const NEAR: u8 = 6;
-/// And so many below it: who is further down without a queue needs none of it any more.
-const BELOW: u8 = 2;
-const MEMORY: Micros = 30_000_000;
-/// How far a wish may be ahead of the level in force.
-const AHEAD: u8 = 6;
+/// The highest level: only requests of the highest priority are admitted.
+pub const MAX_LEVEL: u8 = 64;
+/// Maximum number of members whose wishes are stored.
+pub const MAX_REPORTS: usize = 512;
+/// Maximum rise of a wish in one interval, in levels.
+const MAX_RISE_LEVELS: u64 = 3;
+
+/// Maximum time between two rises while the queue is too long and does not drain.
+const MAX_RISE_INTERVAL: Micros = 600_000;
+/// Number of levels above an insufficient level that count as near it, for [`INSUFFICIENT_MEMORY`].
+const NEAR_ABOVE_LEVELS: u8 = 6;
+/// Number of levels below an insufficient level that count as near it. A wish further down without a queue
+/// shows that the level is no longer needed.
+const NEAR_BELOW_LEVELS: u8 = 2;
+/// Time for which an insufficient level is remembered.
+const INSUFFICIENT_MEMORY: Micros = 30_000_000;
+/// Maximum lead of a wish over the level in force.
+const MAX_WISH_LEAD_LEVELS: u8 = 6;
 
 /// Times and bounds of the level.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// A queue at workers that stands longer than this raises the level; one of less than half of it lowers it.
+    /// A queueing delay that stays above this raises the level; one of less than half of it lowers the level.
     pub queue: Micros,
-    /// The queue is looked at this often (CoDel's interval).
+    /// Time between two evaluations of the queueing delay (CoDel's interval).
     pub interval: Micros,
-    /// The level stays this long before it falls, and a fourth of it between further steps.
+    /// Time that the level is held before it falls; further steps follow after a fourth of it.
     pub stay: Micros,
-    /// A wish that was not told again for this long counts no more.
-    pub fresh: Micros,
+    /// Lifetime of a received wish that is not repeated.
+    pub wish_ttl: Micros,
 }
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { queue: 50_000, interval: 100_000, stay: 1_000_000, fresh: 2_000_000 }
+        Terms { queue: 50_000, interval: 100_000, stay: 1_000_000, wish_ttl: 2_000_000 }
     }
 }
 
@@ -52,130 +56,142 @@
     at: Micros,
 }
 
-/// The level as one member knows it.
+/// The admission level as one member computes it.
 #[derive(Clone, Debug)]
 pub struct Admission {
     terms: Terms,
     wish: u8,
-    /// When the wish last rose or fell, and since when the queue has been short.
-    wished: Micros,
+    /// When the wish last rose or fell.
+    wish_changed_at: Micros,
     reports: BTreeMap<Arc<str>, Report>,
-    /// Since when others have been heard. Danger: those that speak first may be the ones that lie, so that one that has only
-    /// begun to hear listens for a while.
-    hears: Option<Micros>,
+    /// Since when wishes of other members have been received. The first ones may be those of lying members,
+    /// so a member waits before it counts them.
+    receiving_since: Option<Micros>,
     level: u8,
-    /// When the level last rose, or stepped down.
-    moved: Micros,
-    /// The level in force when the queue last became too long, and when that was: too low.
-    low: Option<(u8, Micros)>,
-    /// The queue of the interval before.
-    last: Micros,
-    /// The last interval without a queue that asks for a higher level.
+    /// When the level last rose or fell.
+    level_changed_at: Micros,
+    /// The level in force when the queue last became too long, which was therefore insufficient, and when
+    /// that was.
+    insufficient: Option<(u8, Micros)>,
+    /// The queueing delay of the previous interval.
+    last_queue: Micros,
+    /// Whether the last interval had no queue that requires a higher level.
     calm: bool,
 }
 
 impl Admission {
-    /// All are let in.
+    /// Creates the state that admits all requests.
     pub fn new(terms: Terms) -> Admission {
         Admission {
             terms,
             wish: 0,
-            wished: 0,
+            wish_changed_at: 0,
             reports: BTreeMap::new(),
-            hears: None,
+            receiving_since: None,
             level: 0,
-            moved: 0,
-            low: None,
-            last: 0,
+            level_changed_at: 0,
+            insufficient: None,
+            last_queue: 0,
             calm: true,
         }
     }
 
-    /// The level in force.
+    /// Returns the level in force.
     pub fn level(&self) -> u8 {
         self.level
     }
 
-    /// This member's own wish.
+    /// Returns this member's own wish.
     pub fn wish(&self) -> u8 {
         self.wish
     }
 
-    /// Members whose wishes count now.
+    /// Returns the number of members whose wishes count.
     pub fn heard(&self) -> usize {
         self.reports.len()
     }
 
-    /// An interval is over: the queue that stood through it, if enough was seen to tell.
+    /// Records the queueing delay that persisted through an interval; `None` if there were too few samples.
     pub fn measured(&mut self, now: Micros, queue: Option<Micros>) {
         let target = self.terms.queue.max(1);
         match queue {
             Some(queue) if queue > target => {
-                // Danger: an effect shows only as the queue of before drains. While it does, by a sixteenth of the time that
-                // passes or more, it rises no further; and in no case sooner than answers of now can tell.
-                let drains = queue + self.terms.interval / 16 <= self.last;
-                let again = (queue / 2).clamp(2 * self.terms.interval, SLOWEST_RISE);
-                if self.wish == 0 || (!drains && now >= self.wished + again) {
-                    if self.last <= target {
-                        self.low = Some((self.level, now));
+                // A higher level takes effect only as the existing queue drains. While the queue drains by at
+                // least a sixteenth of the elapsed time the wish does not rise, and never sooner than answers
+                // can show the effect of the last rise.
+                let draining = queue + self.terms.interval / 16 <= self.last_queue;
+                let rise_interval = (queue / 2).clamp(2 * self.terms.interval, MAX_RISE_INTERVAL);
+                if self.wish == 0 || (!draining && now >= self.wish_changed_at + rise_interval) {
+                    if self.last_queue <= target {
+                        self.insufficient = Some((self.level, now));
                     }
-                    // Not far above what was too low something is enough, and answers tell that late: slowly from there, while the
-                    // queue is not far too long.
-                    let far = queue < 4 * target
-                        && self.low.is_some_and(|(low, _)| self.wish > low.saturating_add(NEAR));
-                    let rise = if far { 1 } else { (queue / target).clamp(1, MOST_RISE) as u8 };
-                    // From what is in force: a wish below it has had its effect already.
+                    // A level not far above the insufficient one is enough, but answers show that late:
+                    // beyond it the wish rises slowly, unless the queue is far too long.
+                    let above_insufficient = queue < 4 * target
+                        && self
+                            .insufficient
+                            .is_some_and(|(low, _)| self.wish > low.saturating_add(NEAR_ABOVE_LEVELS));
+                    let rise =
+                        if above_insufficient { 1 } else { (queue / target).clamp(1, MAX_RISE_LEVELS) as u8 };
+                    // Start from the level in force: a wish below it has already had its effect.
                     let base = self.wish.max(self.level.saturating_sub(1));
-                    // Danger: one whose wish others do not share would wind it up without end, and unwind it long after.
-                    self.wish =
-                        base.saturating_add(rise).min(self.level.saturating_add(AHEAD)).min(MOST_LEVEL);
-                    self.wished = now;
+                    // Without a bound the wish of a member that the others do not share would wind up
+                    // endlessly, and unwind long after.
+                    self.wish = base
+                        .saturating_add(rise)
+                        .min(self.level.saturating_add(MAX_WISH_LEAD_LEVELS))
+                        .min(MAX_LEVEL);
+                    self.wish_changed_at = now;
                 }
                 self.calm = false;
             }
             Some(queue) if queue > target / 2 => self.calm = false,
-            // Nothing to tell counts as short: what is refused leaves nothing to measure.
+            // Too few samples count as a short queue: refused requests leave nothing to measure.
             _ => {
-                // Not far above what was too low of late it goes down slowly (as a window that has lost grows slowly near where it
-                // lost: CUBIC, RFC 9438, section 4.4).
-                let lately = |at: Micros| now < at + MEMORY;
-                let band = |low: u8| low.saturating_sub(BELOW)..=low.saturating_add(NEAR);
-                let near = self.low.is_some_and(|(low, at)| band(low).contains(&self.wish) && lately(at));
+                // Near a recently insufficient level the wish falls slowly, as a window that has seen loss
+                // grows slowly near the size where it did (CUBIC, RFC 9438, section 4.4).
+                let is_recent = |at: Micros| now < at + INSUFFICIENT_MEMORY;
+                let band =
+                    |low: u8| low.saturating_sub(NEAR_BELOW_LEVELS)..=low.saturating_add(NEAR_ABOVE_LEVELS);
+                let near = self
+                    .insufficient
+                    .is_some_and(|(low, at)| band(low).contains(&self.wish) && is_recent(at));
                 let step = match (near, self.calm) {
                     (true, _) => self.terms.stay * 2,
                     (false, true) => self.terms.stay / 4,
                     (false, false) => self.terms.stay,
                 };
-                if self.wish > 0 && now >= self.wished + step {
-                    (self.wish, self.wished, self.calm) = (self.wish - 1, now, true);
+                if self.wish > 0 && now >= self.wish_changed_at + step {
+                    (self.wish, self.wish_changed_at, self.calm) = (self.wish - 1, now, true);
                 }
             }
         }
-        self.last = queue.unwrap_or(0);
-        self.settle(now);
+        self.last_queue = queue.unwrap_or(0);
+        self.update_level(now);
     }
 
-    /// Another told its wish, itself.
-    pub fn told(&mut self, now: Micros, by: &Arc<str>, level: u8) {
-        if self.reports.len() >= MOST_REPORTS && !self.reports.contains_key(by) {
+    /// Records another member's wish, received first hand.
+    pub fn told(&mut self, now: Micros, member: &Arc<str>, level: u8) {
+        if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(member) {
             let oldest = self.reports.iter().min_by_key(|(_, r)| r.at).map(|(name, _)| name.clone());
             if let Some(name) = oldest {
                 self.reports.remove(&name);
             }
         }
-        self.reports.insert(by.clone(), Report { level: level.min(MOST_LEVEL), at: now });
-        self.hears.get_or_insert(now);
-        self.settle(now);
+        self.reports.insert(member.clone(), Report { level: level.min(MAX_LEVEL), at: now });
+        self.receiving_since.get_or_insert(now);
+        self.update_level(now);
     }
 
-    /// The median of the wishes told of late and one's own, the lower of two in the middle; one's own alone where nobody is heard.
-    fn agreed(&mut self, now: Micros) -> u8 {
-        let fresh = self.terms.fresh;
-        self.reports.retain(|_, r| now < r.at + fresh);
+    /// Returns the median of the recent wishes, its own included, the lower of two in the middle; its own
+    /// wish alone while no other is received.
+    fn agreed_level(&mut self, now: Micros) -> u8 {
+        let wish_ttl = self.terms.wish_ttl;
+        self.reports.retain(|_, r| now < r.at + wish_ttl);
         if self.reports.is_empty() {
-            self.hears = None;
+            self.receiving_since = None;
         }
-        if self.hears.is_none_or(|since| now < since + fresh / 2) {
+        if self.receiving_since.is_none_or(|since| now < since + wish_ttl / 2) {
             return self.wish;
         }
         let mut wishes: Vec<u8> = self.reports.values().map(|r| r.level).chain([self.wish]).collect();
@@ -183,37 +199,38 @@
         wishes[(wishes.len() - 1) / 2]
     }
 
-    /// Brings the level to what is agreed: up at once, down by steps.
-    fn settle(&mut self, now: Micros) {
-        let agreed = self.agreed(now);
+    /// Moves the level towards the agreed one: up at once, down by steps.
+    fn update_level(&mut self, now: Micros) {
+        let agreed = self.agreed_level(now);
         let step = if agreed + 1 < self.level { self.terms.stay / 4 } else { self.terms.stay };
         if agreed > self.level {
-            (self.level, self.moved) = (agreed, now);
-        } else if agreed < self.level && now >= self.moved + step {
-            (self.level, self.moved) = (self.level - 1, now);
+            (self.level, self.level_changed_at) = (agreed, now);
+        } else if agreed < self.level && now >= self.level_changed_at + step {
+            (self.level, self.level_changed_at) = (self.level - 1, now);
         }
     }
 
-    /// How long those that are turned away should stay away: the time in which the level would be gone at the soonest.
+    /// Returns the retry delay for refused requests: the shortest time in which the level could fall to zero.
     pub fn back(&self) -> Micros {
         self.terms.stay + u64::from(self.level) * self.terms.stay / 4
     }
 }
 
-/// Where a request stands among all, from 0 to [`MOST_LEVEL`] - 1: by its class's place among the `classes` by worth, the least
-/// worthy first; within the class those beyond their share first; then by `kind`, alike everywhere, so that the same kinds
-/// are turned away at every door. Let in is what stands at the level or above; the highest always is.
-pub fn standing(place: usize, classes: usize, beyond: bool, kind: u64) -> u8 {
-    let classes = classes.clamp(1, usize::from(MOST_LEVEL) / 2) as u64;
-    let (place, width) = ((place as u64).min(classes - 1), u64::from(MOST_LEVEL) / classes);
+/// Returns the priority of a request, from 0 to [`MAX_LEVEL`] - 1: by the rank of its class among the
+/// `classes` by worth, the least worthy lowest; within the class, requests over their share are lower; then
+/// by `kind`, the same everywhere, so that the same kinds are refused at every dispatcher. A request is
+/// admitted if its priority is at or above the level; the highest always is.
+pub fn standing(class_rank: usize, classes: usize, over_share: bool, kind: u64) -> u8 {
+    let classes = classes.clamp(1, usize::from(MAX_LEVEL) / 2) as u64;
+    let (class_rank, width) = ((class_rank as u64).min(classes - 1), u64::from(MAX_LEVEL) / classes);
     let quarter = (width / 4).max(1);
-    let within = if beyond { kind % quarter } else { quarter + kind % (width - quarter).max(1) };
-    (place * width + within).min(u64::from(MOST_LEVEL) - 1) as u8
+    let within = if over_share { kind % quarter } else { quarter + kind % (width - quarter).max(1) };
+    (class_rank * width + within).min(u64::from(MAX_LEVEL) - 1) as u8
 }
 
-/// Whether a request that stands there is let in at the level.
+/// Returns whether a request of this priority is admitted at the level.
 pub fn admits(level: u8, standing: u8) -> bool {
-    standing >= level.min(MOST_LEVEL - 1)
+    standing >= level.min(MAX_LEVEL - 1)
 }
 
 #[cfg(test)]
--- a/crates/budget/src/admission/tests.rs
+++ b/crates/budget/src/admission/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_standing_queue_raises_the_level_and_its_end_lowers_it_by_steps() {
+fn a_persistent_queue_raises_the_level_and_its_end_lowers_it_by_steps() {
     let mut a = Admission::new(Terms::default());
     let mut now = 0;
     for _ in 0..20 {
@@ -21,56 +21,57 @@
         now += 100 * MS;
         a.measured(now, Some(0));
         levels.push(a.level());
-        assert!(now < 60_000 * MS, "it comes down");
+        assert!(now < 60_000 * MS, "the level falls to zero");
     }
     assert!(levels.windows(2).all(|w| w[0] - w[1] <= 1), "step by step");
-    assert!(levels.iter().filter(|l| **l == top).count() >= 5, "after a stay");
+    assert!(levels.iter().filter(|l| **l == top).count() >= 5, "the level is held before it falls");
 }
 
 #[test]
-fn fewer_than_half_move_nothing_and_half_and_one_do() {
+fn the_level_moves_only_by_a_majority_of_wishes() {
     let mut a = Admission::new(Terms::default());
-    (1..=2).for_each(|n| a.told(0, &name(n), MOST_LEVEL));
-    assert_eq!(a.level(), 0, "it has only begun to hear");
+    (1..=2).for_each(|n| a.told(0, &name(n), MAX_LEVEL));
+    assert_eq!(a.level(), 0, "first wishes are not counted yet");
     (3..=4).for_each(|n| a.told(900 * MS, &name(n), 0));
     a.measured(1_000 * MS, None);
     assert_eq!(a.level(), 0, "two liars of five");
     a.told(1_100 * MS, &name(3), 9);
     assert_eq!(a.level(), 9);
     (0..5_000).for_each(|n| a.told(1_200 * MS, &name(n), 1));
-    assert!(a.heard() <= MOST_REPORTS);
+    assert!(a.heard() <= MAX_REPORTS);
 }
 
 #[test]
-fn one_that_is_cut_off_is_never_laxer_than_what_was_agreed_until_the_stay_is_over() {
+fn an_isolated_member_leaves_the_agreed_level_only_by_steps() {
     let mut a = Admission::new(Terms::default());
     (1..=4).for_each(|n| a.told(0, &name(n), 12));
     (1..=4).for_each(|n| a.told(1_000 * MS, &name(n), 12));
     assert_eq!(a.level(), 12);
     a.measured(3_100 * MS, None);
-    assert!(a.level() >= 11, "nobody is heard any more");
+    assert!(a.level() >= 11, "wishes have expired");
     let mut now = 3_100 * MS;
     while a.level() > 0 {
         now += 100 * MS;
         a.measured(now, None);
         assert!(now < 30_000 * MS);
     }
-    assert!(now >= 5_000 * MS, "twelve steps of a fourth of the stay");
+    assert!(now >= 5_000 * MS, "twelve steps of a fourth of the hold time");
 }
 
 #[test]
-fn worth_goes_first_then_shares_and_the_highest_is_always_let_in() {
+fn priority_is_by_worth_then_by_share_and_the_highest_is_always_admitted() {
     for classes in 1..=40 {
         for kind in 0..200 {
-            for place in 1..classes {
+            for class_rank in 1..classes {
                 assert!(
-                    standing(place, classes, true, kind) >= standing(place - 1, classes, false, kind)
+                    standing(class_rank, classes, true, kind)
+                        >= standing(class_rank - 1, classes, false, kind)
                         || classes > 32
                 );
             }
-            assert!(standing(0, classes, true, kind) < MOST_LEVEL);
+            assert!(standing(0, classes, true, kind) < MAX_LEVEL);
         }
     }
     assert!(standing(1, 3, true, 5) < standing(1, 3, false, 5));
-    assert!(admits(MOST_LEVEL, MOST_LEVEL - 1) && !admits(MOST_LEVEL, MOST_LEVEL - 2) && admits(0, 0));
+    assert!(admits(MAX_LEVEL, MAX_LEVEL - 1) && !admits(MAX_LEVEL, MAX_LEVEL - 2) && admits(0, 0));
 }
--- a/crates/budget/src/bucket.rs
+++ b/crates/budget/src/bucket.rs
@@ -1,39 +1,40 @@
-//! Spends a rate: a token bucket whose rate may change at any time. What it holds never exceeds what the rate of now brings in
-//! its burst time, and one piece; so leases that have ended leave nothing behind.
+//! A token bucket whose rate may change at any time. It never holds more than the current rate yields in the
+//! burst time plus one token, so an expired lease leaves no saved-up tokens behind.
 
 use crate::Micros;
 
-/// One piece, in the thousandths that rates are told in, times a second's microseconds.
-const PIECE: u128 = 1_000 * 1_000_000;
+/// One token, in the bucket's unit: thousandths of a token per second (the unit of rates) times microseconds.
+const TOKEN: u128 = 1_000 * 1_000_000;
 
-/// The bucket.
+/// A token bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bucket {
-    /// In thousandths of a piece times microseconds.
+    /// Thousandths of a token per second, times microseconds.
     held: u128,
-    at: Micros,
+    refilled_at: Micros,
     burst: Micros,
 }
 
 impl Bucket {
-    /// An empty one, that saves up for this long at the most.
+    /// Creates an empty bucket that saves up for at most `burst`.
     pub fn new(burst: Micros, now: Micros) -> Bucket {
-        Bucket { held: 0, at: now, burst }
+        Bucket { held: 0, refilled_at: now, burst }
     }
 
-    /// Pieces in hand now, at a rate in thousandths of a piece a second that held since the last call.
+    /// Refills the bucket and returns the whole tokens available; `rate`, in thousandths of a token per
+    /// second, is applied to the time since the last call.
     pub fn refill(&mut self, now: Micros, rate: u64) -> u64 {
-        let passed = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        let most = u128::from(rate) * u128::from(self.burst) + if rate > 0 { PIECE } else { 0 };
-        self.held = (self.held + u128::from(rate) * u128::from(passed)).min(most);
-        (self.held / PIECE) as u64
+        let elapsed = now.saturating_sub(self.refilled_at);
+        self.refilled_at = self.refilled_at.max(now);
+        let capacity = u128::from(rate) * u128::from(self.burst) + if rate > 0 { TOKEN } else { 0 };
+        self.held = (self.held + u128::from(rate) * u128::from(elapsed)).min(capacity);
+        (self.held / TOKEN) as u64
     }
 
-    /// Takes pieces, as many as are there of those wanted.
+    /// Takes up to `wanted` tokens and returns how many were taken.
     pub fn take(&mut self, wanted: u64) -> u64 {
-        let taken = u128::from(wanted).min(self.held / PIECE);
-        self.held -= taken * PIECE;
+        let taken = u128::from(wanted).min(self.held / TOKEN);
+        self.held -= taken * TOKEN;
         taken as u64
     }
 }
--- a/crates/budget/src/circuit.rs
+++ b/crates/budget/src/circuit.rs
@@ -1,11 +1,12 @@
-//! Workers that a whole fleet takes back with care: one trial at a time, then a ramp.
+//! Circuit breakers for workers: one trial at a time across the fleet, then a ramp.
 //!
-//! A circuit opens here by what this member saw itself, never by a word of others. While it is open the worker gets trials: from its
-//! owner among the members that see each other (the highest rendezvous hash of worker and member; Thaler, Ravishankar:
-//! "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN 1998), from the next one if the owner makes none, and from
-//! anyone after that. So in a cut each side has its owner, and a dead owner is replaced after [`Terms::trial`]. Who gets an answer
-//! tells all; from then on the worker is let in by a rate of the whole fleet that doubles, of which each has its part, until
-//! the ramp is over.
+//! A circuit opens only on this member's own observations, never on another member's message. While it is
+//! open the worker is tried by its owner among the members that see each other (the highest rendezvous hash
+//! of worker and member; Thaler, Ravishankar: "Using Name-Based Mappings to Increase Hit Rates", IEEE/ACM ToN
+//! 1998), by the next in rank if the owner makes no trial, and by any member after that. In a partition each
+//! side thus has an owner, and a failed owner is replaced after [`Terms::trial`]. A member that gets an
+//! answer notifies all others; from then on the worker is admitted at a fleet-wide rate that doubles, of
+//! which each member has its part, until the ramp is over.
 
 use crate::{Bucket, Micros};
 use siphasher::sip::SipHasher13;
@@ -13,35 +14,36 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Workers whose circuits are not closed, at the most.
-pub const MOST_OPEN: usize = 1_024;
-/// The rate of the whole fleet at the ramp's beginning, in thousandths of a request a second.
-const FIRST_RATE: u64 = 4_000;
-/// It doubles so often in a ramp.
-const DOUBLINGS: f64 = 8.0;
-/// A trial that was refused is made again after the usual time, then twice that, up to so many times it.
-const MOST_WAIT: u32 = 8;
-/// Trials of others put ours off so many times in a row.
-const MOST_PUT_OFF: u32 = 8;
-/// Where so many of all workers, in hundredths, would be kept from, none is: what fails may be this member.
-const FAIL_OPEN: usize = 50;
-
-/// Times of a circuit.
+/// Maximum number of workers whose circuits are not closed.
+pub const MAX_OPEN_CIRCUITS: usize = 1_024;
+/// Fleet-wide rate at the start of the ramp, in thousandths of a request per second.
+const RAMP_START_MILLI_PER_S: u64 = 4_000;
+/// Number of doublings of the rate in a ramp.
+const RAMP_DOUBLINGS: f64 = 8.0;
+/// Upper bound of the backoff between refused trials, as a multiple of [`Terms::trial`]; it doubles from one.
+const MAX_BACKOFF_FACTOR: u32 = 8;
+/// Maximum number of times in a row that trials of other members defer this member's.
+const MAX_DEFERRALS: u32 = 8;
+/// Percentage of all workers from which, if their circuits are not closed, the gates fail open: the fault may
+/// be this member's own.
+const FAIL_OPEN_PERCENT: usize = 50;
+
+/// Durations of a circuit's phases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Between two trials at first, and until the next member makes one in the owner's place.
+    /// Initial time between two trials, and the time after which the next member tries in the owner's place.
     pub trial: Micros,
-    /// How long the ramp takes.
+    /// Duration of the ramp.
     pub ramp: Micros,
 }
 
 #[derive(Clone, Debug)]
 enum State {
-    /// It gets trials: when the next is due, how many were refused, whether one of ours is under way, and how many trials of others
-    /// have put ours off.
-    Open { next: Micros, refused: u32, trial: bool, put_off: u32 },
-    /// It answered; since when it is let in by a rate.
-    Ramp { since: Micros, bucket: Bucket },
+    /// Only trials are sent: when the next is due, how many were refused, whether one of this member's is
+    /// running, and how often in a row trials of other members deferred this member's.
+    Open { next_trial: Micros, refused: u32, trial_running: bool, deferrals: u32 },
+    /// The worker answered and is admitted at a limited rate since `started_at`.
+    Ramp { started_at: Micros, bucket: Bucket },
 }
 
 impl State {
@@ -57,78 +59,86 @@
     states: BTreeMap<Arc<str>, State>,
 }
 
-/// Where a member stands for a worker among all, itself included: 0 owns it.
+/// Returns the rank of a member for a worker among all members, itself included: 0 is the owner.
 pub fn rank(worker: &str, own: &str, others: &[Arc<str>]) -> usize {
     let weight = |member: &str| {
         let mut hasher = SipHasher13::new();
         (worker, member).hash(&mut hasher);
         hasher.finish()
     };
-    let mine = (weight(own), own);
-    others.iter().filter(|o| (weight(o), &***o) > mine).count()
+    let own_weight = (weight(own), own);
+    others.iter().filter(|o| (weight(o), &***o) > own_weight).count()
 }
 
 impl Circuits {
-    /// All are closed.
+    /// Creates the table with all circuits closed.
     pub fn new(terms: Terms) -> Circuits {
         Circuits { terms, states: BTreeMap::new() }
     }
 
-    /// A connection to it was refused, or did not come up: seen here. True if that was a trial of ours, of which others should hear.
+    /// Records that a connection to the worker was refused or not established at this member. Returns true if
+    /// that was a trial of this member, of which the others are to be notified.
     pub fn refused(&mut self, now: Micros, worker: &Arc<str>) -> bool {
-        let (refused, ours) = match self.states.get(worker) {
-            // What was sent before it opened tells nothing new.
-            Some(State::Open { trial: false, .. }) => return false,
+        let (refused, own_trial) = match self.states.get(worker) {
+            // Requests sent before the circuit opened carry no new information.
+            Some(State::Open { trial_running: false, .. }) => return false,
             Some(State::Open { refused, .. }) => (refused + 1, true),
-            None if self.states.len() >= MOST_OPEN => return false,
+            None if self.states.len() >= MAX_OPEN_CIRCUITS => return false,
             Some(State::Ramp { .. }) | None => (0, false),
         };
-        let next = now + self.wait(refused);
-        self.states.insert(worker.clone(), State::Open { next, refused, trial: false, put_off: 0 });
-        ours
+        let next_trial = now + self.trial_backoff(refused);
+        self.states
+            .insert(worker.clone(), State::Open { next_trial, refused, trial_running: false, deferrals: 0 });
+        own_trial
     }
 
-    /// Another says that it made a trial, which was refused: ours is put off. Danger: one that says so without end would keep a
-    /// worker out for ever; so many times, and ours is made.
+    /// Records another member's report of a refused trial, which defers this member's own. The number of
+    /// deferrals in a row is bounded: a member that sent such reports endlessly would otherwise keep a worker
+    /// out for ever.
     pub fn tried(&mut self, now: Micros, worker: &str) {
-        let wait =
-            self.states.get(worker).and_then(State::refusals).map_or(0, |refused| self.wait(refused + 1));
-        if let Some(State::Open { next, refused, trial: false, put_off }) = self.states.get_mut(worker)
-            && *put_off < MOST_PUT_OFF
+        let backoff = self
+            .states
+            .get(worker)
+            .and_then(State::refusals)
+            .map_or(0, |refused| self.trial_backoff(refused + 1));
+        if let Some(State::Open { next_trial, refused, trial_running: false, deferrals }) =
+            self.states.get_mut(worker)
+            && *deferrals < MAX_DEFERRALS
         {
-            (*next, *refused, *put_off) = (now + wait, *refused + 1, *put_off + 1);
+            (*next_trial, *refused, *deferrals) = (now + backoff, *refused + 1, *deferrals + 1);
         }
     }
 
-    /// The time until the next trial, after so many that were refused.
-    fn wait(&self, refused: u32) -> Micros {
-        self.terms.trial * Micros::from((1_u32 << refused.min(8)).min(MOST_WAIT))
+    /// Returns the time until the next trial after this many refusals.
+    fn trial_backoff(&self, refused: u32) -> Micros {
+        self.terms.trial * Micros::from((1_u32 << refused.min(8)).min(MAX_BACKOFF_FACTOR))
     }
 
-    /// It answered here; true if that is news that others should hear.
+    /// Records an answer at this member; returns true if the others are to be notified.
     pub fn answered(&mut self, now: Micros, worker: &str) -> bool {
-        let news = matches!(self.states.get(worker), Some(State::Open { .. }));
-        if news {
-            self.back(now, worker, now);
+        let was_open = matches!(self.states.get(worker), Some(State::Open { .. }));
+        if was_open {
+            self.start_ramp(now, worker, now);
         }
-        news
+        was_open
     }
 
-    /// Another says that it answered, so long ago. It closes nothing and opens nothing: an open circuit becomes a ramp.
+    /// Records another member's report of an answer `ago` before now. It neither opens nor closes a circuit:
+    /// an open one starts its ramp.
     pub fn told(&mut self, now: Micros, worker: &str, ago: Micros) {
         if matches!(self.states.get(worker), Some(State::Open { .. })) && ago < self.terms.ramp {
-            self.back(now, worker, now - ago);
+            self.start_ramp(now, worker, now - ago);
         }
     }
 
-    fn back(&mut self, now: Micros, worker: &str, since: Micros) {
+    fn start_ramp(&mut self, now: Micros, worker: &str, started_at: Micros) {
         if let Some(state) = self.states.get_mut(worker) {
-            *state = State::Ramp { since, bucket: Bucket::new(self.terms.trial, now) };
+            *state = State::Ramp { started_at, bucket: Bucket::new(self.terms.trial, now) };
         }
     }
 
-    /// Of each worker whose circuit is not closed, how many requests it may get now; the others get what they get. `workers` is how
-    /// many there are in all, the ramp's rate goes into `parts`.
+    /// Returns, for each worker whose circuit is not closed, how many requests it may get now; other workers
+    /// are not limited. `workers` is the number of all workers, and the ramp's rate is divided by `parts`.
     pub fn gates(
         &mut self,
         now: Micros,
@@ -137,21 +147,22 @@
         (workers, parts): (usize, usize),
     ) -> Vec<(Arc<str>, u64)> {
         let ramp = self.terms.ramp.max(1);
-        self.states.retain(|_, s| !matches!(s, State::Ramp { since, .. } if now >= *since + ramp));
-        if self.states.len() * 100 >= workers.max(1) * FAIL_OPEN {
+        self.states.retain(|_, s| !matches!(s, State::Ramp { started_at, .. } if now >= *started_at + ramp));
+        if self.states.len() * 100 >= workers.max(1) * FAIL_OPEN_PERCENT {
             return Vec::new();
         }
         let trial = self.terms.trial;
         let gate = |(worker, state): (&Arc<str>, &mut State)| {
             let left = match state {
-                State::Open { next, .. } => {
-                    // The owner at once, the next one a while later, anyone after three.
-                    let place = rank(worker, own, others).min(3) as u64;
-                    u64::from(now >= *next + place * trial)
+                State::Open { next_trial, .. } => {
+                    // The owner tries at once, the next in rank one trial interval later, any member after
+                    // three.
+                    let rank = rank(worker, own, others).min(3) as u64;
+                    u64::from(now >= *next_trial + rank * trial)
                 }
-                State::Ramp { since, bucket } => {
-                    let passed = now.saturating_sub(*since) as f64 / ramp as f64;
-                    let rate = FIRST_RATE as f64 * (passed * DOUBLINGS).exp2();
+                State::Ramp { started_at, bucket } => {
+                    let elapsed = now.saturating_sub(*started_at) as f64 / ramp as f64;
+                    let rate = RAMP_START_MILLI_PER_S as f64 * (elapsed * RAMP_DOUBLINGS).exp2();
                     bucket.refill(now, (rate / parts.max(1) as f64) as u64)
                 }
             };
@@ -160,13 +171,17 @@
         self.states.iter_mut().map(gate).collect()
     }
 
-    /// A request went to it through the gate.
+    /// Records requests sent to the worker through its gate.
     pub fn entered(&mut self, now: Micros, worker: &str, count: u64) {
-        let wait = self.states.get(worker).and_then(State::refusals).map_or(0, |refused| self.wait(refused));
+        let backoff = self
+            .states
+            .get(worker)
+            .and_then(State::refusals)
+            .map_or(0, |refused| self.trial_backoff(refused));
         match self.states.get_mut(worker) {
-            // No second trial until this one has told, or had the time for it.
-            Some(State::Open { next, trial, put_off, .. }) => {
-                (*next, *trial, *put_off) = (now + wait, true, 0)
+            // No second trial until this one has ended, or has had the time for it.
+            Some(State::Open { next_trial, trial_running, deferrals, .. }) => {
+                (*next_trial, *trial_running, *deferrals) = (now + backoff, true, 0)
             }
             Some(State::Ramp { bucket, .. }) => {
                 bucket.take(count);
@@ -175,17 +190,17 @@
         }
     }
 
-    /// Whether its circuit is open.
+    /// Returns whether the worker's circuit is open.
     pub fn is_open(&self, worker: &str) -> bool {
         matches!(self.states.get(worker), Some(State::Open { .. }))
     }
 
-    /// Forgets those that are no longer there.
-    pub fn retain(&mut self, there: impl Fn(&str) -> bool) {
-        self.states.retain(|worker, _| there(worker));
+    /// Removes workers that are no longer listed.
+    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
+        self.states.retain(|worker, _| listed(worker));
     }
 
-    /// Workers whose circuits are open, and those on a ramp.
+    /// Returns the number of open circuits and of ramps.
     pub fn count(&self) -> (usize, usize) {
         let open = self.states.values().filter(|s| matches!(s, State::Open { .. })).count();
         (open, self.states.len() - open)
--- a/crates/budget/src/circuit/tests.rs
+++ b/crates/budget/src/circuit/tests.rs
@@ -10,7 +10,7 @@
     Circuits::new(Terms { trial: 250 * MS, ramp: 4_000 * MS })
 }
 
-/// What each of them lets through now.
+/// Returns how many requests each member's gate admits now.
 fn left(all: &mut [Circuits], now: Micros, names: &[Arc<str>]) -> Vec<u64> {
     let parts = all.len();
     let one = |(n, c): (usize, &mut Circuits)| {
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn one_tries_at_a_time_and_the_next_where_the_owner_does_not() {
+fn the_owner_tries_first_and_the_next_in_rank_if_it_does_not() {
     let names = names(9);
     let (mut all, worker): (Vec<Circuits>, Arc<str>) = ((0..9).map(|_| circuits()).collect(), "s1".into());
     for c in &mut all {
-        assert!(!c.refused(0, &worker), "no trial of its own");
+        assert!(!c.refused(0, &worker), "the first refusal is no trial");
     }
     assert_eq!(left(&mut all, 249 * MS, &names).iter().sum::<u64>(), 0);
     let at_first = left(&mut all, 250 * MS, &names);
@@ -33,11 +33,11 @@
     assert_eq!(
         left(&mut all, 500 * MS, &names).iter().sum::<u64>(),
         2,
-        "and its deputy, if nothing came of it"
+        "and the next in rank, if the owner made no trial"
     );
     let owner = at_first.iter().position(|l| *l == 1).expect("an owner");
     all[owner].entered(250 * MS, &worker, 1);
-    assert_eq!(left(&mut all, 260 * MS, &names).iter().sum::<u64>(), 0, "its trial runs");
+    assert_eq!(left(&mut all, 260 * MS, &names).iter().sum::<u64>(), 0, "the owner's trial is running");
     assert!(all[owner].answered(270 * MS, &worker) && !all[owner].answered(271 * MS, &worker));
     (0..9).filter(|n| *n != owner).for_each(|n| all[n].told(280 * MS, &worker, 10 * MS));
     let mut sum = 0;
@@ -49,11 +49,11 @@
         }
     }
     assert!((15..=60).contains(&sum), "two seconds of the ramp: {sum}");
-    assert!(left(&mut all, 4_300 * MS, &names).iter().all(|l| *l == u64::MAX), "it is over");
+    assert!(left(&mut all, 4_300 * MS, &names).iter().all(|l| *l == u64::MAX), "the ramp is over");
 }
 
 #[test]
-fn trials_that_are_refused_come_ever_later_and_others_words_open_nothing() {
+fn refused_trials_back_off_and_reports_of_others_open_no_circuit() {
     let (mut c, worker): (Circuits, Arc<str>) = (circuits(), "s1".into());
     let (mut now, mut trials) = (0, 0);
     c.refused(now, &worker);
@@ -69,22 +69,22 @@
     c.told(now, "s2", 0);
     c.tried(now, "s2");
     assert_eq!(c.count(), (1, 0));
-    // One that tells of its trials without end puts ours off, and does not end them.
-    let mut mine = 0;
+    // Endless reports of refused trials defer this member's trials but do not stop them.
+    let mut own_trials = 0;
     for step in 0..6_000 {
         let now = now + step * 10 * MS;
         c.tried(now, &worker);
         if c.gates(now, "n0", &[], (12, 1))[0].1 > 0 {
             c.entered(now, &worker, 1);
             c.refused(now + MS, &worker);
-            mine += 1;
+            own_trials += 1;
         }
     }
-    assert!(mine > 10, "{mine} trials of ours in a minute");
+    assert!(own_trials > 10, "{own_trials} own trials in a minute");
 }
 
 #[test]
-fn where_half_of_all_would_be_shut_none_is_and_all_is_bounded() {
+fn gates_fail_open_at_half_of_all_workers_and_the_table_is_bounded() {
     let mut c = circuits();
     for n in 0..6 {
         c.refused(0, &format!("s{n}").into());
@@ -94,5 +94,5 @@
     for n in 0..5_000 {
         c.refused(0, &format!("s{n}").into());
     }
-    assert_eq!(c.count().0, MOST_OPEN);
+    assert_eq!(c.count().0, MAX_OPEN_CIRCUITS);
 }
--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -1,4 +1,13 @@
-//! What one member owns, has lent and has borrowed of a resource of the whole fleet.
+//! Tracks what one member owns, has lent and has borrowed of a fleet-wide resource.
+//!
+//! **Why the sum is bounded.** Each part is owned by exactly one member. The membership layer assigns the
+//! parts and keeps their sum at or below the whole. A lease moves an amount from its lender to its borrower.
+//! The borrower measures the lease from when it *sent the request*; the lender measures it from when it
+//! *granted* it, which is later, and adds [`Terms::clock_margin_percent`], so clock rates may differ by half
+//! of that margin. The borrower's lease therefore expires, by its own clock, before the lender counts the
+//! amount as its own again, and a grant that arrives after its expiry is worthless. A restarted member has no
+//! record of the leases of its earlier process: until those must have expired it spends only its floor, which
+//! is never lent.
 //!
 //! **Why the sum holds.** A part is owned by one member alone; who owns how much is the membership's to say, whose rules
 //! keep the parts' sum at one. A lease moves an amount from its lender to its borrower. The borrower counts the lease's
@@ -11,115 +20,116 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Leases held either way at the most.
-pub const MOST_LEASES: usize = 512;
-/// Questions that are open at the most.
-pub const MOST_ASKED: usize = 16;
-/// The longest lease, whatever an asker wants.
-const MOST_LEASE: Micros = 60_000_000;
+/// Maximum number of leases held, lent and borrowed counted separately.
+pub const MAX_LEASES: usize = 512;
+/// Maximum number of lease requests awaiting an answer.
+pub const MAX_PENDING_REQUESTS: usize = 16;
+/// Upper bound on the duration of a lease, whatever duration is requested.
+const MAX_LEASE_TIME: Micros = 60_000_000;
 
-/// What a resource is, alike at all members. Units are the caller's: thousandths of something a second, or pieces held.
+/// Parameters of a resource, the same at all members. The caller chooses the unit: thousandths of something
+/// per second, or items held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
-    /// All that there is.
+    /// Total amount of the resource in the fleet.
     pub whole: u64,
-    /// Of each member's part, so many thousandths are never lent.
+    /// Share of each member's part that is never lent, in thousandths.
     pub floor: u64,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Micros,
-    /// A use that began within a lease may go on for so long after it; none for rates.
-    pub linger: Micros,
-    /// A lender counts a lease for so many hundredths longer. Clocks may differ in rate by half of that.
-    pub margin: u64,
+    /// Time for which a use that began within a lease may continue after its expiry; zero for rates.
+    pub grace: Micros,
+    /// Percentage by which the lender extends its own count of a lease. Clock rates may differ by half of it.
+    pub clock_margin_percent: u64,
 }
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { whole: 0, floor: 500, lease: 2_000_000, linger: 0, margin: 5 }
+        Terms { whole: 0, floor: 500, lease: 2_000_000, grace: 0, clock_margin_percent: 5 }
     }
 }
 
 impl Terms {
-    /// How long a lender counts a lease of this length.
-    fn counted(&self, lease: Micros) -> Micros {
-        lease + lease * self.margin / 100 + self.linger
+    /// Returns how long the lender counts a lease of this duration as lent.
+    fn lender_lease_time(&self, lease: Micros) -> Micros {
+        lease + lease * self.clock_margin_percent / 100 + self.grace
     }
 
-    /// After this nothing can be out that a member had lent.
-    pub fn hold(&self) -> Micros {
-        self.counted(MOST_LEASE.min(self.lease))
+    /// Returns the time after which no lease granted by a member can still be in use.
+    pub fn max_lease_lifetime(&self) -> Micros {
+        self.lender_lease_time(MAX_LEASE_TIME.min(self.lease))
     }
 }
 
-/// What makes it safe; tests alone take others than these, to show that they are needed.
+/// Rules that keep the sum bounded. Only tests disable any of them, to show that each is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Rules {
-    /// A lease counts from its question, not from the grant's arrival.
-    pub from_question: bool,
-    /// A member that starts spends only what is never lent, until what it may have lent is over.
-    pub starts_low: bool,
-    /// A lease that is over is over; else a further grant of the same lender makes it last on.
-    pub ends: bool,
-    /// A grant for an earlier process of the name is none.
-    pub fenced: bool,
+pub struct SafetyRules {
+    /// Measure a lease from its request, not from the arrival of the grant.
+    pub from_request: bool,
+    /// After a start, spend only the floor until all leases of an earlier process must have expired.
+    pub limit_after_start: bool,
+    /// Drop expired leases. Without this a further grant of the same lender extends them.
+    pub drop_expired: bool,
+    /// Ignore a grant addressed to an earlier process of the same name.
+    pub check_instance: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { from_question: true, starts_low: true, ends: true, fenced: true }
+impl Default for SafetyRules {
+    fn default() -> SafetyRules {
+        SafetyRules { from_request: true, limit_after_start: true, drop_expired: true, check_instance: true }
     }
 }
 
-/// A question for a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ask {
-    /// The process that asks.
+    /// Identifier of the requesting process.
     pub instance: u64,
-    /// Its number; none comes twice from one process.
+    /// Request number, unique within that process.
     pub number: u64,
-    /// How much is wanted.
+    /// Requested amount.
     pub amount: u64,
-    /// For how long.
+    /// Requested duration.
     pub lease: Micros,
-    /// What it is worth, against what the lender would use it for: 1 or more.
+    /// Worth of the requested use, weighed against the lender's own use: 1 or more.
     pub worth: u32,
 }
 
-/// The answer.
+/// The answer to a lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Grant {
-    /// The process that asked.
+    /// Identifier of the process that sent the request.
     pub instance: u64,
-    /// The number of its question.
+    /// Number of the request.
     pub number: u64,
-    /// How much is lent; nothing is a no.
+    /// Amount lent; zero is a refusal.
     pub amount: u64,
-    /// For how long, from the question.
+    /// Duration of the lease, measured from the request.
     pub lease: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Lent {
+struct LentLease {
     to: Arc<str>,
     instance: u64,
     number: u64,
     amount: u64,
     lease: Micros,
-    until: Micros,
+    expires_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Borrowed {
+struct BorrowedLease {
     from: Arc<str>,
     amount: u64,
-    until: Micros,
+    expires_at: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asked {
+struct PendingRequest {
     to: Arc<str>,
     number: u64,
-    at: Micros,
+    sent_at: Micros,
     lease: Micros,
 }
 
@@ -127,168 +137,181 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     terms: Terms,
-    rules: Rules,
+    rules: SafetyRules,
     instance: u64,
-    began: Micros,
-    /// The whole goes into so many parts, of which one is this member's; 0: it has none yet.
+    started_at: Micros,
+    /// Number of parts that the whole is divided into, one of them this member's; 0 while this member has no
+    /// part.
     parts: u64,
-    /// What this member itself needs, and what that is worth.
+    /// Amount that this member needs itself, and the worth of that use.
     need: u64,
     worth: u32,
     number: u64,
-    lent: Vec<Lent>,
-    borrowed: Vec<Borrowed>,
-    asked: Vec<Asked>,
+    lent: Vec<LentLease>,
+    borrowed: Vec<BorrowedLease>,
+    pending: Vec<PendingRequest>,
 }
 
 impl Ledger {
-    /// That of a process which begins now; `instance` tells it from earlier ones of its name.
+    /// Creates the ledger of a process that starts now; `instance` distinguishes it from earlier processes of
+    /// the same name.
     pub fn new(terms: Terms, instance: u64, now: Micros) -> Ledger {
         Ledger {
             terms,
-            rules: Rules::default(),
+            rules: SafetyRules::default(),
             instance,
-            began: now,
+            started_at: now,
             parts: 0,
             need: 0,
             worth: 1,
             number: 0,
             lent: Vec::new(),
             borrowed: Vec::new(),
-            asked: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    /// The same under other rules, for tests.
-    pub fn with_rules(mut self, rules: Rules) -> Ledger {
+    /// Replaces the safety rules, for tests.
+    pub fn with_rules(mut self, rules: SafetyRules) -> Ledger {
         self.rules = rules;
         self
     }
 
-    /// The whole goes into so many parts from now on. Danger: the caller sees to it that parts grow in number at once and
-    /// shrink only after [`Terms::hold`], and that one that begins takes none for that long.
+    /// Sets the number of parts that the whole is divided into. The caller must raise the number at once but
+    /// lower it only after [`Terms::max_lease_lifetime`], and must give a member that starts no part for that
+    /// long; otherwise the sum can exceed the whole.
     pub fn divide(&mut self, parts: usize) {
         self.parts = parts as u64;
     }
 
-    /// What this member needs itself, in the resource's units, and what that is worth: so much it does not lend to
-    /// those who want it for no more.
+    /// Sets the amount that this member needs itself, in the resource's units, and its worth. That amount is
+    /// not lent to members that request it at the same or a lower worth.
     pub fn need(&mut self, amount: u64, worth: u32) {
         (self.need, self.worth) = (amount, worth.max(1));
     }
 
-    /// What it owns.
+    /// Returns the amount that this member owns.
     pub fn own(&self) -> u64 {
         self.terms.whole.checked_div(self.parts).unwrap_or(0)
     }
 
-    /// What of that is never lent.
+    /// Returns the part of the owned amount that is never lent.
     pub fn floor(&self) -> u64 {
         (self.own() as u128 * self.terms.floor.min(1_000) as u128 / 1_000) as u64
     }
 
-    /// What is lent out now.
+    /// Returns the amount lent at `now`.
     pub fn lent(&self, now: Micros) -> u64 {
-        self.lent.iter().filter(|l| now < l.until).map(|l| l.amount).sum()
+        self.lent.iter().filter(|l| now < l.expires_at).map(|l| l.amount).sum()
     }
 
-    /// What is borrowed now.
+    /// Returns the amount borrowed at `now`.
     pub fn borrowed(&self, now: Micros) -> u64 {
-        self.borrowed.iter().filter(|b| now < b.until).map(|b| b.amount).sum()
+        self.borrowed.iter().filter(|b| now < b.expires_at).map(|b| b.amount).sum()
     }
 
-    /// What this member may spend now.
+    /// Returns the amount that this member may spend at `now`.
     pub fn spendable(&self, now: Micros) -> u64 {
-        let low = self.rules.starts_low && now < self.began.saturating_add(self.terms.hold());
-        let own = if low { self.floor() } else { self.own() };
+        let limited = self.rules.limit_after_start
+            && now < self.started_at.saturating_add(self.terms.max_lease_lifetime());
+        let own = if limited { self.floor() } else { self.own() };
         own.saturating_sub(self.lent(now)) + self.borrowed(now)
     }
 
-    /// Asks another for so much; none while too many questions are open, or too many leases held.
+    /// Creates a lease request to `to`, or returns `None` while too many requests are pending or too many
+    /// leases are held.
     pub fn ask(&mut self, now: Micros, to: &str, amount: u64, worth: u32) -> Option<Ask> {
-        self.tidy(now);
-        if amount == 0 || self.asked.len() >= MOST_ASKED || self.borrowed.len() >= MOST_LEASES {
+        self.remove_expired(now);
+        if amount == 0 || self.pending.len() >= MAX_PENDING_REQUESTS || self.borrowed.len() >= MAX_LEASES {
             return None;
         }
         self.number += 1;
-        let (number, lease) = (self.number, self.terms.lease.min(MOST_LEASE));
-        self.asked.push(Asked { to: to.into(), number, at: now, lease });
+        let (number, lease) = (self.number, self.terms.lease.min(MAX_LEASE_TIME));
+        self.pending.push(PendingRequest { to: to.into(), number, sent_at: now, lease });
         Some(Ask { instance: self.instance, number, amount, lease, worth: worth.max(1) })
     }
 
-    /// Whether a question to this one is open, or a lease of it runs.
+    /// Returns whether a request to this member is pending or a lease from it is running.
     pub fn deals_with(&self, now: Micros, name: &str) -> bool {
-        self.asked.iter().any(|a| &*a.to == name && now < a.at + a.lease)
-            || self.borrowed.iter().any(|b| &*b.from == name && now < b.until)
+        self.pending.iter().any(|a| &*a.to == name && now < a.sent_at + a.lease)
+            || self.borrowed.iter().any(|b| &*b.from == name && now < b.expires_at)
     }
 
-    /// Answers another's question. Danger: a question may come twice, late, or from a process that is gone; and a peer may
-    /// ask for everything. It gets what can be spared, and each question one lease.
+    /// Answers a lease request. A request may arrive twice, late, or from a process that no longer exists,
+    /// and may ask for everything: it is granted only what can be spared, and each request yields one lease.
     pub fn asked(&mut self, now: Micros, from: &str, ask: &Ask) -> Grant {
-        self.tidy(now);
+        self.remove_expired(now);
         let &Ask { instance, number, amount, .. } = ask;
-        let same = |l: &&Lent| &*l.to == from && (l.instance, l.number) == (instance, number);
-        if let Some(lent) = self.lent.iter().find(same) {
+        let same_request = |l: &&LentLease| &*l.to == from && (l.instance, l.number) == (instance, number);
+        if let Some(lent) = self.lent.iter().find(same_request) {
             return Grant { instance, number, amount: lent.amount, lease: lent.lease };
         }
-        // One that asks for longer than is usual here gets the usual time.
+        // A request for longer than the configured duration gets the configured duration.
         let lease = ask.lease.min(self.terms.lease);
-        let begun = now >= self.began.saturating_add(self.terms.hold());
-        // Who wants it for more may have of what this one needs, as much more as it is worth more.
-        let kept = self.need as u128 * u128::from(self.worth)
+        let start_limit_over = now >= self.started_at.saturating_add(self.terms.max_lease_lifetime());
+        // A use of higher worth may take from what this member needs, in proportion to the ratio of the
+        // worths.
+        let reserved = self.need as u128 * u128::from(self.worth)
             / u128::from(ask.worth.clamp(1, 1_000).max(self.worth));
-        let kept = self.floor().max(kept.min(u128::from(self.own())) as u64);
-        let spare = self.own().saturating_sub(self.lent(now)).saturating_sub(kept);
-        let room = begun && self.lent.len() < MOST_LEASES && lease > 0;
-        let amount = if room { amount.min(spare) } else { 0 };
+        let reserved = self.floor().max(reserved.min(u128::from(self.own())) as u64);
+        let spare = self.own().saturating_sub(self.lent(now)).saturating_sub(reserved);
+        let may_lend = start_limit_over && self.lent.len() < MAX_LEASES && lease > 0;
+        let amount = if may_lend { amount.min(spare) } else { 0 };
         if amount > 0 {
-            let until = now + self.terms.counted(lease);
-            self.lent.push(Lent { to: from.into(), instance, number, amount, lease, until });
+            let expires_at = now + self.terms.lender_lease_time(lease);
+            self.lent.push(LentLease { to: from.into(), instance, number, amount, lease, expires_at });
         }
         Grant { instance, number, amount, lease }
     }
 
-    /// Takes an answer; whether it brought anything.
+    /// Applies the answer to a request; returns whether it brought a lease.
     pub fn granted(&mut self, now: Micros, from: &str, grant: &Grant) -> bool {
-        self.tidy(now);
-        let mine = grant.instance == self.instance || !self.rules.fenced;
-        let place = self.asked.iter().position(|a| &*a.to == from && a.number == grant.number);
-        let Some(place) = place.filter(|_| mine) else { return false };
-        let Asked { at, lease, .. } = self.asked.remove(place);
-        let began = if self.rules.from_question { at } else { now };
-        let until = began + grant.lease.min(lease);
-        if !self.rules.ends {
-            // The planted fault: what this lender lent before lasts on with the new lease.
-            self.borrowed.iter_mut().filter(|b| &*b.from == from).for_each(|b| b.until = b.until.max(until));
+        self.remove_expired(now);
+        let own_instance = grant.instance == self.instance || !self.rules.check_instance;
+        let index = self.pending.iter().position(|a| &*a.to == from && a.number == grant.number);
+        let Some(index) = index.filter(|_| own_instance) else { return false };
+        let PendingRequest { sent_at, lease, .. } = self.pending.remove(index);
+        let counted_from = if self.rules.from_request { sent_at } else { now };
+        let expires_at = counted_from + grant.lease.min(lease);
+        if !self.rules.drop_expired {
+            // Planted fault: earlier leases from this lender are extended to the end of the new one.
+            self.borrowed
+                .iter_mut()
+                .filter(|b| &*b.from == from)
+                .for_each(|b| b.expires_at = b.expires_at.max(expires_at));
         }
-        let brings = grant.amount > 0 && now < until && self.borrowed.len() < MOST_LEASES;
-        if brings {
-            self.borrowed.push(Borrowed { from: from.into(), amount: grant.amount, until });
+        let accepted = grant.amount > 0 && now < expires_at && self.borrowed.len() < MAX_LEASES;
+        if accepted {
+            self.borrowed.push(BorrowedLease { from: from.into(), amount: grant.amount, expires_at });
         }
-        brings
+        accepted
     }
 
-    /// When what may be spent next changes by itself.
+    /// Returns when the spendable amount next changes without a message.
     pub fn due(&self, now: Micros) -> Micros {
-        let lent = self.lent.iter().map(|l| l.until);
-        let ends = lent.chain(self.borrowed.iter().map(|b| b.until)).chain([self.began + self.terms.hold()]);
+        let lent = self.lent.iter().map(|l| l.expires_at);
+        let ends = lent
+            .chain(self.borrowed.iter().map(|b| b.expires_at))
+            .chain([self.started_at + self.terms.max_lease_lifetime()]);
         ends.filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
-    /// Leases that run: lent to whom, and borrowed from whom, how much, and how much longer.
+    /// Iterates over the running leases: whether lent, the other member, the amount, and the remaining time.
     pub fn leases(&self, now: Micros) -> impl Iterator<Item = (bool, &str, u64, Micros)> {
-        let lent = self.lent.iter().map(|l| (true, &*l.to, l.amount, l.until));
-        let borrowed = self.borrowed.iter().map(|b| (false, &*b.from, b.amount, b.until));
-        let runs = move |(lent, who, amount, until)| (until > now).then(|| (lent, who, amount, until - now));
+        let lent = self.lent.iter().map(|l| (true, &*l.to, l.amount, l.expires_at));
+        let borrowed = self.borrowed.iter().map(|b| (false, &*b.from, b.amount, b.expires_at));
+        let runs = move |(lent, who, amount, expires_at)| {
+            (expires_at > now).then(|| (lent, who, amount, expires_at - now))
+        };
         lent.chain(borrowed).filter_map(runs)
     }
 
-    fn tidy(&mut self, now: Micros) {
-        self.lent.retain(|l| now < l.until);
-        if self.rules.ends {
-            self.borrowed.retain(|b| now < b.until);
+    fn remove_expired(&mut self, now: Micros) {
+        self.lent.retain(|l| now < l.expires_at);
+        if self.rules.drop_expired {
+            self.borrowed.retain(|b| now < b.expires_at);
         }
-        self.asked.retain(|a| now < a.at + a.lease);
+        self.pending.retain(|a| now < a.sent_at + a.lease);
     }
 }
 
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,15 +1,17 @@
-//! Budgets that many dispatchers share, and a level of admission that agrees: decisions and state, without I/O and with the
-//! clock passed in.
+//! Budgets shared by the dispatchers of a fleet, and an admission level that they agree on. The crate holds
+//! decisions and state only: it does no I/O, and the caller passes the clock in.
 //!
-//! - [`Ledger`]: a resource of a whole fleet, of which each member owns a part. It lends what it does not need to others, each
-//!   time for a bounded time (leases after Gray and Cheriton: "Leases: An Efficient Fault-Tolerant Mechanism for Distributed
-//!   File Cache Consistency", SOSP 1989, section 2, with the bound on clock rates of section 5). At every instant, in every
-//!   cut, stall, crash and restart, what all together may spend is the whole at the most; `tests/model.rs` checks that.
-//! - [`Bucket`]: spends a rate.
-//! - [`Circuits`]: workers that failed, taken back by one trial at a time and a ramp.
-//! - [`Queueing`]: how long requests queue at workers, as a dispatcher sees it (CoDel: Nichols, Jacobson, RFC 8289).
-//! - [`Admission`]: the lowest worth that is let in (DAGOR: Zhou and others: "Overload Control for Scaling WeChat
-//!   Microservices", SoCC 2018, section 4), as the members of a fleet agree on it.
+//! - [`Ledger`]: a fleet-wide resource of which each member owns a part. A member lends what it does not need
+//!   to other members under leases of bounded duration (Gray and Cheriton: "Leases: An Efficient
+//!   Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP 1989, section 2, with the bound
+//!   on clock rates of section 5). At every instant, under any partition, stall, crash or restart, all
+//!   members together may spend at most the whole; `tests/model.rs` checks this.
+//! - [`Bucket`]: a token bucket that spends a rate.
+//! - [`Circuits`]: circuit breakers for failed workers, which return through single trials and a ramp.
+//! - [`Queueing`]: an estimate of the queueing delay at workers, as one dispatcher observes it (CoDel:
+//!   Nichols, Jacobson, RFC 8289).
+//! - [`Admission`]: the admission threshold that the members of a fleet agree on (DAGOR: Zhou and others:
+//!   "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4).
 //!
 //! ```
 //! use ochreward_budget::{Ledger, Terms};
@@ -24,8 +26,8 @@
 //! assert_eq!((a.spendable(now), b.spendable(now)), (300, 700));
 //! ```
 //!
-//! Times are whole microseconds of a monotonic clock that counts time in which the process was stopped. All tables are
-//! bounded ([`MOST_LEASES`], [`MOST_ASKED`], [`admission::MOST_REPORTS`]).
+//! Times are whole microseconds of a monotonic clock that also advances while the process is suspended. All
+//! tables are bounded ([`MAX_LEASES`], [`MAX_PENDING_REQUESTS`], [`admission::MAX_REPORTS`]).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -39,7 +41,7 @@
 pub use admission::Admission;
 pub use bucket::Bucket;
 pub use circuit::Circuits;
-pub use ledger::{Ask, Grant, Ledger, MOST_ASKED, MOST_LEASES, Rules, Terms};
+pub use ledger::{Ask, Grant, Ledger, MAX_LEASES, MAX_PENDING_REQUESTS, SafetyRules, Terms};
 pub use queueing::Queueing;
 
 /// A time or a duration in microseconds.
--- a/crates/budget/src/queueing.rs
+++ b/crates/budget/src/queueing.rs
@@ -1,73 +1,76 @@
-//! How long requests queue at workers, as one dispatcher sees it: the time of an answer beyond the shortest of its kind.
+//! Estimates the queueing delay at workers, as one dispatcher observes it: the response time beyond the
+//! shortest of the same kind of request.
 //!
-//! After CoDel (RFC 8289, sections 3.1 and 3.2): what counts is the queue that stands through an interval, not its peaks. The
-//! lower quartile of an interval is taken in place of the least: a kind of request that has a worker of its own must not
-//! hide a queue at all others.
+//! After CoDel (RFC 8289, sections 3.1 and 3.2) the measure is the queue that persists through an interval,
+//! not its peaks. The lower quartile of an interval is used in place of the minimum: a kind of request with a
+//! worker of its own must not hide a queue at all other workers.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The shortest time of a kind is the least of this long and the same before it.
-const AGE: Micros = 60_000_000;
-/// Kinds of request at the most.
-const MOST_KINDS: usize = 2_048;
-/// Answers of an interval that are held.
-const MOST_SAMPLES: usize = 512;
-/// With fewer an interval tells nothing.
-const LEAST_SAMPLES: usize = 4;
+/// The baseline of a kind is the minimum over the current window of this length and the one before it.
+const BASELINE_WINDOW: Micros = 60_000_000;
+/// Maximum number of kinds of request.
+const MAX_KINDS: usize = 2_048;
+/// Maximum number of samples kept in an interval.
+const MAX_SAMPLES: usize = 512;
+/// Minimum number of samples for an interval to yield an estimate.
+const MIN_SAMPLES: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
-struct Least {
-    now: Micros,
-    before: Micros,
+struct Baseline {
+    current: Micros,
+    previous: Micros,
     since: Micros,
 }
 
-/// The measure.
+/// The estimator of the queueing delay.
 #[derive(Clone, Debug, Default)]
 pub struct Queueing {
-    least: BTreeMap<u64, Least>,
+    baselines: BTreeMap<u64, Baseline>,
     samples: Vec<Micros>,
     seen: u64,
 }
 
 impl Queueing {
-    /// An answer of this kind came after this long.
+    /// Records the response time of a request of this kind.
     pub fn answered(&mut self, now: Micros, kind: u64, took: Micros) {
-        if self.least.len() >= MOST_KINDS && !self.least.contains_key(&kind) {
+        if self.baselines.len() >= MAX_KINDS && !self.baselines.contains_key(&kind) {
             return;
         }
-        let least = self.least.entry(kind).or_insert(Least { now: took, before: took, since: now });
-        if now >= least.since + AGE {
-            *least = Least { now: took, before: least.now, since: now };
+        let baseline =
+            self.baselines.entry(kind).or_insert(Baseline { current: took, previous: took, since: now });
+        if now >= baseline.since + BASELINE_WINDOW {
+            *baseline = Baseline { current: took, previous: baseline.current, since: now };
         }
-        least.now = least.now.min(took);
-        let queued = took - least.now.min(least.before);
+        baseline.current = baseline.current.min(took);
+        let queued = took - baseline.current.min(baseline.previous);
         self.seen += 1;
-        if self.samples.len() < MOST_SAMPLES {
+        if self.samples.len() < MAX_SAMPLES {
             self.samples.push(queued);
         } else {
-            // Every later one takes a place in turn: the interval's end weighs more, which is the better side.
-            let place = self.seen as usize % MOST_SAMPLES;
-            self.samples[place] = queued;
+            // Further samples replace older ones in turn. This weighs the end of the interval more, which is
+            // the better bias.
+            let index = self.seen as usize % MAX_SAMPLES;
+            self.samples[index] = queued;
         }
     }
 
-    /// A worker turned a request away for its full queue: as long as `full`.
+    /// Records that a worker refused a request because its queue was full, as a delay of `full`.
     pub fn turned_away(&mut self, full: Micros) {
-        if self.samples.len() < MOST_SAMPLES {
+        if self.samples.len() < MAX_SAMPLES {
             self.samples.push(full);
         }
     }
 
-    /// The interval is over: the queue that stood through it, if enough was seen.
+    /// Ends the interval and returns the delay that persisted through it, if there were enough samples.
     pub fn interval(&mut self) -> Option<Micros> {
         let mut samples = std::mem::take(&mut self.samples);
         samples.sort_unstable();
-        if self.least.len() >= MOST_KINDS {
-            self.least.clear();
+        if self.baselines.len() >= MAX_KINDS {
+            self.baselines.clear();
         }
-        (samples.len() >= LEAST_SAMPLES).then(|| samples[samples.len() / 4])
+        (samples.len() >= MIN_SAMPLES).then(|| samples[samples.len() / 4])
     }
 }
 
--- a/crates/budget/src/queueing/tests.rs
+++ b/crates/budget/src/queueing/tests.rs
@@ -3,31 +3,31 @@
 const MS: Micros = 1_000;
 
 #[test]
-fn a_queue_that_stands_is_told_and_a_peak_is_not() {
-    let mut q = Queueing::default();
+fn a_persistent_queue_is_measured_and_a_peak_is_not() {
+    let mut queueing = Queueing::default();
     for n in 0..20 {
-        q.answered(n, 1, 20 * MS);
-        q.answered(n, 2, 300 * MS);
+        queueing.answered(n, 1, 20 * MS);
+        queueing.answered(n, 2, 300 * MS);
     }
-    assert_eq!(q.interval(), Some(0), "kinds that differ are no queue");
-    (0..8).for_each(|n| q.answered(n, 1, if n < 3 { 20 * MS } else { 900 * MS }));
-    assert_eq!(q.interval(), Some(0), "a peak");
-    (0..8).for_each(|n| q.answered(n, 1, 120 * MS));
-    assert_eq!(q.interval(), Some(100 * MS));
-    q.answered(9, 1, 120 * MS);
-    assert_eq!(q.interval(), None, "too few to tell");
+    assert_eq!(queueing.interval(), Some(0), "different kinds have separate baselines");
+    (0..8).for_each(|n| queueing.answered(n, 1, if n < 3 { 20 * MS } else { 900 * MS }));
+    assert_eq!(queueing.interval(), Some(0), "a peak");
+    (0..8).for_each(|n| queueing.answered(n, 1, 120 * MS));
+    assert_eq!(queueing.interval(), Some(100 * MS));
+    queueing.answered(9, 1, 120 * MS);
+    assert_eq!(queueing.interval(), None, "too few samples");
 }
 
 #[test]
-fn the_shortest_time_is_forgotten_after_a_while_and_all_is_bounded() {
-    let mut q = Queueing::default();
-    q.answered(0, 1, 10 * MS);
+fn baselines_expire_and_tables_are_bounded() {
+    let mut queueing = Queueing::default();
+    queueing.answered(0, 1, 10 * MS);
     for minute in 1..4 {
-        (0..4).for_each(|n| q.answered(minute * AGE + n, 1, 50 * MS));
+        (0..4).for_each(|n| queueing.answered(minute * BASELINE_WINDOW + n, 1, 50 * MS));
     }
-    q.interval();
-    (0..4).for_each(|n| q.answered(4 * AGE + n, 1, 50 * MS));
-    assert_eq!(q.interval(), Some(0), "work that has become longer is no queue");
-    (0..10_000).for_each(|kind| q.answered(0, kind, MS));
-    assert!(q.least.len() <= MOST_KINDS && q.samples.len() <= MOST_SAMPLES);
+    queueing.interval();
+    (0..4).for_each(|n| queueing.answered(4 * BASELINE_WINDOW + n, 1, 50 * MS));
+    assert_eq!(queueing.interval(), Some(0), "requests that take longer for good are no queue");
+    (0..10_000).for_each(|kind| queueing.answered(0, kind, MS));
+    assert!(queueing.baselines.len() <= MAX_KINDS && queueing.samples.len() <= MAX_SAMPLES);
 }
--- a/crates/budget/src/wire.rs
+++ b/crates/budget/src/wire.rs
@@ -1,31 +1,32 @@
-//! What members tell each other of budgets and the level: one word a note, in postcard's encoding.
+//! Messages between members on budgets, circuits and the admission level. Each is a postcard message of its
+//! own; the order of variants and fields is the wire format.
 
 use crate::{Ask, Grant};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A word.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Word {
-    /// A question for a lease of the resource with this number.
+    /// A lease request for the resource with this number.
     Ask(u8, Ask),
-    /// The answer.
+    /// The answer to a lease request for the resource with this number.
     Grant(u8, Grant),
-    /// The sender's wish for the level of admission.
+    /// The admission level that the sender asks for.
     Wish(u8),
-    /// A worker answered the sender again, so many milliseconds ago.
+    /// A worker answered the sender again, this many milliseconds ago.
     Back(Arc<str>, u32),
     /// A trial of a worker by the sender was refused.
     Tried(Arc<str>),
 }
 
 impl Word {
-    /// As bytes.
+    /// Encodes the message.
     pub fn written(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes; none for what is no word, or has more behind it.
+    /// Decodes a message; returns `None` for malformed bytes or trailing data.
     pub fn read(bytes: &[u8]) -> Option<Word> {
         postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(word, _)| word)
     }
--- a/crates/budget/src/wire/tests.rs
+++ b/crates/budget/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn what_is_written_is_read() {
+fn a_written_message_is_read_back_and_a_truncated_one_refused() {
     let ask = Ask { instance: u64::MAX, number: 1, amount: 2, lease: 3, worth: 4 };
     let grant = Grant { instance: 1, number: 2, amount: 3, lease: 4 };
     for word in [
@@ -20,7 +20,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..40)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..40)) {
         let _ = Word::read(&bytes);
     }
 }
