--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,17 +1,22 @@
-//! Leaving a zone that fails as a fleet, and returning to it at a pace that its workers bear.
+//! Decides when a fleet leaves a failing zone as one, and how it returns to it at a rate that the zone's
+//! workers can take (slow start).
 //!
-//! A *zone* is a place with workers and dispatchers of its own; a dispatcher's *home* is the zone it stands in. To the members
-//! of a zone it is *inside*, to all others *outside*: a zone that is cut off is well to the one group and silent to the other, so
-//! that each group decides for itself. A *step* is the share of its usual traffic that a group sends to a zone ([`SHARES`]), an
-//! *epoch* counts the group's changes of step.
+//! A *zone* is a location with workers and dispatchers of its own; a dispatcher's *home* is the zone it runs
+//! in. For each zone the members at home in it form the *inside* group and all others the *outside* group. A
+//! zone that is partitioned off works for the inside group and is silent to the outside one, so each group
+//! decides for itself. A *step* is the share of its usual traffic that a group sends to a zone ([`SHARES`]);
+//! an *epoch* counts the group's changes of step.
 //!
-//! - [`Sight`]: what this member sees of each zone by its own attempts, causes apart, and what it may conclude.
-//! - [`Report`]: that, as members tell it each other; first hand only.
-//! - [`Zones`]: the group's steps out of one's own sight and the reports, trials of a zone that was left, the way back.
+//! - [`Observations`]: what this member observes of each zone through its own attempts, by cause of failure,
+//!   and the opinion that follows from it.
+//! - [`Report`]: the opinions that members send to each other, first hand only.
+//! - [`Zones`]: the group's steps, derived from this member's own observations and the reports; trials of a
+//!   zone that was left; the return to it.
 //!
-//! No I/O: the clock is passed in, in whole microseconds of a monotonic clock that counts time in which the process was stopped;
-//! reports go out and come in by the host. All tables are bounded ([`MOST_ZONES`], [`MOST_WORKERS`], [`MOST_MEMBERS`]).
-//! Choices and failure cases: `docs/design/zones.md`.
+//! The crate does no I/O. The caller passes in the clock, in whole microseconds of a monotonic clock that
+//! also advances while the process is suspended, and sends and receives the reports. All tables are bounded
+//! ([`MAX_ZONES`], [`MAX_WORKERS`], [`MAX_MEMBERS`]). Design choices and failure cases:
+//! `docs/design/zones.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,8 +26,8 @@
 mod wire;
 mod zones;
 
-pub use place::{Pace, Place, Reason, SHARES, TOP};
-pub use sight::{End, Opinion, Sight};
+pub use place::{GroupState, Reason, SHARES, TOP, WorkerState};
+pub use sight::{End, Observations, Opinion};
 pub use votes::quorum;
 pub use wire::{Report, ZoneWord};
 pub use zones::{Order, Standing, View, Zones};
@@ -30,40 +35,41 @@
 /// A time or a duration in microseconds.
 pub type Micros = u64;
 
-/// Zones that are known at the most.
-pub const MOST_ZONES: usize = 12;
-/// Workers that are watched at the most.
-pub const MOST_WORKERS: usize = 4_096;
-/// Kinds of request whose usual time is known.
-pub const MOST_KINDS: usize = 1_024;
-/// Members whose reports are held.
-pub const MOST_MEMBERS: usize = 512;
-/// The longest name of a zone, in bytes.
-pub const MOST_NAME: usize = 32;
+/// Maximum number of zones.
+pub const MAX_ZONES: usize = 12;
+/// Maximum number of workers observed.
+pub const MAX_WORKERS: usize = 4_096;
+/// Maximum number of kinds of request whose usual time is tracked.
+pub const MAX_KINDS: usize = 1_024;
+/// Maximum number of members whose reports are stored.
+pub const MAX_MEMBERS: usize = 512;
+/// Maximum length of a zone's name, in bytes.
+pub const MAX_NAME_LEN: usize = 32;
 
-/// Times and bounds. Those of a whole fleet must be alike.
+/// Times and bounds; they must be the same throughout a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// A worker that was sent something and says nothing for this long is silent.
+    /// A worker with an open attempt that answers nothing for this long is silent.
     pub silent: Micros,
-    /// What was seen longer ago than this tells nothing.
-    pub fresh: Micros,
-    /// A zone that was left is left alone for this long at first.
+    /// Age beyond which an observation is no longer used.
+    pub max_age: Micros,
+    /// Initial time for which a zone that was left gets no traffic.
     pub stay: Micros,
-    /// The time between two steps of the way back at the least, and between a trial and the next member's.
+    /// Minimum time between two steps of the return, and between a trial and that of the next member.
     pub dwell: Micros,
-    /// A process that starts has this share of its capacity, in thousandths, and all of it after `warm`.
+    /// Share of its capacity that a starting process has, in thousandths; it reaches all of it after `warm`.
     pub cold: u64,
-    /// See `cold`.
+    /// Time in which a started process reaches its full capacity, see `cold`.
     pub warm: Micros,
-    /// A cold worker bears so many thousandths of what it can do at that moment.
+    /// Load that a warming worker can take, in thousandths of its capacity at that moment.
     pub bears: u64,
 }
 
 impl Terms {
-    /// An answer speaks for a worker for so long: for less than a failure speaks against it, which nothing more is sent to.
-    pub(crate) fn heard(&self) -> Micros {
-        (2 * self.silent).clamp(self.fresh / 2, self.fresh.max(self.fresh / 2))
+    /// Returns how long an answer counts for a worker. This is shorter than a failure counts against it,
+    /// because a failed worker is sent nothing that could renew the failure.
+    pub(crate) fn answer_ttl(&self) -> Micros {
+        (2 * self.silent).clamp(self.max_age / 2, self.max_age.max(self.max_age / 2))
     }
 }
 
@@ -71,7 +77,7 @@
     fn default() -> Terms {
         Terms {
             silent: 1_000_000,
-            fresh: 2_000_000,
+            max_age: 2_000_000,
             stay: 2_000_000,
             dwell: 500_000,
             cold: 150,
@@ -81,17 +87,17 @@
     }
 }
 
-/// Rules that tests leave out, to show that their checks can fail.
+/// Safety rules. Only tests disable any of them, to show that their checks can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
-    /// Words of an epoch that is over move nothing.
-    pub epochs: bool,
-    /// A step up needs answers from the step before.
-    pub evidence: bool,
+pub struct SafetyRules {
+    /// Ignore reports of past epochs.
+    pub check_epochs: bool,
+    /// Require answers in the current step before a step up.
+    pub require_answers: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { epochs: true, evidence: true }
+impl Default for SafetyRules {
+    fn default() -> SafetyRules {
+        SafetyRules { check_epochs: true, require_answers: true }
     }
 }
--- a/crates/zones/src/place.rs
+++ b/crates/zones/src/place.rs
@@ -1,24 +1,26 @@
-//! Where a group stands to one zone: its step, the epoch of it, and the times of the way back.
+//! State of a group with respect to one zone: its step, the step's epoch, and the timing of the return.
 
 use crate::{Micros, Terms};
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 use std::hash::{Hash, Hasher};
 
-/// The share of the usual traffic at each step, in thousandths.
+/// Share of the usual traffic at each step, in thousandths.
 pub const SHARES: [u64; 5] = [0, 60, 250, 500, 1_000];
-/// The highest step: nothing is held back.
+/// The highest step, at which traffic is not limited.
 pub const TOP: u8 = 4;
-/// Leavings that follow each other within this time make the next stay longer, up to so many doublings.
-const CALM: Micros = 60_000_000;
-const MOST_DOUBLINGS: u32 = 4;
-/// A stay is longer by up to this share of it, alike for all of a fleet and another for each zone and epoch.
-const JITTER: u64 = 4;
-
-/// Why a step is what it is.
+/// If a zone is left again within this time of the last departure, the hold is doubled, up to
+/// [`MAX_HOLD_DOUBLINGS`] times.
+const CALM_TIME: Micros = 60_000_000;
+const MAX_HOLD_DOUBLINGS: u32 = 4;
+/// A hold is extended by up to one part in this number, the same at all members and different for each zone
+/// and epoch, so that zones do not return at the same time.
+const JITTER_DIVISOR: u64 = 4;
+
+/// Reason for the current step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reason {
-    /// Nothing was ever wrong.
+    /// The zone was never left.
     #[default]
     Usual,
     /// Its workers were gone.
@@ -27,85 +29,99 @@
     Silent,
     /// It was slow.
     Slow,
-    /// It is on the way back, or came back.
+    /// It is returning, or has returned.
     Returns,
-    /// It did worse on the way back.
+    /// It failed or slowed down during the return.
     Worse,
 }
 
-/// A group's place, as one member knows it.
+/// The state of a group for one zone, as one member holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Counts the group's changes.
+pub struct GroupState {
+    /// Counts the group's changes of step.
     pub epoch: u64,
-    /// From 0 (nothing but trials) to [`TOP`].
+    /// From 0 (trials only) to [`TOP`].
     pub step: u8,
-    /// Why.
+    /// Reason for the step.
     pub reason: Reason,
-    /// Since when.
-    pub since: Micros,
-    /// Not higher before this.
+    /// When the step was taken.
+    pub changed_at: Micros,
+    /// No step up before this time.
     pub until: Micros,
-    /// When the way back began: the first answers after the zone was left.
-    pub back: Option<Micros>,
+    /// When the return began: at the first answers after the zone was left.
+    pub return_started_at: Option<Micros>,
     /// Answers that this member had in this epoch.
-    pub good: u32,
-    leaves: u32,
-    left: Option<Micros>,
+    pub answers: u32,
+    hold_doublings: u32,
+    last_left_at: Option<Micros>,
 }
 
-/// What bounds the way back.
+/// State of a returning zone's workers, which bounds the return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pace {
+pub enum WorkerState {
     /// Its workers start anew, with nothing loaded and a part of their capacity.
     Cold,
-    /// They ran all the time: those inside say so.
+    /// Its workers never stopped, as the members inside report.
     Warm,
 }
 
-impl Default for Place {
-    fn default() -> Place {
-        Place {
+impl Default for GroupState {
+    fn default() -> GroupState {
+        GroupState {
             epoch: 0,
             step: TOP,
             reason: Reason::Usual,
-            since: 0,
+            changed_at: 0,
             until: 0,
-            back: None,
-            good: 0,
-            leaves: 0,
-            left: None,
+            return_started_at: None,
+            answers: 0,
+            hold_doublings: 0,
+            last_left_at: None,
         }
     }
 }
 
-impl Place {
-    /// Moves down: from the top a leaving, on the way back one step. `past` is the epoch of those that went before, if any.
-    pub fn down(&mut self, now: Micros, zone: &str, step: u8, reason: Reason, past: u64, terms: &Terms) {
-        self.moved(now, self.epoch.saturating_add(1).max(past), step, reason);
-        self.stay(now, zone, terms);
+impl GroupState {
+    /// Moves down: from the top step the group leaves the zone, during a return it goes back one step.
+    /// `reported_epoch` is the highest epoch that other members reported for that step, if any.
+    pub fn step_down(
+        &mut self,
+        now: Micros,
+        zone: &str,
+        step: u8,
+        reason: Reason,
+        reported_epoch: u64,
+        terms: &Terms,
+    ) {
+        self.change_step(now, self.epoch.saturating_add(1).max(reported_epoch), step, reason);
+        self.start_hold(now, zone, terms);
     }
 
-    /// One step up.
-    pub fn up(&mut self, now: Micros, past: u64, terms: &Terms) {
+    /// Moves up one step.
+    pub fn step_up(&mut self, now: Micros, reported_epoch: u64, terms: &Terms) {
         if self.step == 0 {
-            self.back = Some(now);
+            self.return_started_at = Some(now);
         }
-        self.moved(now, self.epoch.saturating_add(1).max(past), (self.step + 1).min(TOP), Reason::Returns);
+        self.change_step(
+            now,
+            self.epoch.saturating_add(1).max(reported_epoch),
+            (self.step + 1).min(TOP),
+            Reason::Returns,
+        );
         self.until = now + terms.dwell;
     }
 
-    /// Stands where others of the group stand.
+    /// Adopts the epoch and step of other members of the group.
     pub fn follow(&mut self, now: Micros, zone: &str, to: (u64, u8, Reason), terms: &Terms) {
         let (epoch, step, reason) = to;
         if step != self.step {
             let down = step < self.step;
             if self.step == 0 {
-                self.back = Some(now);
+                self.return_started_at = Some(now);
             }
-            self.moved(now, epoch, step, reason);
+            self.change_step(now, epoch, step, reason);
             if down {
-                self.stay(now, zone, terms);
+                self.start_hold(now, zone, terms);
             } else {
                 self.until = now + terms.dwell;
             }
@@ -113,45 +129,49 @@
         self.epoch = epoch;
     }
 
-    /// A trial failed: later. One request in a stay is no burden, so that the stay is not longer for it.
-    pub fn put_off(&mut self, now: Micros, terms: &Terms) {
-        (self.since, self.good, self.reason) = (now, 0, Reason::Worse);
+    /// Defers the return after a failed trial. The hold is not doubled: one request per hold is no load.
+    pub fn defer_return(&mut self, now: Micros, terms: &Terms) {
+        (self.changed_at, self.answers, self.reason) = (now, 0, Reason::Worse);
         self.until = now + terms.stay;
     }
 
-    fn moved(&mut self, now: Micros, epoch: u64, step: u8, reason: Reason) {
-        (self.epoch, self.step, self.reason, self.since, self.good) = (epoch, step, reason, now, 0);
+    fn change_step(&mut self, now: Micros, epoch: u64, step: u8, reason: Reason) {
+        (self.epoch, self.step, self.reason, self.changed_at, self.answers) = (epoch, step, reason, now, 0);
     }
 
-    /// Begins a stay: longer each time, as long as no calm time lies between; forgotten after one.
-    fn stay(&mut self, now: Micros, zone: &str, terms: &Terms) {
-        let again = self.left.is_some_and(|left| now < left + CALM);
-        self.leaves = if again { (self.leaves + 1).min(MOST_DOUBLINGS) } else { 0 };
-        self.left = Some(now);
-        let stay = terms.stay << self.leaves;
+    /// Starts a hold: longer for each departure that follows the last one within [`CALM_TIME`], back to the
+    /// initial length otherwise.
+    fn start_hold(&mut self, now: Micros, zone: &str, terms: &Terms) {
+        let left_recently = self.last_left_at.is_some_and(|left| now < left + CALM_TIME);
+        self.hold_doublings =
+            if left_recently { (self.hold_doublings + 1).min(MAX_HOLD_DOUBLINGS) } else { 0 };
+        self.last_left_at = Some(now);
+        let hold = terms.stay << self.hold_doublings;
         let mut hasher = SipHasher13::new();
         (zone, self.epoch).hash(&mut hasher);
-        self.until = now + stay + hasher.finish() % (stay / JITTER).max(1);
+        self.until = now + hold + hasher.finish() % (hold / JITTER_DIVISOR).max(1);
     }
 
-    /// What of its usual traffic the zone bears now, in thousandths.
-    pub fn bears(&self, now: Micros, pace: Pace, terms: &Terms) -> u64 {
-        let (Some(back), Pace::Cold) = (self.back, pace) else { return 1_000 };
-        let age = now.saturating_sub(back).min(terms.warm);
-        let present = terms.cold + (1_000 - terms.cold.min(1_000)) * age / terms.warm.max(1);
-        (present * terms.bears / 1_000).min(1_000)
+    /// Returns the share of its usual traffic that the zone can take now, in thousandths.
+    pub fn capacity_share(&self, now: Micros, workers: WorkerState, terms: &Terms) -> u64 {
+        let (Some(return_started_at), WorkerState::Cold) = (self.return_started_at, workers) else {
+            return 1_000;
+        };
+        let age = now.saturating_sub(return_started_at).min(terms.warm);
+        let capacity = terms.cold + (1_000 - terms.cold.min(1_000)) * age / terms.warm.max(1);
+        (capacity * terms.bears / 1_000).min(1_000)
     }
 
-    /// Whether the next step's time has come: the stay is over, and the workers together bear it.
-    pub fn may_rise(&self, now: Micros, pace: Pace, terms: &Terms) -> bool {
+    /// Returns whether the next step is due: the hold is over, and the workers together can take the load.
+    pub fn may_step_up(&self, now: Micros, workers: WorkerState, terms: &Terms) -> bool {
         let next = SHARES[usize::from((self.step + 1).min(TOP))];
-        let bears = self.step == 0 || self.bears(now, pace, terms) >= next;
-        self.step < TOP && now >= self.until && bears
+        let within_capacity = self.step == 0 || self.capacity_share(now, workers, terms) >= next;
+        self.step < TOP && now >= self.until && within_capacity
     }
 
-    /// For how long it has stood so, in milliseconds.
+    /// Returns the time since the last change of step, in milliseconds.
     pub fn age_ms(&self, now: Micros) -> u32 {
-        (now.saturating_sub(self.since) / 1_000).min(u64::from(u32::MAX)) as u32
+        (now.saturating_sub(self.changed_at) / 1_000).min(u64::from(u32::MAX)) as u32
     }
 }
 
--- a/crates/zones/src/votes.rs
+++ b/crates/zones/src/votes.rs
@@ -1,27 +1,30 @@
-//! What the reports of a group come to. Arithmetic alone.
+//! Counts the votes of a group on a zone. Pure arithmetic.
 //!
-//! Who has seen nothing of a zone has no vote on it. Those that have must be more than half of one mind, and a quarter of the group
-//! must be of it ([`quorum`]): so a minority of those that use the zone moves nothing, and fewer than a quarter of the group move
-//! nothing whatever the others see.
+//! A member without observations of a zone has no vote on it. An opinion carries if it is held by more than
+//! half of the members that vote and by at least a quarter of the group ([`quorum`]). So a minority of the
+//! members that use the zone changes nothing, and neither do fewer than a quarter of the group, whatever the
+//! others observe.
 
-use crate::{Opinion, Place, Reason, Rules, TOP, ZoneWord};
+use crate::{GroupState, Opinion, Reason, SafetyRules, TOP, ZoneWord};
 
-/// How many of one mind it takes in a group of so many: both of two, else a quarter, two at the least.
+/// Returns the number of members of a group that must share an opinion for it to carry: both of two,
+/// otherwise a quarter, at least two.
 pub fn quorum(group: usize) -> usize {
     if group <= 2 { group.max(1) } else { group.div_ceil(4).max(2) }
 }
 
-/// Votes on one zone.
+/// The votes on one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Votes {
-    /// Members of the group, this one among them.
+    /// Members of the group, this one included.
     pub group: usize,
     pub well: usize,
     pub slow: usize,
     pub silent: usize,
     pub gone: usize,
-    /// Members that had an answer in this epoch, and answers of all.
-    pub good: usize,
+    /// Members that had an answer in this epoch.
+    pub members_with_answers: usize,
+    /// Answers of all members in this epoch.
     pub answers: u64,
 }
 
@@ -36,52 +39,56 @@
         }
     }
 
-    pub fn bad(&self) -> usize {
+    pub fn failing(&self) -> usize {
         self.silent + self.gone
     }
 
-    fn all(&self) -> usize {
-        self.well + self.slow + self.bad()
+    fn total(&self) -> usize {
+        self.well + self.slow + self.failing()
     }
 
-    fn carried(&self, by: usize) -> bool {
-        by >= quorum(self.group) && 2 * by > self.all()
+    fn carries(&self, count: usize) -> bool {
+        count >= quorum(self.group) && 2 * count > self.total()
     }
 
-    /// Nothing should go there.
-    pub fn out(&self) -> bool {
-        self.carried(self.bad())
+    /// Returns whether the zone is to be left.
+    pub fn must_leave(&self) -> bool {
+        self.carries(self.failing())
     }
 
-    /// Its workers are gone, whoever looks.
-    pub fn dead(&self) -> bool {
-        self.carried(self.gone)
+    /// Returns whether the zone's workers are gone, for members inside and outside alike.
+    pub fn workers_gone(&self) -> bool {
+        self.carries(self.gone)
     }
 
-    /// It is slow to most, and to half of the group: there is no hurry.
-    pub fn slowed(&self) -> bool {
-        self.carried(self.slow) && 2 * self.slow >= self.group
+    /// Returns whether the zone is slow to most voters and to half of the group. The bar is higher than for
+    /// leaving because a slow zone is not urgent.
+    pub fn is_slow(&self) -> bool {
+        self.carries(self.slow) && 2 * self.slow >= self.group
     }
 
-    /// It is well to most of those that say anything now; answers of this epoch are counted apart.
-    pub fn fine(&self) -> bool {
-        2 * self.well >= self.all()
+    /// Returns whether the zone is well to at least half of the members that vote now; answers of this epoch
+    /// are counted separately.
+    pub fn is_well(&self) -> bool {
+        2 * self.well >= self.total()
     }
 
-    /// Takes the word of a member of the same group, which stands in the same epoch or another. Danger: a word of an epoch that is
-    /// over tells of what was before.
-    pub fn hear(&mut self, word: &ZoneWord, own: &Place, rules: Rules) {
-        let same = word.epoch == own.epoch || (word.step == TOP && own.step == TOP) || !rules.epochs;
-        if same {
+    /// Adds the report of a member of the same group, which may be in another epoch. A report of a past epoch
+    /// describes an earlier state and is not counted.
+    pub fn add_report(&mut self, word: &ZoneWord, state: &GroupState, rules: SafetyRules) {
+        let same_epoch =
+            word.epoch == state.epoch || (word.step == TOP && state.step == TOP) || !rules.check_epochs;
+        if same_epoch {
             self.add(word.opinion);
         }
-        // Two parts of a group that were cut off may have come to one epoch by different steps.
-        if (word.epoch, word.step) == (own.epoch, own.step) && word.good > 0 {
-            self.good += 1;
+        // Two parts of a partitioned group may have reached the same epoch through different steps.
+        if (word.epoch, word.step) == (state.epoch, state.step) && word.good > 0 {
+            self.members_with_answers += 1;
             self.answers += u64::from(word.good);
         }
-        // Who has left already votes by where it stands; on the way back each step is judged by its own answers.
-        if !same && word.epoch > own.epoch && own.step == TOP {
+        // A member that has already left the zone votes by its step; during the return each step is judged by
+        // its own answers.
+        if !same_epoch && word.epoch > state.epoch && state.step == TOP {
             self.add(match (word.step, word.reason) {
                 (0, Reason::Gone) => Opinion::Gone,
                 (0, _) => Opinion::Silent,
--- a/crates/zones/src/wire.rs
+++ b/crates/zones/src/wire.rs
@@ -1,51 +1,54 @@
-//! What members tell each other of zones: one report a note, in postcard's encoding, first hand only.
+//! Reports on zones that members send to each other, first hand only. Each is a postcard message of its own;
+//! the order of fields is the wire format.
 
-use crate::{MOST_NAME, MOST_ZONES, Opinion, Reason, TOP};
+use crate::{MAX_NAME_LEN, MAX_ZONES, Opinion, Reason, TOP};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Of one zone.
+/// The part of a report about one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneWord {
-    /// Its name.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// What the sender sees of it.
+    /// The sender's opinion of the zone.
     pub opinion: Opinion,
-    /// The sender's epoch, and its step in it.
+    /// The sender's epoch for the zone.
     pub epoch: u64,
-    /// See `epoch`.
+    /// The sender's step in that epoch.
     pub step: u8,
-    /// Why it stands there.
+    /// Reason for the step.
     pub reason: Reason,
-    /// For how long, in milliseconds.
+    /// Time since the step was taken, in milliseconds.
     pub age_ms: u32,
-    /// Answers that it had from there in this epoch.
+    /// Number of answers that the sender had from the zone in this epoch.
     pub good: u32,
-    /// Answers a second that it has from there, and that it had at best of late, in thousandths.
+    /// Current rate of answers that the sender gets from the zone, in thousandths of an answer per second.
     pub rate: u32,
-    /// See `rate`.
+    /// Recent peak of `rate`.
     pub peak: u32,
 }
 
-/// All that a member tells.
+/// A member's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Zone by zone.
+    /// One entry per zone.
     pub zones: Vec<ZoneWord>,
 }
 
 impl Report {
-    /// As bytes.
+    /// Encodes the report.
     pub fn written(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes; none for what is no report, has more behind it, or names more zones or steps than there may be.
+    /// Decodes a report; returns `None` for malformed bytes, trailing data, too many zones, a step that does
+    /// not exist, or a zone name that is empty or too long.
     pub fn read(bytes: &[u8]) -> Option<Report> {
         let (report, rest) = postcard::take_from_bytes::<Report>(bytes).ok()?;
-        let sound = |w: &ZoneWord| w.step <= TOP && w.zone.len() <= MOST_NAME && !w.zone.is_empty();
-        let whole = rest.is_empty() && report.zones.len() <= MOST_ZONES && report.zones.iter().all(sound);
-        whole.then_some(report)
+        let valid_entry = |w: &ZoneWord| w.step <= TOP && w.zone.len() <= MAX_NAME_LEN && !w.zone.is_empty();
+        let valid =
+            rest.is_empty() && report.zones.len() <= MAX_ZONES && report.zones.iter().all(valid_entry);
+        valid.then_some(report)
     }
 }
 
--- a/crates/zones/src/wire/tests.rs
+++ b/crates/zones/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn word(zone: &str) -> ZoneWord {
+fn zone_word(zone: &str) -> ZoneWord {
     ZoneWord {
         zone: zone.into(),
         opinion: Opinion::Silent,
@@ -16,23 +16,27 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_fits_a_note() {
-    let names: Vec<String> = (0..MOST_ZONES).map(|n| format!("{n:0>32}")).collect();
-    let report = Report { zones: names.iter().map(|n| word(n)).collect() };
+fn a_written_report_is_read_back_and_stays_within_900_bytes() {
+    let names: Vec<String> = (0..MAX_ZONES).map(|n| format!("{n:0>32}")).collect();
+    let report = Report { zones: names.iter().map(|n| zone_word(n)).collect() };
     let bytes = report.written();
     assert!(bytes.len() <= 900, "{}", bytes.len());
     assert_eq!(Report::read(&bytes), Some(report.clone()));
     assert_eq!(Report::read(&bytes[..bytes.len() - 1]), None);
-    for broken in [ZoneWord { step: TOP + 1, ..word("a") }, word(""), word(&"x".repeat(MOST_NAME + 1))] {
-        assert_eq!(Report::read(&Report { zones: vec![broken] }.written()), None);
+    for invalid in [
+        ZoneWord { step: TOP + 1, ..zone_word("a") },
+        zone_word(""),
+        zone_word(&"x".repeat(MAX_NAME_LEN + 1)),
+    ] {
+        assert_eq!(Report::read(&Report { zones: vec![invalid] }.written()), None);
     }
-    let many = Report { zones: vec![word("a"); MOST_ZONES + 1] };
+    let many = Report { zones: vec![zone_word("a"); MAX_ZONES + 1] };
     assert_eq!(Report::read(&many.written()), None);
 }
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         let _ = Report::read(&bytes);
     }
 }
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -1,80 +1,85 @@
-//! The group's steps, as one member works them out: from what it sees and what others report of what they see.
+//! Derives the steps of the member's groups from its own observations and the reports of other members.
 
 use crate::votes::Votes;
 use crate::{
-    End, MOST_MEMBERS, MOST_NAME, MOST_ZONES, Micros, Opinion, Pace, Place, Reason, Report, Rules, SHARES,
-    Sight, TOP, Terms, ZoneWord,
+    End, GroupState, MAX_MEMBERS, MAX_NAME_LEN, MAX_ZONES, Micros, Observations, Opinion, Reason, Report,
+    SHARES, SafetyRules, TOP, Terms, WorkerState, ZoneWord,
 };
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-/// Everything is looked at this often.
-const TICK: Micros = 50_000;
-/// One that was not called for so long has stood still: what it knows is of before.
-const STALLED: Micros = 700_000;
-/// Reports are told again to so many others in this time, in turn; one that changed, to all at once.
-const TOLD: usize = 8;
-const TELL_EVERY: Micros = 500_000;
-/// A report counts for this long, and longer in a group that takes longer to be told.
-const COUNTS: Micros = 1_600_000;
-/// A trial in this time, and so many answers are enough.
-const TRIAL_EVERY: Micros = 100_000;
-const TRIALS: u32 = 3;
-/// Answers of a step that allow the next one.
-const ANSWERS: u64 = 4;
-/// What a zone is held to bear at least, in thousandths of a request a second: nobody may know its peak any more.
-const LEAST_PEAK: u64 = 20_000;
-/// Epochs further ahead than this are believed only of a part of the group that could have moved it.
-const MOST_AHEAD: u64 = 64;
-/// Others can take what moves, if they have room for it at so many hundredths of their best of late.
-const ROOM: u64 = 125;
-/// What goes to a zone that is slow, if the others can take the rest.
-const SLOW_STEP: u8 = 2;
-
-/// An operator's word on a zone; it goes before all evidence until it is over.
+/// Time between two evaluations.
+const TICK_INTERVAL: Micros = 50_000;
+/// A member that was not called for this long has stalled, and its observations and stored reports are
+/// outdated.
+const STALL_THRESHOLD: Micros = 700_000;
+/// Reports are repeated to [`REPORT_FANOUT`] other members per [`REPORT_INTERVAL`], in turn; a changed report
+/// goes to all at once.
+const REPORT_FANOUT: usize = 8;
+const REPORT_INTERVAL: Micros = 500_000;
+/// Minimum lifetime of a received report; it is longer in a group that takes more turns to be notified.
+const MIN_REPORT_TTL: Micros = 1_600_000;
+/// Time between two trials, and the number of answers after which no more trials are sent.
+const TRIAL_INTERVAL: Micros = 100_000;
+const TRIAL_ANSWERS: u32 = 3;
+/// Number of answers in a step that allow the next one.
+const STEP_UP_ANSWERS: u64 = 4;
+/// Minimum assumed peak rate of a zone, in thousandths of a request per second: its real peak may have been
+/// forgotten.
+const MIN_PEAK_MILLI_PER_S: u64 = 20_000;
+/// Maximum lead of a reported epoch over this member's own that is taken over when the member itself changes
+/// step. A larger lead is adopted only from at least half of the group.
+const MAX_EPOCH_LEAD: u64 = 64;
+/// The other zones can take redirected traffic while it fits within this percentage of their recent peak.
+const HEADROOM_PERCENT: u64 = 125;
+/// Lowest step for a zone that is slow, taken if the other zones can take the rest.
+const MIN_SLOW_STEP: u8 = 2;
+
+/// An operator's order on a zone; it takes precedence over all observations until it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Send nothing there.
+    /// Send nothing to the zone.
     Leave,
-    /// Hold nothing back.
+    /// Do not limit traffic to the zone.
     Stay,
 }
 
-/// What the host sees of the fleet.
+/// The caller's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Our own name.
+    /// This member's name.
     pub own: Arc<str>,
-    /// The zone that we stand in.
+    /// The zone that this member runs in.
     pub home: Arc<str>,
-    /// The others that are up, and their zones.
+    /// The other live members, and their home zones.
     pub others: Vec<(Arc<str>, Arc<str>)>,
-    /// Our share of what the whole fleet may send to a zone that returns, in millionths.
+    /// This member's share of the fleet's permitted traffic to a returning zone, in millionths.
     pub share: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct ReceivedReport {
     at: Micros,
     zones: BTreeMap<Arc<str>, ZoneWord>,
 }
 
-/// What is known of one zone, to be told to operators.
+/// The state of one zone, for operators.
 #[derive(Clone, Debug)]
 pub struct Standing {
-    /// Its name.
+    /// Name of the zone.
     pub zone: Arc<str>,
-    /// Whether this member stands in it.
+    /// Whether this member's home is this zone.
     pub inside: bool,
-    /// The group's place.
-    pub place: Place,
-    /// What this member sees.
+    /// State of this member's group.
+    pub place: GroupState,
+    /// This member's opinion.
     pub opinion: Opinion,
-    /// The operator's word, and until when.
+    /// The operator's order, and when it expires.
     pub order: Option<(Order, Micros)>,
-    /// Answers a second from there at best of late, of all that are heard, in thousandths.
+    /// Recent peak rate of answers from the zone, summed over all members with a current report, in
+    /// thousandths of an answer per second.
     pub peak: u64,
 }
 
@@ -82,98 +87,99 @@
 struct Gate {
     tokens: f64,
     at: Micros,
-    /// The epoch that it was last filled in.
+    /// The epoch in which it was last reset.
     epoch: u64,
 }
 
-/// The machine.
+/// The state of all zones at one member.
 #[derive(Clone, Debug)]
 pub struct Zones {
     terms: Terms,
-    rules: Rules,
-    sight: Sight,
-    places: BTreeMap<Arc<str>, Place>,
-    heard: BTreeMap<Arc<str>, Heard>,
+    rules: SafetyRules,
+    observations: Observations,
+    states: BTreeMap<Arc<str>, GroupState>,
+    reports: BTreeMap<Arc<str>, ReceivedReport>,
     orders: BTreeMap<Arc<str>, (Order, Micros)>,
     opinions: BTreeMap<Arc<str>, Opinion>,
     gates: BTreeMap<Arc<str>, Gate>,
     view: View,
-    began: Micros,
-    last: Micros,
+    listening_since: Micros,
+    last_call: Micros,
     next_tick: Micros,
-    next_tell: Micros,
-    /// What was last told to all, without what changes all the time.
-    told: Vec<(Opinion, u64, u8, bool)>,
-    /// Others that were up when last looked, and who of them is told next.
-    met: Vec<Arc<str>>,
-    turn: usize,
+    next_report: Micros,
+    /// The report last sent to all, without the parts that change all the time.
+    last_sent: Vec<(Opinion, u64, u8, bool)>,
+    /// Members that were live at the last evaluation, sorted, and the start of the next turn of reports.
+    known_members: Vec<Arc<str>>,
+    next_turn: usize,
     stalls: u64,
 }
 
 impl Zones {
-    /// One that begins now, and holds nothing back.
+    /// Creates the state of a member that starts now; no traffic is limited.
     pub fn new(terms: Terms, now: Micros) -> Zones {
         Zones {
             terms,
-            rules: Rules::default(),
-            sight: Sight::default(),
-            places: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            rules: SafetyRules::default(),
+            observations: Observations::default(),
+            states: BTreeMap::new(),
+            reports: BTreeMap::new(),
             orders: BTreeMap::new(),
             opinions: BTreeMap::new(),
             gates: BTreeMap::new(),
             view: View::default(),
-            began: now,
-            last: now,
+            listening_since: now,
+            last_call: now,
             next_tick: now,
-            next_tell: now,
-            told: Vec::new(),
-            met: Vec::new(),
-            turn: 0,
+            next_report: now,
+            last_sent: Vec::new(),
+            known_members: Vec::new(),
+            next_turn: 0,
             stalls: 0,
         }
     }
 
-    /// With rules left out, to show that checks can fail.
-    pub fn with_rules(mut self, rules: Rules) -> Zones {
+    /// Replaces the safety rules, to show in tests that checks can fail.
+    pub fn with_rules(mut self, rules: SafetyRules) -> Zones {
         self.rules = rules;
         self
     }
 
-    /// The workers there are, and their zones. Of more than [`MOST_ZONES`] zones the first by name are watched.
+    /// Sets the list of workers and their zones. Of more than [`MAX_ZONES`] zones the first by name are
+    /// observed.
     pub fn listed(&mut self, list: &[(Arc<str>, Arc<str>)]) {
-        self.sight.listed(list);
-        let mut zones = self.sight.zones();
-        zones.retain(|h| !h.is_empty() && h.len() <= MOST_NAME);
-        zones.truncate(MOST_ZONES);
-        self.places.retain(|zone, _| zones.contains(zone));
+        self.observations.listed(list);
+        let mut zones = self.observations.zones();
+        zones.retain(|h| !h.is_empty() && h.len() <= MAX_NAME_LEN);
+        zones.truncate(MAX_ZONES);
+        self.states.retain(|zone, _| zones.contains(zone));
         self.gates.retain(|zone, _| zones.contains(zone));
         for zone in zones {
-            self.places.entry(zone).or_default();
+            self.states.entry(zone).or_default();
         }
     }
 
-    /// Something was sent to a worker.
+    /// Records an attempt sent to a worker.
     pub fn sent(&mut self, now: Micros, worker: &str) {
-        self.awake(now);
-        self.sight.sent(now, worker);
+        self.detect_stall(now);
+        self.observations.sent(now, worker);
     }
 
-    /// What was sent then came to its end.
+    /// Records the outcome of an attempt that was sent at `sent`.
     pub fn ended(&mut self, now: Micros, worker: &str, sent: Micros, end: End) {
-        self.awake(now);
-        // Danger: an answer to what was sent before the zone was left tells nothing of it as it is.
-        if self.sight.ended(now, worker, end, &self.terms)
-            && let Some(place) = self.sight.zone(worker).and_then(|zone| self.places.get_mut(&zone))
-            && sent >= if place.step == 0 { place.until } else { place.since }
+        self.detect_stall(now);
+        // An answer to an attempt sent before the zone was left says nothing about its present state.
+        if self.observations.ended(now, worker, end, &self.terms)
+            && let Some(state) = self.observations.zone(worker).and_then(|zone| self.states.get_mut(&zone))
+            && sent >= if state.step == 0 { state.until } else { state.changed_at }
         {
-            place.good = place.good.saturating_add(1);
+            state.answers = state.answers.saturating_add(1);
         }
     }
 
-    /// An operator's word, until then.
+    /// Sets or clears an operator's order; returns false if the zone is not known.
     pub fn say(&mut self, zone: &str, order: Option<(Order, Micros)>) -> bool {
-        let Some((zone, _)) = self.places.get_key_value(zone) else { return false };
+        let Some((zone, _)) = self.states.get_key_value(zone) else { return false };
         match order {
             Some(order) => drop(self.orders.insert(zone.clone(), order)),
             None => drop(self.orders.remove(zone)),
@@ -181,117 +187,124 @@
         true
     }
 
-    /// Another's report. Danger: it may say anything; it is one voice, and what is held of it is bounded.
+    /// Stores another member's report. Its content is not trusted: it counts as one vote, and what is stored
+    /// of it is bounded.
     pub fn told(&mut self, now: Micros, from: &Arc<str>, report: Report) {
-        self.awake(now);
-        if self.heard.len() >= MOST_MEMBERS && !self.heard.contains_key(from) {
-            let oldest = self.heard.iter().min_by_key(|(_, h)| h.at).map(|(name, _)| name.clone());
-            oldest.into_iter().for_each(|name| drop(self.heard.remove(&name)));
+        self.detect_stall(now);
+        if self.reports.len() >= MAX_MEMBERS && !self.reports.contains_key(from) {
+            let oldest = self.reports.iter().min_by_key(|(_, h)| h.at).map(|(name, _)| name.clone());
+            oldest.into_iter().for_each(|name| drop(self.reports.remove(&name)));
         }
         let zones = report.zones.into_iter().map(|w| (w.zone.clone(), w)).collect();
-        self.heard.insert(from.clone(), Heard { at: now, zones });
+        self.reports.insert(from.clone(), ReceivedReport { at: now, zones });
     }
 
-    /// A process that stood still knows nothing of what is.
-    fn awake(&mut self, now: Micros) {
-        if now > self.last + STALLED {
+    /// Discards observations and stored reports after a stall: they describe the state before it.
+    fn detect_stall(&mut self, now: Micros) {
+        if now > self.last_call + STALL_THRESHOLD {
             self.stalls += 1;
-            self.sight.forget(now);
-            self.heard.clear();
-            // It listens anew before it says anything.
-            self.began = now;
+            self.observations.forget(now);
+            self.reports.clear();
+            // Listen to others again before giving an opinion.
+            self.listening_since = now;
         }
-        self.last = self.last.max(now);
+        self.last_call = self.last_call.max(now);
     }
 
-    /// How long a report counts.
-    fn counts(&self) -> Micros {
-        let turns = self.view.others.len().div_ceil(TOLD) as u64;
-        COUNTS + turns * TELL_EVERY * 3 / 2
+    /// Returns the lifetime of a received report.
+    fn report_ttl(&self) -> Micros {
+        let turns = self.view.others.len().div_ceil(REPORT_FANOUT) as u64;
+        MIN_REPORT_TTL + turns * REPORT_INTERVAL * 3 / 2
     }
 
-    /// One that has only begun hears first what others know.
-    fn listens(&self, now: Micros) -> bool {
-        !self.view.others.is_empty() && now < self.began + self.terms.fresh / 2
+    /// Returns whether this member has only just started and first collects the reports of others.
+    fn is_listening(&self, now: Micros) -> bool {
+        !self.view.others.is_empty() && now < self.listening_since + self.terms.max_age / 2
     }
 
-    /// When [`Zones::advance`] next has something to do.
+    /// Returns when [`Zones::advance`] next has something to do.
     pub fn due(&self) -> Micros {
         self.next_tick
     }
 
-    /// Looks at everything; what is to be told, and to whom.
+    /// Evaluates all zones; returns the reports to send and their receivers.
     pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Report)> {
-        self.awake(now);
+        self.detect_stall(now);
         if now < self.next_tick {
             return Vec::new();
         }
-        self.next_tick = now + TICK;
+        self.next_tick = now + TICK_INTERVAL;
         self.view = view.clone();
-        let counts = self.counts();
+        let report_ttl = self.report_ttl();
         let up: std::collections::BTreeSet<&Arc<str>> = self.view.others.iter().map(|(n, _)| n).collect();
-        self.heard.retain(|name, h| now < h.at + counts && up.contains(name));
+        self.reports.retain(|name, h| now < h.at + report_ttl && up.contains(name));
         self.orders.retain(|_, (_, until)| now < *until);
-        self.look(now);
-        let zones: Vec<Arc<str>> = self.places.keys().cloned().collect();
-        let votes: Vec<(Votes, Votes)> = zones.iter().map(|h| self.votes(now, h)).collect();
+        self.update_opinions(now);
+        let zones: Vec<Arc<str>> = self.states.keys().cloned().collect();
+        let votes: Vec<(Votes, Votes)> = zones.iter().map(|zone| self.votes(now, zone)).collect();
         for (at, zone) in zones.iter().enumerate() {
             let usable = |n: usize| {
-                n != at && !votes[n].0.out() && self.places.get(&zones[n]).is_some_and(|p| p.step > 0)
+                n != at && !votes[n].0.must_leave() && self.states.get(&zones[n]).is_some_and(|p| p.step > 0)
             };
-            let another = (0..zones.len()).any(usable);
-            self.decide(now, zone, votes[at], another, &zones);
+            let another_usable = (0..zones.len()).any(usable);
+            self.decide(now, zone, votes[at], another_usable, &zones);
         }
-        self.words(now)
+        self.due_reports(now)
     }
 
-    /// What this member sees now, by what came since the group last moved.
-    fn look(&mut self, now: Micros) {
-        let listens = self.listens(now);
-        let since = |p: &Place| if p.step == TOP { 0 } else { p.since };
+    /// Updates this member's opinions from observations since the group's last change of step.
+    fn update_opinions(&mut self, now: Micros) {
+        let is_listening = self.is_listening(now);
+        let since = |p: &GroupState| if p.step == TOP { 0 } else { p.changed_at };
         let zones: Vec<(Arc<str>, Micros)> =
-            self.places.iter().map(|(zone, p)| (zone.clone(), since(p))).collect();
-        let opinions = self.sight.opinions(now, &zones, &self.terms);
-        let said = |o: Opinion| if listens { Opinion::None } else { o };
-        self.opinions = zones.into_iter().map(|(zone, _)| zone).zip(opinions.into_iter().map(said)).collect();
+            self.states.iter().map(|(zone, p)| (zone.clone(), since(p))).collect();
+        let opinions = self.observations.opinions(now, &zones, &self.terms);
+        let reported = |o: Opinion| if is_listening { Opinion::None } else { o };
+        self.opinions =
+            zones.into_iter().map(|(zone, _)| zone).zip(opinions.into_iter().map(reported)).collect();
     }
 
-    /// Whether a member that stands there is of our group for this zone.
-    fn alike(&self, zone: &str, home: &str) -> bool {
+    /// Returns whether a member with this home belongs to this member's group for the zone.
+    fn same_group(&self, zone: &str, home: &str) -> bool {
         (zone == home) == (zone == &*self.view.home)
     }
 
-    /// Words on a zone by others that speak of zones: whether of our group, and the word.
-    fn heard_of<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = (bool, Option<&'a ZoneWord>)> + 'a {
+    /// Iterates over the other members that sent a report: whether each is of this member's group, and its
+    /// entry for the zone.
+    fn reported_words<'a>(
+        &'a self,
+        zone: &'a str,
+    ) -> impl Iterator<Item = (bool, Option<&'a ZoneWord>)> + 'a {
         self.view.others.iter().filter_map(move |(name, home)| {
-            let heard = self.heard.get(name)?;
-            Some((self.alike(zone, home), heard.zones.get(zone)))
+            let received = self.reports.get(name)?;
+            Some((self.same_group(zone, home), received.zones.get(zone)))
         })
     }
 
-    /// Votes of our group on a zone, and those of all on whether its workers are gone.
+    /// Returns the votes of this member's group on a zone, and those of all members on whether its workers
+    /// are gone.
     fn votes(&self, now: Micros, zone: &str) -> (Votes, Votes) {
-        let Some(place) = self.places.get(zone) else { return Default::default() };
+        let Some(state) = self.states.get(zone) else { return Default::default() };
         let own = self.opinions.get(zone).copied().unwrap_or_default();
         let (mut group, mut all) =
             (Votes { group: 1, ..Votes::default() }, Votes { group: 1, ..Votes::default() });
         group.add(own);
         all.add(own);
-        if place.good > 0 {
-            group.good = 1;
-            group.answers = u64::from(place.good);
+        if state.answers > 0 {
+            group.members_with_answers = 1;
+            group.answers = u64::from(state.answers);
         }
-        for (alike, word) in self.heard_of(zone) {
+        for (same_group, word) in self.reported_words(zone) {
             all.group += 1;
-            group.group += usize::from(alike);
+            group.group += usize::from(same_group);
             let Some(word) = word else { continue };
-            if alike {
-                group.hear(word, place, self.rules);
+            if same_group {
+                group.add_report(word, state, self.rules);
             }
             let left = word.step < TOP && word.reason == Reason::Gone;
-            let lately = u64::from(word.age_ms) * 1_000 < self.terms.fresh;
+            let recent = u64::from(word.age_ms) * 1_000 < self.terms.max_age;
             all.add(match word.opinion {
-                Opinion::None if left && lately => Opinion::Gone,
+                Opinion::None if left && recent => Opinion::Gone,
                 opinion => opinion,
             });
         }
@@ -299,148 +312,161 @@
         (group, all)
     }
 
-    /// Whether the other zones could take what would no longer go to this one.
-    fn room(&mut self, now: Micros, zone: &str, zones: &[Arc<str>], step: u8) -> bool {
-        let mut of = |h: &str| {
-            let (mut rate, mut peak) = self.sight.rate(now, h);
-            for word in self.heard.values().filter_map(|w| w.zones.get(h)) {
+    /// Returns whether the other zones can take the traffic that would move away from this one.
+    fn others_have_room(&mut self, now: Micros, zone: &str, zones: &[Arc<str>], step: u8) -> bool {
+        let mut rate_and_peak = |zone: &str| {
+            let (mut rate, mut peak) = self.observations.rate(now, zone);
+            for word in self.reports.values().filter_map(|w| w.zones.get(zone)) {
                 (rate, peak) = (rate.saturating_add(word.rate), peak.saturating_add(word.peak));
             }
             (u64::from(rate), u64::from(peak))
         };
-        let moved = of(zone).0 * (1_000 - SHARES[usize::from(step)]) / 1_000;
-        let others: Vec<(u64, u64)> = zones.iter().filter(|h| &***h != zone).map(|h| of(h)).collect();
-        let room: u64 = others.iter().map(|(rate, peak)| (peak * ROOM / 100).saturating_sub(*rate)).sum();
-        moved <= room
+        let moved = rate_and_peak(zone).0 * (1_000 - SHARES[usize::from(step)]) / 1_000;
+        let others: Vec<(u64, u64)> =
+            zones.iter().filter(|name| &***name != zone).map(|name| rate_and_peak(name)).collect();
+        let headroom: u64 =
+            others.iter().map(|(rate, peak)| (peak * HEADROOM_PERCENT / 100).saturating_sub(*rate)).sum();
+        moved <= headroom
     }
 
+    /// Takes the group's next step for a zone, if one is due.
     fn decide(
         &mut self,
         now: Micros,
         zone: &Arc<str>,
         votes: (Votes, Votes),
-        another: bool,
+        another_usable: bool,
         zones: &[Arc<str>],
     ) {
         let (group, all) = votes;
         self.follow(now, zone, group);
-        let listens = self.listens(now);
-        let pace = self.pace(zone);
-        let slow_step = (SLOW_STEP..TOP).find(|step| self.room(now, zone, zones, *step));
-        let past = |zones: &Zones, step: u8| {
-            let same = |w: &&ZoneWord| w.step == step;
-            let near =
-                |e: &u64| zones.places.get(zone).is_some_and(|p| *e <= p.epoch.saturating_add(MOST_AHEAD));
-            let words = zones.heard_of(zone).filter(|(alike, _)| *alike).filter_map(|(_, w)| w);
-            words.filter(same).map(|w| w.epoch).filter(near).max().unwrap_or(0)
+        let is_listening = self.is_listening(now);
+        let workers = self.worker_state(zone);
+        let slow_step = (MIN_SLOW_STEP..TOP).find(|step| self.others_have_room(now, zone, zones, *step));
+        let highest_epoch = |zones: &Zones, step: u8| {
+            let same_step = |w: &&ZoneWord| w.step == step;
+            let near = |e: &u64| {
+                zones.states.get(zone).is_some_and(|p| *e <= p.epoch.saturating_add(MAX_EPOCH_LEAD))
+            };
+            let words =
+                zones.reported_words(zone).filter(|(same_group, _)| *same_group).filter_map(|(_, w)| w);
+            words.filter(same_step).map(|w| w.epoch).filter(near).max().unwrap_or(0)
         };
-        let Some(place) = self.places.get(zone) else { return };
-        let (step, until, reason) = (place.step, place.until, place.reason);
-        let why = if all.dead() || group.gone >= group.silent { Reason::Gone } else { Reason::Silent };
+        let Some(state) = self.states.get(zone) else { return };
+        let (step, until, reason) = (state.step, state.until, state.reason);
+        let why =
+            if all.workers_gone() || group.gone >= group.silent { Reason::Gone } else { Reason::Silent };
         let to = match step {
-            _ if listens => None,
-            TOP if another && (group.out() || all.dead()) => Some((0, why)),
-            TOP if another && group.slowed() => slow_step.map(|step| (step, Reason::Slow)),
+            _ if is_listening => None,
+            TOP if another_usable && (group.must_leave() || all.workers_gone()) => Some((0, why)),
+            TOP if another_usable && group.is_slow() => slow_step.map(|step| (step, Reason::Slow)),
             0 => {
-                let own = self.opinions.get(zone).is_some_and(|o| o.bad());
-                let tried = now >= until && (own || group.bad() > 0);
-                if tried && let Some(place) = self.places.get_mut(zone) {
-                    place.put_off(now, &self.terms);
+                let own = self.opinions.get(zone).is_some_and(|o| o.is_failing());
+                let trial_failed = now >= until && (own || group.failing() > 0);
+                if trial_failed && let Some(state) = self.states.get_mut(zone) {
+                    state.defer_return(now, &self.terms);
                 }
-                let alike = 1 + self.beside(zone);
-                let enough = group.good >= alike.min(2) || !self.rules.evidence;
-                (!tried && now >= until && enough).then_some((1, Reason::Returns))
+                let group_size = 1 + self.members_at_same_step(zone);
+                let enough = group.members_with_answers >= group_size.min(2) || !self.rules.require_answers;
+                (!trial_failed && now >= until && enough).then_some((1, Reason::Returns))
             }
-            // On the way back, or slow: one step at a time.
-            1..TOP if group.out() => Some((step - 1, Reason::Worse)),
-            1..TOP if group.slowed() && reason != Reason::Slow => Some((step - 1, Reason::Worse)),
+            // During a return, or for a slow zone, one step at a time.
+            1..TOP if group.must_leave() => Some((step - 1, Reason::Worse)),
+            1..TOP if group.is_slow() && reason != Reason::Slow => Some((step - 1, Reason::Worse)),
             1..TOP => {
-                let least = ANSWERS.min(1 + self.beside(zone) as u64);
-                let enough = (group.fine() && group.answers >= least) || !self.rules.evidence;
-                let rises = place.may_rise(now, pace, &self.terms) && enough;
-                rises.then_some((step + 1, Reason::Returns))
+                let required = STEP_UP_ANSWERS.min(1 + self.members_at_same_step(zone) as u64);
+                let enough = (group.is_well() && group.answers >= required) || !self.rules.require_answers;
+                let step_up_due = state.may_step_up(now, workers, &self.terms) && enough;
+                step_up_due.then_some((step + 1, Reason::Returns))
             }
             _ => None,
         };
         let Some((next, reason)) = to else { return };
-        let past = past(self, next);
-        let Some(place) = self.places.get_mut(zone) else { return };
+        let highest_epoch = highest_epoch(self, next);
+        let Some(state) = self.states.get_mut(zone) else { return };
         if next > step {
-            place.up(now, past, &self.terms);
+            state.step_up(now, highest_epoch, &self.terms);
         } else {
-            place.down(now, zone, next, reason, past, &self.terms);
+            state.step_down(now, zone, next, reason, highest_epoch, &self.terms);
         }
     }
 
-    /// Others of our group that stand where we stand.
-    fn beside(&self, zone: &str) -> usize {
-        let Some(place) = self.places.get(zone) else { return 0 };
-        let stands = |w: &ZoneWord| (w.epoch, w.step) == (place.epoch, place.step);
-        self.heard_of(zone).filter(|(alike, w)| *alike && w.is_some_and(stands)).count()
+    /// Returns the number of other members of the group in the same epoch and step.
+    fn members_at_same_step(&self, zone: &str) -> usize {
+        let Some(state) = self.states.get(zone) else { return 0 };
+        let at_same_step = |w: &ZoneWord| (w.epoch, w.step) == (state.epoch, state.step);
+        self.reported_words(zone).filter(|(same_group, w)| *same_group && w.is_some_and(at_same_step)).count()
     }
 
-    /// Stands where half of the group stands in a later epoch, or most of it in the same one. Danger: one that wakes, begins or was
-    /// cut off finds itself behind; and nobody goes back to an epoch that is over.
+    /// Adopts the epoch and step of half of the group if that epoch is later, or of most of it in the same
+    /// epoch. A member that wakes from a stall, starts or was partitioned off is behind the others; no member
+    /// goes back to a past epoch.
     fn follow(&mut self, now: Micros, zone: &Arc<str>, votes: Votes) {
-        let Some(place) = self.places.get(zone) else { return };
-        let (epoch, step) = (place.epoch, place.step);
-        let unseen = !self.sight.answers(now, zone, &self.terms);
-        // Where others stand, and how many: few places, however many members.
-        let mut stands = BTreeMap::<(u64, u8), (usize, Reason)>::new();
-        for (alike, word) in self.heard_of(zone) {
-            if let Some(w) = word.filter(|_| alike) {
-                stands.entry((w.epoch, w.step)).or_insert((0, w.reason)).0 += 1;
+        let Some(state) = self.states.get(zone) else { return };
+        let (epoch, step) = (state.epoch, state.step);
+        let no_recent_answers = !self.observations.answers(now, zone, &self.terms);
+        // Epochs and steps of the others with their counts: few entries, however many members.
+        let mut positions = BTreeMap::<(u64, u8), (usize, Reason)>::new();
+        for (same_group, word) in self.reported_words(zone) {
+            if let Some(w) = word.filter(|_| same_group) {
+                positions.entry((w.epoch, w.step)).or_insert((0, w.reason)).0 += 1;
             }
         }
-        let most = |(at, backed): &(&(u64, u8), &(usize, Reason))| {
-            let ((their, to), (backers, reason)) = (**at, **backed);
-            // Danger: in a group of two the other may lie. It moves us only where we have seen nothing, and not to a zone that was left.
-            let other = unseen && (step > 0 || to == 0);
-            let half = backers * 2 >= votes.group && (backers >= 2 || other);
-            let later = their > epoch || !self.rules.epochs;
+        let supported = |(position, backing): &(&(u64, u8), &(usize, Reason))| {
+            let ((their, to), (backers, reason)) = (**position, **backing);
+            // In a group of two the other member may lie. It is followed only where this member had no
+            // answers itself, and never up from a zone that was left.
+            let may_follow_one = no_recent_answers && (step > 0 || to == 0);
+            let half = backers * 2 >= votes.group && (backers >= 2 || may_follow_one);
+            let later = their > epoch || !self.rules.check_epochs;
             let split = their == epoch && to != step && (backers * 2 > votes.group || to > step);
-            // Up goes who follows those that come back; others that stand higher may be on their way down.
-            let way = to <= step || reason == Reason::Returns;
-            way && half && (later || split)
+            // A step up is adopted only from a returning group: others at a higher step may be on their way
+            // down.
+            let direction_ok = to <= step || reason == Reason::Returns;
+            direction_ok && half && (later || split)
         };
-        let to =
-            stands.iter().filter(most).max_by_key(|((epoch, step), (backers, _))| (*epoch, *backers, *step));
+        let to = positions
+            .iter()
+            .filter(supported)
+            .max_by_key(|((epoch, step), (backers, _))| (*epoch, *backers, *step));
         let Some(to) = to.map(|((epoch, step), (_, reason))| (*epoch, *step, *reason)) else { return };
-        if let Some(place) = self.places.get_mut(zone) {
-            place.follow(now, zone, to, &self.terms);
+        if let Some(state) = self.states.get_mut(zone) {
+            state.follow(now, zone, to, &self.terms);
         }
     }
 
-    /// Those inside say that its workers ran all the time, or nobody knows.
-    fn pace(&self, zone: &str) -> Pace {
+    /// Returns whether the zone's workers are warm: members inside report that they never stopped. Unknown
+    /// counts as cold.
+    fn worker_state(&self, zone: &str) -> WorkerState {
         let inside = zone == &*self.view.home;
-        let well = self.heard_of(zone).any(|(alike, w)| {
-            !alike && !inside && w.is_some_and(|w| w.step == TOP && w.opinion == Opinion::Well)
+        let well = self.reported_words(zone).any(|(same_group, w)| {
+            !same_group && !inside && w.is_some_and(|w| w.step == TOP && w.opinion == Opinion::Well)
         });
-        if well { Pace::Warm } else { Pace::Cold }
+        if well { WorkerState::Warm } else { WorkerState::Cold }
     }
 
-    /// What is to be told: at once to all if it changed, to who has come up, else in turn.
-    fn words(&mut self, now: Micros) -> Vec<(Arc<str>, Report)> {
+    /// Returns the reports to send: to all at once if the report changed, otherwise to new members and to the
+    /// next in turn.
+    fn due_reports(&mut self, now: Micros) -> Vec<(Arc<str>, Report)> {
         let report = self.report(now);
-        let told: Vec<(Opinion, u64, u8, bool)> =
+        let summary: Vec<(Opinion, u64, u8, bool)> =
             report.zones.iter().map(|w| (w.opinion, w.epoch, w.step, w.good > 0)).collect();
         let names: Vec<Arc<str>> = self.view.others.iter().map(|(n, _)| n.clone()).collect();
         let mut to: Vec<Arc<str>> = Vec::new();
-        if told != self.told {
-            to = names.iter().take(MOST_MEMBERS).cloned().collect();
-            self.told = told;
+        if summary != self.last_sent {
+            to = names.iter().take(MAX_MEMBERS).cloned().collect();
+            self.last_sent = summary;
         } else {
-            to.extend(names.iter().filter(|n| self.met.binary_search(n).is_err()).cloned());
-            if now >= self.next_tell {
-                self.next_tell = now + TELL_EVERY;
-                let turns = names.iter().cycle().skip(self.turn % names.len().max(1));
-                to.extend(turns.take(TOLD.min(names.len())).cloned());
-                self.turn = (self.turn + TOLD) % names.len().max(1);
+            to.extend(names.iter().filter(|n| self.known_members.binary_search(n).is_err()).cloned());
+            if now >= self.next_report {
+                self.next_report = now + REPORT_INTERVAL;
+                let turns = names.iter().cycle().skip(self.next_turn % names.len().max(1));
+                to.extend(turns.take(REPORT_FANOUT.min(names.len())).cloned());
+                self.next_turn = (self.next_turn + REPORT_FANOUT) % names.len().max(1);
             }
         }
-        self.met = names;
-        self.met.sort_unstable();
+        self.known_members = names;
+        self.known_members.sort_unstable();
         to.sort_unstable();
         to.dedup();
         to.into_iter().map(|name| (name, report.clone())).collect()
@@ -448,16 +474,16 @@
 
     fn report(&mut self, now: Micros) -> Report {
         let mut zones = Vec::new();
-        for (zone, place) in &self.places {
-            let (rate, peak) = self.sight.rate(now, zone);
+        for (zone, state) in &self.states {
+            let (rate, peak) = self.observations.rate(now, zone);
             zones.push(ZoneWord {
                 zone: zone.clone(),
                 opinion: self.opinions.get(zone).copied().unwrap_or_default(),
-                epoch: place.epoch,
-                step: place.step,
-                reason: place.reason,
-                age_ms: place.age_ms(now),
-                good: place.good,
+                epoch: state.epoch,
+                step: state.step,
+                reason: state.reason,
+                age_ms: state.age_ms(now),
+                good: state.answers,
                 rate,
                 peak,
             });
@@ -465,120 +491,125 @@
         Report { zones }
     }
 
-    /// Where this member stands among those of its group in this epoch: 0 tries first.
-    fn rank(&self, zone: &str, place: &Place) -> usize {
-        let (epoch, step) = (place.epoch, place.step);
+    /// Returns this member's rank among those of its group in this epoch: 0 sends the first trial.
+    fn rank(&self, zone: &str, state: &GroupState) -> usize {
+        let (epoch, step) = (state.epoch, state.step);
         let weight = |name: &str| {
             let mut hasher = SipHasher13::new();
             (zone, epoch, name).hash(&mut hasher);
             hasher.finish()
         };
-        let mine = (weight(&self.view.own), &*self.view.own);
-        let waits = |name: &Arc<str>| {
-            self.heard
+        let own_weight = (weight(&self.view.own), &*self.view.own);
+        let at_same_step = |name: &Arc<str>| {
+            self.reports
                 .get(name)
                 .and_then(|h| h.zones.get(zone))
                 .is_some_and(|w| (w.epoch, w.step) == (epoch, step))
         };
-        let others = self.view.others.iter().filter(|(name, home)| self.alike(zone, home) && waits(name));
-        others.filter(|(name, _)| (weight(name), &**name) > mine).count()
+        let others =
+            self.view.others.iter().filter(|(name, home)| self.same_group(zone, home) && at_same_step(name));
+        others.filter(|(name, _)| (weight(name), &**name) > own_weight).count()
     }
 
-    /// Whether this member may try a zone that was left: the owner first, who comes after it once it has told of an answer, or has
-    /// had its time.
-    fn may_try(&self, now: Micros, zone: &str, place: &Place) -> bool {
-        if now < place.until || place.good >= TRIALS {
+    /// Returns whether this member may send a trial to a zone that was left: the owner first, the next in
+    /// rank once the owner has reported an answer or has had its time.
+    fn may_send_trial(&self, now: Micros, zone: &str, state: &GroupState) -> bool {
+        if now < state.until || state.answers >= TRIAL_ANSWERS {
             return false;
         }
-        let rank = self.rank(zone, place);
-        let told = self.heard_of(zone).filter(|(alike, _)| *alike).filter_map(|(_, w)| w);
-        let answered = told.filter(|w| w.epoch == place.epoch && w.step == 0 && w.good > 0).count();
-        let waited = now >= place.until + rank as u64 * 2 * self.terms.dwell;
+        let rank = self.rank(zone, state);
+        let group_words =
+            self.reported_words(zone).filter(|(same_group, _)| *same_group).filter_map(|(_, w)| w);
+        let answered = group_words.filter(|w| w.epoch == state.epoch && w.step == 0 && w.good > 0).count();
+        let waited = now >= state.until + rank as u64 * 2 * self.terms.dwell;
         rank <= answered.min(1) || waited
     }
 
-    /// Requests that may go to a zone now; none where nothing is held back.
+    /// Returns the number of requests that may go to a zone now; `None` if traffic to it is not limited.
     pub fn gate(&mut self, now: Micros, zone: &str) -> Option<u64> {
         match self.orders.get(zone) {
             Some((Order::Leave, until)) if now < *until => return Some(0),
             Some((Order::Stay, until)) if now < *until => return None,
             _ => {}
         }
-        let place = self.places.get(zone).filter(|p| p.step < TOP)?.clone();
-        let rate = if place.step == 0 {
-            let tries = self.may_try(now, zone, &place);
-            if tries { 1e6 / TRIAL_EVERY as f64 } else { 0.0 }
+        let state = self.states.get(zone).filter(|p| p.step < TOP)?.clone();
+        let rate = if state.step == 0 {
+            let may_try = self.may_send_trial(now, zone, &state);
+            if may_try { 1e6 / TRIAL_INTERVAL as f64 } else { 0.0 }
         } else {
-            let share = SHARES[usize::from(place.step)] as f64 / 1e3 * self.view.share as f64 / 1e6;
-            self.peak(now, zone).max(LEAST_PEAK) as f64 / 1e3 * share
+            let share = SHARES[usize::from(state.step)] as f64 / 1e3 * self.view.share as f64 / 1e6;
+            self.fleet_peak(now, zone).max(MIN_PEAK_MILLI_PER_S) as f64 / 1e3 * share
         };
-        // A step is judged by its first answers: a few members, others each time, send one at once.
-        let first = place.step > 0 && self.rank(zone, &place) < ANSWERS as usize;
+        // A step is judged by its first answers: a few members, different ones for each epoch, send one
+        // request at once.
+        let first = state.step > 0 && self.rank(zone, &state) < STEP_UP_ANSWERS as usize;
         let gate = self.gates.entry(zone.into()).or_default();
-        if gate.epoch != place.epoch {
-            (gate.epoch, gate.tokens) = (place.epoch, f64::from(u8::from(first)));
+        if gate.epoch != state.epoch {
+            (gate.epoch, gate.tokens) = (state.epoch, f64::from(u8::from(first)));
         }
-        let passed = now.saturating_sub(gate.at).min(TRIAL_EVERY) as f64 / 1e6;
+        let elapsed = now.saturating_sub(gate.at).min(TRIAL_INTERVAL) as f64 / 1e6;
         gate.at = now;
-        gate.tokens = if rate > 0.0 { (gate.tokens + rate * passed).min(1.0 + rate / 10.0) } else { 0.0 };
+        gate.tokens = if rate > 0.0 { (gate.tokens + rate * elapsed).min(1.0 + rate / 10.0) } else { 0.0 };
         Some(gate.tokens as u64)
     }
 
-    /// Whether this member should send something there by its gate, whatever else is nearer or warmer: a step is judged by answers, and
-    /// nobody would try a zone that stands empty while others are warm.
+    /// Returns whether this member should send something to the zone within its gate even if other workers
+    /// are nearer or warmer: a step is judged by answers, and an empty zone would otherwise get no requests
+    /// while other workers are warm.
     pub fn wants(&self, zone: &str) -> bool {
-        let few = |p: &Place| p.step < TOP && p.good < TRIALS;
-        !self.orders.contains_key(zone) && self.places.get(zone).is_some_and(few)
+        let few = |p: &GroupState| p.step < TOP && p.answers < TRIAL_ANSWERS;
+        !self.orders.contains_key(zone) && self.states.get(zone).is_some_and(few)
     }
 
-    /// So many went there through the gate.
+    /// Records requests sent to the zone through its gate.
     pub fn entered(&mut self, zone: &str, count: u64) {
         if let Some(gate) = self.gates.get_mut(zone) {
             gate.tokens = (gate.tokens - count as f64).max(0.0);
         }
     }
 
-    /// Answers a second that all had from a zone at best of late, in thousandths.
-    fn peak(&mut self, now: Micros, zone: &str) -> u64 {
-        let own = u64::from(self.sight.rate(now, zone).1);
-        let words = self.heard.values().filter_map(|h| h.zones.get(zone));
+    /// Returns the recent peak rate of answers from a zone, summed over all members, in thousandths of an
+    /// answer per second.
+    fn fleet_peak(&mut self, now: Micros, zone: &str) -> u64 {
+        let own = u64::from(self.observations.rate(now, zone).1);
+        let words = self.reports.values().filter_map(|h| h.zones.get(zone));
         words.fold(own, |sum, w| sum + u64::from(w.peak))
     }
 
-    /// The zones, whether any holds something back.
+    /// Iterates over the zones, and whether traffic to each is limited.
     pub fn names(&self) -> impl Iterator<Item = (&Arc<str>, bool)> {
-        self.places.iter().map(|(zone, p)| (zone, p.step < TOP || self.orders.contains_key(zone)))
+        self.states.iter().map(|(zone, p)| (zone, p.step < TOP || self.orders.contains_key(zone)))
     }
 
-    /// Where the group stands to a zone.
-    pub fn place(&self, zone: &str) -> Option<&Place> {
-        self.places.get(zone)
+    /// Returns the group's state for a zone.
+    pub fn place(&self, zone: &str) -> Option<&GroupState> {
+        self.states.get(zone)
     }
 
-    /// What this member last said of a zone.
+    /// Returns this member's last opinion of a zone.
     pub fn opinion(&self, zone: &str) -> Opinion {
         self.opinions.get(zone).copied().unwrap_or_default()
     }
 
-    /// Others that speak of zones.
+    /// Returns the number of other members whose reports are stored.
     pub fn heard(&self) -> usize {
-        self.heard.len()
+        self.reports.len()
     }
 
-    /// How often this process stood still.
+    /// Returns how often this process stalled.
     pub fn stalls(&self) -> u64 {
         self.stalls
     }
 
-    /// All that is known, zone by zone.
+    /// Returns the state of all zones.
     pub fn standings(&mut self, now: Micros) -> Vec<Standing> {
-        let zones: Vec<Arc<str>> = self.places.keys().cloned().collect();
+        let zones: Vec<Arc<str>> = self.states.keys().cloned().collect();
         let of = |zone: Arc<str>| Standing {
             inside: *zone == *self.view.home,
-            place: self.places.get(&zone).cloned().unwrap_or_default(),
+            place: self.states.get(&zone).cloned().unwrap_or_default(),
             opinion: self.opinion(&zone),
             order: self.orders.get(&zone).copied(),
-            peak: self.peak(now, &zone),
+            peak: self.fleet_peak(now, &zone),
             zone,
         };
         zones.into_iter().map(of).collect()
