--- a/crates/membership/src/draw.rs
+++ b/crates/membership/src/draw.rs
@@ -1,9 +1,9 @@
-//! Drawing a few of many.
+//! Random sampling.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
-/// So many of them, drawn anew each time.
+/// Returns up to `most` elements of `of`, chosen at random without replacement.
 pub fn draw<T>(rng: &mut Pcg32, mut of: Vec<T>, most: usize) -> Vec<T> {
     let most = most.min(of.len());
     for at in 0..most {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,12 @@
-//! Who is there: membership among the dispatchers of one group, without I/O and with the clock passed in.
+//! Membership and failure detection among the dispatchers of one group, without I/O and with the time passed in.
 //!
-//! After SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-//! Protocol", DSN 2002: sections 3.1 probes through others, 4.1 piggy-backed dissemination, 4.2 suspicion) and Lifeguard
-//! (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018:
-//! self-awareness, dogpile, buddy system). What is added is in `docs/design/membership.md`: a cut is never taken for a
-//! death where that could do harm ([`standing`]).
+//! Implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+//! Protocol", DSN 2002: sections 3.1 indirect probes, 4.1 piggybacked dissemination, 4.2 suspicion, 4.3 probe rounds)
+//! and Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
+//! DSN-W 2018: self-awareness, dogpile, buddy system). `docs/design/membership.md` describes the additions: shares of a
+//! common budget are computed so that a partition is never treated as a death ([`standing`]).
 //!
-//! A host hands in packets and the time, and takes packets and events out:
+//! The host passes in packets and the time, and takes packets and events out:
 //!
 //! ```
 //! use ochreward_membership::{Membership, Own, Record, Settings};
@@ -15,14 +15,15 @@
 //! let mut a = Membership::new(own("a", 1), Settings::default(), vec![], 1, 0);
 //! let mut b = Membership::new(own("b", 2), Settings::default(), vec![at(1)], 2, 0);
 //! b.advance(0);
-//! let (to, packet) = b.packets.pop_front().expect("it says hello to its seed");
+//! let (to, packet) = b.packets.pop_front().expect("a table exchange with its seed");
 //! assert_eq!(to, at(1));
 //! a.received(10, at(2), &packet);
 //! assert!(a.members().any(|m| &*m.name == "b"));
 //! ```
 //!
-//! Bounds: a packet holds [`wire::MOST_PACKET`] bytes, a name [`wire::MOST_NAME`], a table [`Settings::most_members`]
-//! members; packets and events that the host has not taken are bounded too. All times are whole microseconds.
+//! Bounds: a packet has at most [`wire::MOST_PACKET`] bytes, a name [`wire::MAX_NAME_BYTES`] bytes, and a table
+//! [`Settings::most_members`] members; the queues of packets, notes and events are bounded too. All times are whole
+//! microseconds.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,14 +1,16 @@
-//! The machine: probes, suspicions, what is passed on, and what is concluded.
+//! The protocol state machine of one member. It is given packets, the time and the member's own record, and produces
+//! packets, notes and events for the host to take. Probes, claims and table exchange are in its submodules; this one
+//! has the interface, the dispatch of packets and the timers. Queues that the host does not drain are bounded.
 
 mod claims;
 mod exchange;
 mod probes;
 
 use crate::gossip::Gossip;
-use crate::health::Health;
-use crate::standing::{Agreement, Held, Part, divisor};
-use crate::table::{Compares, Member, Source, Table};
-use crate::wire::{self, Body, Claim, Header, Packet, Record, State, Unread};
+use crate::health::LocalHealth;
+use crate::standing::{Agreement, HeldDivisor, Part, divisor};
+use crate::table::{BucketSync, Member, Source, Table};
+use crate::wire::{self, Body, Claim, DecodeError, Header, Packet, Record, State};
 use crate::{Micros, Settings};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -16,69 +18,70 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Notes that the host has not taken, at the most.
-const MOST_NOTES: usize = 256;
-/// Packets and events that the host has not taken, at the most: what comes on top is dropped, as a network may.
-const MOST_OUT: usize = 1_024;
-/// Probes made for others that may be open at a time.
-const MOST_SOUGHT: usize = 256;
-/// Packets of claims in an exchange of tables; the next exchange goes on where this one ended.
-const MOST_PAGES: usize = 16;
-/// A claim may be ahead of the known incarnation by so much. Danger: one of the highest could never be denied.
-const MOST_AHEAD: u64 = 1 << 40;
-/// Others whose accusation shortens a suspicion.
-const ENOUGH: usize = 3;
-/// Members known by others' words alone that are probed in a round.
-const MOST_STRANGERS: usize = 8;
-/// So many of the last sixteen probes sent again tell that packets get lost.
-const LOSSY: u32 = 4;
-/// Packets that say that this member leaves.
-const FAREWELLS: usize = 32;
-/// A turn this much later than it was due, in probe time-outs, means that this member stood still.
-const STALL: u64 = 1;
-
-/// What a member is at its start.
+/// The most queued notes; further ones are dropped.
+const MAX_QUEUED_NOTES: usize = 256;
+/// The most queued packets, and the most queued events; further ones are dropped, as a network may drop packets.
+const MAX_QUEUED_OUTPUT: usize = 1_024;
+/// The most open probes relayed for other members.
+const MAX_RELAYED_PROBES: usize = 256;
+/// The most packets of claims in one table exchange; the next exchange continues where it ended.
+const MAX_SYNC_PACKETS: usize = 16;
+/// How far a claim may exceed the known incarnation: a claim of the highest incarnation could never be refuted.
+const MAX_INCARNATION_JUMP: u64 = 1 << 40;
+/// Confirmations that shorten a suspicion to its minimum (Lifeguard's K).
+const SUSPICION_CONFIRMATIONS: usize = 3;
+/// The most members included in a probe round that this one never received a packet from.
+const MAX_UNVERIFIED_PER_ROUND: usize = 8;
+/// Retried probes among the last sixteen from which the network counts as lossy.
+const LOSSY_RETRIES: u32 = 4;
+/// Members that a leaving member notifies directly.
+const LEAVE_NOTICES: usize = 32;
+/// Delay of a turn past its due time that counts as a stall of this process, in probe time-outs.
+const STALL_PROBE_TIMEOUTS: u64 = 1;
+
+/// The identity of a member at its start.
 #[derive(Clone, Debug)]
 pub struct Own {
-    /// Its name; no two dispatchers of a group may have the same.
+    /// The name, unique among the dispatchers of a group.
     pub name: Arc<str>,
-    /// Where others reach it.
+    /// The address at which others reach it.
     pub address: SocketAddr,
-    /// Its process: Unix milliseconds of its start times 65,536, and a random rest.
+    /// The process: Unix milliseconds of its start times 65,536, plus a random remainder.
     pub instance: u64,
-    /// Its first incarnation: Unix milliseconds. If the clock stepped back, what others remember raises it.
+    /// The first incarnation: Unix milliseconds. If the clock stepped back, the incarnation that others remember raises
+    /// it.
     pub incarnation: u64,
-    /// What it tells of itself.
+    /// The record that it publishes about itself.
     pub record: Record,
 }
 
-/// What became known.
+/// A change for the host to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member's state changed, or it is new: its name, what it was, what it is, and how that is known.
+    /// A member is new or changed state: its name, previous state, state, and the source of the information.
     Changed(Arc<str>, Option<State>, State, Source),
-    /// Somebody said that this member is suspect or failed; it denied that.
+    /// This member refuted a claim that it is suspect, failed or has left.
     Denied,
-    /// This member stood still for so long.
+    /// This process stalled for this time.
     Stalled(Micros),
-    /// The name is that of two processes, at these addresses.
+    /// Two processes use the same name, at these addresses.
     Conflict(Arc<str>, SocketAddr, SocketAddr),
-    /// This member's own name is another's, that began earlier: it stays quiet.
+    /// A process that started earlier has this member's name; this member sends nothing until it retries.
     Yielded,
-    /// This member stands otherwise to the group than before.
+    /// This member's connectivity to the group changed.
     Stands(Part),
 }
 
-/// What another part of the program said at another member.
+/// A message of another part of the program, received from another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// The member.
+    /// The sender.
     pub from: Arc<str>,
-    /// Its process.
+    /// The sender's process.
     pub instance: u64,
-    /// Which part of the program it is for.
+    /// The part of the program that it is for.
     pub channel: u8,
-    /// What it says. Danger: any bytes.
+    /// The content, not validated.
     pub bytes: Vec<u8>,
 }
 
@@ -89,229 +92,243 @@
     pub sent: u64,
     /// Bytes sent.
     pub sent_bytes: u64,
-    /// Packets taken.
+    /// Packets accepted.
     pub taken: u64,
-    /// Packets that could not be read, or are out of bounds.
+    /// Packets that are malformed or out of bounds.
     pub garbage: u64,
-    /// Packets of another version.
+    /// Packets of another protocol version.
     pub other_version: u64,
     /// Packets of another group.
     pub other_group: u64,
-    /// Packets that came again.
+    /// Replayed packets.
     pub replayed: u64,
-    /// Claims that no member could have made.
+    /// Claims with an implausibly high incarnation.
     pub absurd: u64,
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
-    /// Probes that nobody answered.
+    /// Probes without an ack.
     pub unanswered: u64,
-    /// Suspicions begun here.
+    /// Suspicions started by this member's probes.
     pub accusations: u64,
-    /// Times that this member denied being gone.
+    /// Refutations of claims about this member.
     pub denials: u64,
-    /// Times that it stood still.
+    /// Stalls of this process.
     pub stalls: u64,
-    /// Names seen at two addresses.
+    /// Name conflicts detected.
     pub conflicts: u64,
-    /// Claims for which there was no room.
+    /// Claims dropped because the table was full.
     pub crowded: u64,
 }
 
+/// The open probe.
 struct Probe {
     number: u64,
     target: Arc<str>,
-    sent: Micros,
-    /// When others are asked, and whether they were.
-    direct_until: Micros,
-    through_others: bool,
-    /// When it is asked again: one lost packet must not make a suspect.
-    again: Micros,
-    repeated: bool,
-    until: Micros,
+    sent_at: Micros,
+    /// When indirect probes start.
+    direct_deadline: Micros,
+    /// Whether indirect probes have been sent.
+    indirect: bool,
+    /// When the ping is sent again, so that one lost packet does not cause a suspicion.
+    retry_at: Micros,
+    retried: bool,
+    /// When the probe fails.
+    deadline: Micros,
 }
 
-/// A probe made for another.
-struct Sought {
-    /// The number that the other gave, and where it is.
+/// A probe made on behalf of another member.
+struct RelayedProbe {
+    /// The requester's probe number.
     number: u64,
-    asker: SocketAddr,
-    at: Micros,
+    requester: SocketAddr,
+    started_at: Micros,
 }
 
 /// One member's view of its group.
 pub struct Membership {
-    set: Settings,
+    settings: Settings,
     group: u64,
     own: Claim,
     load: u16,
     seeds: Vec<SocketAddr>,
     rng: Pcg32,
     now: Micros,
-    began: Micros,
-    stamp: u64,
-    number: u64,
+    started_at: Micros,
+    /// Sequence number of the last packet sent.
+    packet_sequence: u64,
+    last_probe_number: u64,
     table: Table,
     gossip: Gossip,
-    health: Health,
+    health: LocalHealth,
     probe: Option<Probe>,
-    sought: BTreeMap<u64, Sought>,
+    relayed_probes: BTreeMap<u64, RelayedProbe>,
     /// Members still to be probed in this round, in random order (SWIM 4.3).
-    round: Vec<Arc<str>>,
-    next_probe: Micros,
-    next_sync: Micros,
-    /// Where the next exchange of tables goes on.
-    page: usize,
-    /// When another first answered, or the patience for that was over.
-    joined: Option<Micros>,
-    /// The last sixteen probes: a bit for each that had to be sent again.
-    repeats: u16,
-    /// The last four probes: a bit for each that nobody answered.
-    recent: u8,
-    /// When the last packet came that answered something of ours, and when any came.
-    answered: Option<Micros>,
-    heard: Option<Micros>,
+    probe_round: Vec<Arc<str>>,
+    next_probe_at: Micros,
+    next_sync_at: Micros,
+    /// Index of the claim at which the next table exchange continues.
+    sync_offset: usize,
+    /// When another member first replied, or the join timeout expired.
+    joined_at: Option<Micros>,
+    /// The last sixteen probes: a bit is set for each that was retried or failed.
+    retry_history: u16,
+    /// The last eight probes: a bit is set for each that failed.
+    failure_history: u8,
+    /// When the last reply to a packet of this member came.
+    last_answered_at: Option<Micros>,
+    /// When the last packet of any known member came.
+    last_heard_at: Option<Micros>,
     /// Members that may be under suspicion.
     suspects: BTreeSet<Arc<str>>,
-    /// Members as they count for a share, by the table's count of changes.
-    counted: Option<(u64, (usize, usize))>,
-    /// Another process with our name, and how often it outdid us.
-    twin: Option<(u64, u32)>,
-    yielded: Option<Micros>,
+    /// The table's count revision, and the share counts computed from it.
+    cached_counts: Option<(u64, (usize, usize))>,
+    /// Another process with this member's name, and how many of its claims this one had to refute.
+    name_conflict: Option<(u64, u32)>,
+    yielded_at: Option<Micros>,
     left: bool,
-    held: Held,
-    part: Part,
+    held_divisor: HeldDivisor,
+    connectivity: Part,
     stats: Stats,
-    /// Packets to send, and where.
+    /// Packets to send, with their destinations.
     pub packets: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// What came for other parts of the program.
+    /// Notes received for other parts of the program.
     pub notes: VecDeque<Note>,
-    /// What became known.
+    /// Events for the host.
     pub events: VecDeque<Event>,
 }
 
 impl Membership {
-    /// One that knows nobody yet but the addresses of its seeds.
-    pub fn new(own: Own, set: Settings, seeds: Vec<SocketAddr>, seed: u64, now: Micros) -> Membership {
+    /// Creates a member that has no peers yet but the addresses of its seeds.
+    pub fn new(
+        own: Own,
+        settings: Settings,
+        seeds: Vec<SocketAddr>,
+        rng_seed: u64,
+        now: Micros,
+    ) -> Membership {
         let Own { name, address, instance, incarnation, record } = own;
         let own = Claim { name, address, instance, incarnation, state: State::Alive, record };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|s| *s != address).collect();
         Membership {
-            group: wire::group(&set.group),
+            group: wire::group(&settings.group),
             own,
             load: 0,
-            rng: Pcg32::seed_from_u64(seed),
+            rng: Pcg32::seed_from_u64(rng_seed),
             now,
-            began: now,
-            stamp: 0,
-            number: 0,
+            started_at: now,
+            packet_sequence: 0,
+            last_probe_number: 0,
             table: Table::default(),
             gossip: Gossip::default(),
-            health: Health::default(),
+            health: LocalHealth::default(),
             probe: None,
-            sought: BTreeMap::new(),
-            round: Vec::new(),
-            next_probe: now,
-            next_sync: now,
-            page: 0,
-            joined: None,
-            repeats: 0,
-            recent: 0,
-            answered: None,
-            heard: None,
+            relayed_probes: BTreeMap::new(),
+            probe_round: Vec::new(),
+            next_probe_at: now,
+            next_sync_at: now,
+            sync_offset: 0,
+            joined_at: None,
+            retry_history: 0,
+            failure_history: 0,
+            last_answered_at: None,
+            last_heard_at: None,
             suspects: BTreeSet::new(),
-            counted: None,
-            twin: None,
-            yielded: None,
+            cached_counts: None,
+            name_conflict: None,
+            yielded_at: None,
             left: false,
-            held: Held::default(),
-            part: Part::Joining,
+            held_divisor: HeldDivisor::default(),
+            connectivity: Part::Joining,
             stats: Stats::default(),
             packets: VecDeque::new(),
             notes: VecDeque::new(),
             events: VecDeque::new(),
             seeds,
-            set,
+            settings,
         }
     }
 
-    // ---- What is known ----
+    // ---- State ----
 
-    /// All others, by name.
+    /// Returns all other members, by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members.values()
     }
 
-    /// This member's claim about itself.
+    /// Returns this member's claim about itself.
     pub fn own(&self) -> &Claim {
         &self.own
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// How this member itself does: 0 is well, 8 the worst.
+    /// Returns the local health score: 0 is healthy, 8 the worst.
     pub fn health(&self) -> u32 {
         self.health.score()
     }
 
-    /// Claims that wait to be passed on.
+    /// Returns the number of claims queued for gossip.
     pub fn waiting(&self) -> usize {
         self.gossip.len()
     }
 
-    /// The digest of this member's view.
+    /// Returns the digest of this member's view.
     pub fn digest(&self) -> u64 {
-        self.table.digest() ^ wire::digest(&self.own)
+        self.table.digest() ^ wire::claim_digest(&self.own)
     }
 
-    /// Members that are alive or suspect, this one among them.
+    /// Returns the number of members that are alive or suspect, this one included.
     pub fn alive(&self) -> usize {
         self.table.counts().0 + 1
     }
 
-    /// How this member stands, and whether the views agree.
+    /// Returns this member's connectivity, and whether the views of the group agree.
     pub fn agreement(&self) -> Agreement {
         let digest = self.digest();
         let (up, silent) = self.table.counts();
         let same = self.members().filter(|m| m.is_up() && m.heard.is_some() && m.digest == digest).count();
-        Agreement { part: self.part, digest, alive: up + 1, silent, same }
+        Agreement { part: self.connectivity, digest, alive: up + 1, silent, same }
     }
 
-    /// A common budget is divided by this here: rises at once, falls after the hold ([`crate::standing`]).
+    /// Returns the divisor of a common budget for this member: rises at once, falls after the hold time
+    /// ([`crate::standing`]).
     pub fn divisor(&mut self, now: Micros) -> usize {
         self.now = self.now.max(now);
-        self.stand();
-        let (up, silent) = self.counted();
-        let part = if self.yielded.is_some() { Part::Joining } else { self.part };
-        // Danger: one that is cut off takes time to find all others silent. Two of its last four probes without an answer
-        // are enough to take no more than one of `expected`; one that never met another may be cut off from its start.
-        let sure = (self.recent & 0xf).count_ones() < 2 && self.answered.is_some();
-        let raw = divisor(part, sure, up, silent, self.set.expected);
-        self.held.update(self.now, self.set.hold, raw)
+        self.update_connectivity();
+        let (up, failed) = self.share_counts();
+        let connectivity = if self.yielded_at.is_some() { Part::Joining } else { self.connectivity };
+        // A partitioned member takes time to mark all others as failed. Two failures among its last four probes already
+        // limit it to one of `expected` shares. A member that never had a reply may have been partitioned since its
+        // start.
+        let well_connected = (self.failure_history & 0xf).count_ones() < 2 && self.last_answered_at.is_some();
+        let raw = divisor(connectivity, well_connected, up, failed, self.settings.expected);
+        self.held_divisor.update(self.now, self.settings.hold, raw)
     }
 
-    /// The place of this member among those that hold a part, by name: from 0, under the divisor.
+    /// Returns this member's index, by name, among the members that hold a share: from 0, below the divisor.
     pub fn place(&self) -> usize {
         self.members().filter(|m| m.state != State::Left && m.name < self.own.name).count()
     }
 
-    /// When something is next to be done.
+    /// Returns when [`Membership::advance`] is next due.
     pub fn due(&self) -> Micros {
-        // The next probe waits for the one that is open.
-        let open = |p: &Probe| p.until.min(p.direct_until).min(p.again);
-        let probe = self.probe.as_ref().map_or(self.next_probe, open);
-        let suspect = |name| self.table.members.get(name)?.suspicion.as_ref();
-        let suspicions = self.suspects.iter().filter_map(suspect).map(|s| s.due(ENOUGH));
-        let joining = self.joined.is_none().then_some(self.began + self.set.join_patience);
-        let all = suspicions.chain(joining).chain([probe, self.next_sync, self.held.due()]);
+        // The next probe starts only after the open one has ended.
+        let open = |p: &Probe| p.deadline.min(p.direct_deadline).min(p.retry_at);
+        let probe = self.probe.as_ref().map_or(self.next_probe_at, open);
+        let suspicion = |name| self.table.members.get(name)?.suspicion.as_ref();
+        let suspicions =
+            self.suspects.iter().filter_map(suspicion).map(|s| s.deadline(SUSPICION_CONFIRMATIONS));
+        let joining = self.joined_at.is_none().then_some(self.started_at + self.settings.join_patience);
+        let all = suspicions.chain(joining).chain([probe, self.next_sync_at, self.held_divisor.due()]);
         if self.left { Micros::MAX } else { all.min().unwrap_or(Micros::MAX) }
     }
 
-    // ---- What the host tells ----
+    // ---- Input ----
 
-    /// Tells others something new of this member.
+    /// Updates the load, and the record that this member publishes; a changed record raises its incarnation.
     pub fn tell(&mut self, record: Record, load: u16) {
         self.load = load.min(1_000);
         if record != self.own.record {
@@ -321,26 +338,31 @@
         }
     }
 
-    /// Takes in members that the host knows from elsewhere. They are as good as told by others, and are not passed on.
+    /// Merges members that the host has learned of elsewhere, with the same trust as claims by others, and does not
+    /// gossip them.
     pub fn introduce<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
         self.now = self.now.max(now);
         for claim in claims.filter(|c| c.name != self.own.name) {
-            self.table.merge(self.now, claim, Source::Told, self.set.most_members);
+            self.table.merge(self.now, claim, Source::Told, self.settings.most_members);
         }
     }
 
-    /// Tells one member something for another part of the program; false if it is not up, or this is too long. It may get
-    /// lost, come late, or come out of order, and never comes twice to one process.
+    /// Sends a message of another part of the program to one member. Returns false if that member is not up, this one
+    /// has left, or the message is too long. Delivery is at most once per process, and may be late or out of order.
     pub fn note(&mut self, now: Micros, to: &str, channel: u8, bytes: Vec<u8>) -> bool {
         self.now = self.now.max(now);
-        let up =
-            self.table.members.get(to).filter(|m| m.is_up() && bytes.len() <= wire::MOST_NOTE && !self.left);
-        let Some(address) = up.map(|m| m.address) else { return false };
+        let recipient = self
+            .table
+            .members
+            .get(to)
+            .filter(|m| m.is_up() && bytes.len() <= wire::MAX_NOTE_BYTES && !self.left);
+        let Some(address) = recipient.map(|m| m.address) else { return false };
         self.send(address, &Body::Note { channel, bytes }, None);
         true
     }
 
-    /// Leaves on purpose: some are told at once, they tell the rest. Nothing is sent or taken after this.
+    /// Leaves the group: notifies up to [`LEAVE_NOTICES`] members, whose gossip reaches the rest. Nothing is sent or
+    /// accepted after this.
     pub fn leave(&mut self, now: Micros) {
         if self.left {
             return;
@@ -349,14 +371,14 @@
         self.own.state = State::Left;
         let mut to = self.up_addresses();
         self.shuffle(&mut to);
-        let quiet = self.yielded.is_some();
-        for address in to.into_iter().take(if quiet { 0 } else { FAREWELLS }) {
+        let quiet = self.yielded_at.is_some();
+        for address in to.into_iter().take(if quiet { 0 } else { LEAVE_NOTICES }) {
             self.send(address, &Body::Claims, None);
         }
         self.left = true;
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn advance(&mut self, now: Micros) {
         if self.left {
             return;
@@ -364,68 +386,69 @@
         let due = self.due();
         self.now = self.now.max(now);
         let late = self.now.saturating_sub(due);
-        // Danger: one that stood still would hold others to account for its own silence. What was open is dropped, and
-        // suspicions run on only for the time in which a denial could have been heard.
-        if late > STALL * self.set.probe_timeout && due > 0 {
+        // Acks that this process had no time to receive during a stall are no evidence against other members. Open
+        // probes are dropped, and suspicions are extended by the stall, as no refutation could be received during it.
+        if late > STALL_PROBE_TIMEOUTS * self.settings.probe_timeout && due > 0 {
             self.stats.stalls += 1;
-            self.health.stalled();
+            self.health.degrade_after_stall();
             self.probe = None;
-            self.sought.clear();
+            self.relayed_probes.clear();
             for name in &self.suspects {
                 let member = self.table.members.get_mut(name);
-                member.and_then(|m| m.suspicion.as_mut()).into_iter().for_each(|s| s.began += late);
+                member.and_then(|m| m.suspicion.as_mut()).into_iter().for_each(|s| s.started_at += late);
             }
-            self.next_probe = self.now;
-            self.event(Event::Stalled(late));
+            self.next_probe_at = self.now;
+            self.push_event(Event::Stalled(late));
         }
-        if self.now >= self.began + self.set.join_patience {
-            self.joined.get_or_insert(self.now);
+        if self.now >= self.started_at + self.settings.join_patience {
+            self.joined_at.get_or_insert(self.now);
         }
-        // One that stayed quiet for long looks again whether its name is free.
-        if self.yielded.is_some_and(|since| self.now >= since + 4 * self.set.hold) {
-            (self.yielded, self.twin) = (None, None);
+        // A member that yielded its name retries after four hold times.
+        if self.yielded_at.is_some_and(|since| self.now >= since + 4 * self.settings.hold) {
+            (self.yielded_at, self.name_conflict) = (None, None);
         }
-        self.probes();
-        self.suspicions();
-        if self.now >= self.next_sync {
-            self.next_sync = self.now + self.set.sync_every / 2 + self.below(self.set.sync_every);
-            self.sync();
-            self.forget();
+        self.run_probes();
+        self.expire_suspicions();
+        if self.now >= self.next_sync_at {
+            self.next_sync_at =
+                self.now + self.settings.sync_every / 2 + self.random_below(self.settings.sync_every);
+            self.sync_tables();
+            self.remove_departed();
         }
-        self.stand();
+        self.update_connectivity();
     }
 
-    /// Takes a packet in.
+    /// Handles a packet received from `from`.
     pub fn received(&mut self, now: Micros, from: SocketAddr, packet: &[u8]) {
         self.now = self.now.max(now);
         if self.left {
             return;
         }
-        let Packet { header, body, claims } = match wire::read(packet, self.group) {
+        let Packet { header, body, claims } = match wire::decode(packet, self.group) {
             Ok(packet) => packet,
-            Err(why) => {
-                *match why {
-                    Unread::Garbage | Unread::Bounds => &mut self.stats.garbage,
-                    Unread::Version(_) => &mut self.stats.other_version,
-                    Unread::Group => &mut self.stats.other_group,
+            Err(error) => {
+                *match error {
+                    DecodeError::Malformed | DecodeError::OutOfBounds => &mut self.stats.garbage,
+                    DecodeError::OtherVersion(_) => &mut self.stats.other_version,
+                    DecodeError::OtherGroup => &mut self.stats.other_group,
                 } += 1;
                 return;
             }
         };
         let sender = header.own.name.clone();
         if sender == self.own.name {
-            // Our own packet come back, or a twin's: claims about our name tell which.
+            // Either a packet of this process that came back, or one of another process with the same name.
             if header.own.instance != self.own.instance {
-                self.about_own(&header.own);
+                self.handle_own_claim(&header.own);
             }
             return;
         }
-        if !self.listen(&header, from) {
+        if !self.record_sender(&header, from) {
             return;
         }
         self.stats.taken += 1;
         for claim in claims.iter().take(128) {
-            self.claim(claim, Source::Told, &sender);
+            self.apply_claim(claim, Source::Told, &sender);
         }
         match body {
             Body::Ping { number, target } => {
@@ -433,36 +456,37 @@
                     self.reply(from, &Body::Ack { number }, &sender);
                 }
             }
-            Body::Ack { number } => self.answer(number, &sender),
-            Body::Seek { number, target, .. } => self.seek(number, from, target),
+            Body::Ack { number } => self.handle_ack(number, &sender),
+            Body::PingRequest { number, target, .. } => self.relay_probe(number, from, target),
             Body::Hello { answer } => {
                 let same = header.digest == self.digest();
                 if !answer {
                     self.reply(from, &Body::Hello { answer: true }, &sender);
                 } else {
-                    self.met();
+                    self.record_reply();
                 }
-                // Who asked goes on, so that one exchange is under way and not two.
+                // Only the member that sent the request continues, so that one exchange runs instead of two.
                 if !same && answer {
-                    self.differ(from, &sender);
+                    self.compare_buckets(from, &sender);
                 }
             }
-            Body::Differ { marks, answer } => {
+            Body::CompareBuckets { digests, answer } => {
                 if let Some(member) = self.table.members.get_mut(&sender) {
-                    member.compares = Compares::Yes;
+                    member.bucket_sync = BucketSync::Supported;
                 }
-                let own = self.marks();
+                let own = self.bucket_digests();
                 if !answer {
-                    self.reply(from, &Body::Differ { marks: own.to_vec(), answer: true }, &sender);
+                    let digests = own.to_vec();
+                    self.reply(from, &Body::CompareBuckets { digests, answer: true }, &sender);
                 }
                 let differs = |name: &str| {
-                    let mark = wire::mark_of(name);
-                    marks.get(mark) != Some(&own[mark])
+                    let bucket = wire::bucket_of(name);
+                    digests.get(bucket) != Some(&own[bucket])
                 };
-                self.pages(from, differs);
+                self.send_claims(from, differs);
             }
             Body::Note { channel, bytes } => {
-                if self.notes.len() < MOST_NOTES {
+                if self.notes.len() < MAX_QUEUED_NOTES {
                     self.notes.push_back(Note {
                         from: sender,
                         instance: header.own.instance,
@@ -473,99 +497,105 @@
             }
             Body::Claims => {}
         }
-        self.stand();
+        self.update_connectivity();
     }
 
-    /// Takes note of the sender of a packet; false if the packet is a replay.
-    fn listen(&mut self, header: &Header, from: SocketAddr) -> bool {
+    /// Updates the sender of a packet in the table. Returns false if the packet is a replay.
+    fn record_sender(&mut self, header: &Header, from: SocketAddr) -> bool {
         let mut own = header.own.clone();
-        // Where it is heard is where it is; a member behind a relay may not know.
+        // The observed address takes precedence: a member behind a relay may not have its own.
         own.address = from;
         if own.state != State::Left {
             own.state = State::Alive;
         }
         if let Some(known) = self.table.members.get_mut(&own.name) {
             if own.instance == known.instance {
-                if !known.window.take(self.now, header.stamp) {
+                if !known.replay_window.accept(self.now, header.stamp) {
                     self.stats.replayed += 1;
                     return false;
                 }
                 if known.heard.replace(self.now).is_none() {
-                    self.table.changes += 1;
+                    self.table.count_revision += 1;
                 }
-                self.heard = Some(self.now);
+                self.last_heard_at = Some(self.now);
                 if known.is_up() {
                     known.address = from;
                 }
             } else if known.is_up()
-                && known.heard.is_some_and(|at| at + self.set.hold > self.now)
+                && known.heard.is_some_and(|at| at + self.settings.hold > self.now)
                 && known.address != from
             {
                 let (name, old) = (own.name.clone(), known.address);
                 if own.incarnation > known.incarnation {
                     self.stats.conflicts += 1;
-                    self.event(Event::Conflict(name, old, from));
+                    self.push_event(Event::Conflict(name, old, from));
                 }
             }
         }
-        self.claim(&own, Source::Direct, &own.name);
+        self.apply_claim(&own, Source::Direct, &own.name);
         if let Some(known) = self.table.members.get_mut(&own.name)
             && known.instance == own.instance
         {
             if known.heard.replace(self.now).is_none() {
-                self.table.changes += 1;
+                self.table.count_revision += 1;
             }
-            self.heard = Some(self.now);
-            known.window.take(self.now, header.stamp);
+            self.last_heard_at = Some(self.now);
+            known.replay_window.accept(self.now, header.stamp);
             (known.digest, known.load) = (header.digest, header.load);
         }
         true
     }
 
-    // ---- Where this member stands ----
+    // ---- Connectivity ----
 
-    fn stand(&mut self) {
-        let (up, silent) = self.table.counts();
-        let window = self.set.hold;
+    /// Derives this member's connectivity from the table and from the last packets and replies.
+    fn update_connectivity(&mut self) {
+        let (up, failed) = self.table.counts();
+        let window = self.settings.hold;
         let recent = |at: Option<Micros>| at.is_some_and(|at| at + window > self.now);
-        // Others are up in the table until they have failed there; one that nobody answers may not rely on it.
-        let answering =
-            if up == 0 || recent(self.answered) || self.now < self.began + window { up } else { 0 };
-        let heard = recent(self.heard);
-        // The rest of the group must have heard of one that joins before it takes a part.
-        let joined = self.joined.is_some_and(|at| at + window <= self.now);
-        let part = Part::of(joined, up + silent, answering, heard);
-        if part != self.part {
-            self.part = part;
-            self.event(Event::Stands(part));
+        // Members stay up in the table until their suspicion expires; a member that has had no reply within the hold
+        // time must not count them as answering.
+        let answering = if up == 0 || recent(self.last_answered_at) || self.now < self.started_at + window {
+            up
+        } else {
+            0
+        };
+        let heard = recent(self.last_heard_at);
+        // A joining member takes no share until the hold time has passed, in which the rest of the group learns of it.
+        let joined = self.joined_at.is_some_and(|at| at + window <= self.now);
+        let connectivity = Part::of(joined, up + failed, answering, heard);
+        if connectivity != self.connectivity {
+            self.connectivity = connectivity;
+            self.push_event(Event::Stands(connectivity));
         }
     }
 
-    // ---- Sending ----
+    // ---- Output ----
 
+    /// Replies to a packet. A sender that is not alive in the table gets that claim first, so that it can refute it.
     fn reply(&mut self, to: SocketAddr, body: &Body, sender: &Arc<str>) {
-        // One that we hold for gone hears of it first, and can deny it.
         let known = self.table.members.get(sender).filter(|m| m.state != State::Alive).map(Member::claim);
         self.send(to, body, known);
     }
 
+    /// Sends a packet with queued gossip, and `first` before all of it.
     fn send(&mut self, to: SocketAddr, body: &Body, first: Option<Claim>) {
         let claims = self.gossip.next(first);
-        let count = self.post(to, body, &claims);
-        let copies = self.set.copies(self.table.counts().0);
-        self.gossip.sent(&claims[..count], copies);
+        let count = self.enqueue_packet(to, body, &claims);
+        let max_transmissions = self.settings.max_transmissions(self.table.counts().0);
+        self.gossip.record_sent(&claims[..count], max_transmissions);
     }
 
-    /// Writes a packet; the number of claims in it.
-    fn post(&mut self, to: SocketAddr, body: &Body, claims: &[Claim]) -> usize {
-        if self.yielded.is_some() || self.packets.len() >= MOST_OUT {
+    /// Encodes and queues a packet. Returns the number of claims in it.
+    fn enqueue_packet(&mut self, to: SocketAddr, body: &Body, claims: &[Claim]) -> usize {
+        if self.yielded_at.is_some() || self.packets.len() >= MAX_QUEUED_OUTPUT {
             return 0;
         }
-        self.stamp += 1;
+        self.packet_sequence += 1;
         let header = Header {
             group: self.group,
             own: self.own.clone(),
-            stamp: self.stamp,
+            stamp: self.packet_sequence,
             digest: self.digest(),
             alive: (self.table.counts().0 + 1).min(usize::from(u16::MAX)) as u16,
             load: self.load,
@@ -577,8 +607,8 @@
         count
     }
 
-    fn event(&mut self, event: Event) {
-        if self.events.len() < MOST_OUT {
+    fn push_event(&mut self, event: Event) {
+        if self.events.len() < MAX_QUEUED_OUTPUT {
             self.events.push_back(event);
         }
     }
@@ -587,18 +617,19 @@
         self.members().filter(|m| m.is_up()).map(|m| m.address).collect()
     }
 
-    fn number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+    fn next_probe_number(&mut self) -> u64 {
+        self.last_probe_number += 1;
+        self.last_probe_number
     }
 
-    fn below(&mut self, most: u64) -> u64 {
-        if most == 0 { 0 } else { u64::from(self.rng.next_u32()) % most }
+    /// Returns a random number below `bound`; 0 if that is 0.
+    fn random_below(&mut self, bound: u64) -> u64 {
+        if bound == 0 { 0 } else { u64::from(self.rng.next_u32()) % bound }
     }
 
     fn shuffle<T>(&mut self, list: &mut [T]) {
         for at in (1..list.len()).rev() {
-            let other = self.below(at as u64 + 1) as usize;
+            let other = self.random_below(at as u64 + 1) as usize;
             list.swap(at, other);
         }
     }
--- a/crates/membership/src/machine/claims.rs
+++ b/crates/membership/src/machine/claims.rs
@@ -1,141 +1,152 @@
-//! What others claim of members, and what this member answers to claims about itself.
+//! Merging claims about members into the table: suspicion, confirmation and expiry (SWIM 4.2, Lifeguard), and
+//! refutation of claims about this member. A claim may be forged, so its incarnation and its power to mark a member as
+//! failed are bounded.
 
-use super::{ENOUGH, Event, MOST_AHEAD, Membership};
+use super::{Event, MAX_INCARNATION_JUMP, Membership, SUSPICION_CONFIRMATIONS};
 use crate::table::{Change, Member, Source, Suspicion};
 use crate::wire::{Claim, State};
 use std::sync::Arc;
 
 impl Membership {
-    pub(super) fn claim(&mut self, claim: &Claim, source: Source, by: &Arc<str>) {
+    /// Merges a claim made by `accuser` into the table, and gossips it if it is news.
+    pub(super) fn apply_claim(&mut self, claim: &Claim, source: Source, accuser: &Arc<str>) {
         if claim.name == self.own.name {
-            return self.about_own(claim);
+            return self.handle_own_claim(claim);
         }
         let known = self.table.members.get(&claim.name);
         let base = known.map_or(self.own.incarnation, |m| m.incarnation);
-        if claim.incarnation > base.saturating_add(MOST_AHEAD) {
+        if claim.incarnation > base.saturating_add(MAX_INCARNATION_JUMP) {
             self.stats.absurd += 1;
             return;
         }
         let mut claim = claim.clone();
         if let Some(known) = known {
-            // A second accuser shortens the suspicion.
+            // An independent accusation of the same incarnation confirms the suspicion and shortens it.
             if claim.state == State::Suspect
                 && known.state == State::Suspect
                 && claim.incarnation == known.incarnation
                 && source == Source::Told
             {
-                return self.confirm(&claim.name, by);
+                return self.confirm_suspicion(&claim.name, accuser);
             }
-            // Danger: a peer that lies, or one that is cut off itself, calls others gone. Whom we hear ourselves is at
-            // the most suspect, and may deny it.
-            let heard = known.heard.is_some_and(|at| at + self.set.probe_every * 4 > self.now);
-            if claim.state == State::Failed && source == Source::Told && known.is_up() && heard {
+            // A malicious peer, or one that is itself partitioned, may report live members as failed. A member that
+            // this one has received packets from recently becomes suspect at most, so that it can refute the claim.
+            let heard_recently = known.heard.is_some_and(|at| at + self.settings.probe_every * 4 > self.now);
+            if claim.state == State::Failed && source == Source::Told && known.is_up() && heard_recently {
                 claim.state = State::Suspect;
             }
         } else if matches!(claim.state, State::Left) {
             return;
         }
-        let change = self.table.merge(self.now, &claim, source, self.set.most_members);
-        let was = match change {
-            Change::None => return,
-            Change::Full => {
+        let change = self.table.merge(self.now, &claim, source, self.settings.most_members);
+        let previous = match change {
+            Change::Unchanged => return,
+            Change::TableFull => {
                 self.stats.crowded += 1;
                 return;
             }
-            Change::New => None,
-            Change::Was(state) => Some(state),
+            Change::Added => None,
+            Change::Updated(state) => Some(state),
         };
         if claim.state == State::Suspect {
-            self.suspect(&claim.name, by);
+            self.start_suspicion(&claim.name, accuser);
         }
-        if was != Some(claim.state) {
-            self.event(Event::Changed(claim.name.clone(), was, claim.state, source));
+        if previous != Some(claim.state) {
+            self.push_event(Event::Changed(claim.name.clone(), previous, claim.state, source));
         }
         self.gossip.add(claim);
     }
 
-    /// Somebody says something of this member.
-    pub(super) fn about_own(&mut self, claim: &Claim) {
-        if claim.incarnation > self.own.incarnation.saturating_add(MOST_AHEAD) {
+    /// Handles a claim about this member's name: refutes it with a higher incarnation, or detects that another process
+    /// uses the same name.
+    pub(super) fn handle_own_claim(&mut self, claim: &Claim) {
+        if claim.incarnation > self.own.incarnation.saturating_add(MAX_INCARNATION_JUMP) {
             self.stats.absurd += 1;
             return;
         }
-        let outdone = claim.incarnation >= self.own.incarnation;
+        let must_refute = claim.incarnation >= self.own.incarnation;
         if claim.instance != self.own.instance {
-            if !outdone {
+            if !must_refute {
                 return;
             }
-            // What is left of an earlier process never comes again with a higher incarnation; a twin does, each time.
-            let times = match self.twin {
+            // A remnant of an earlier process never returns with an incarnation above the one that refuted it; a live
+            // process of the same name does each time.
+            let times = match self.name_conflict {
                 Some((instance, times)) if instance == claim.instance => times + 1,
                 _ => 1,
             };
-            self.twin = Some((claim.instance, times));
+            self.name_conflict = Some((claim.instance, times));
             if times >= 2 && claim.state == State::Alive {
                 if times == 2 {
                     self.stats.conflicts += 1;
-                    self.event(Event::Conflict(self.own.name.clone(), self.own.address, claim.address));
+                    self.push_event(Event::Conflict(self.own.name.clone(), self.own.address, claim.address));
                 }
                 if claim.instance < self.own.instance {
-                    if self.yielded.is_none() {
-                        self.event(Event::Yielded);
+                    if self.yielded_at.is_none() {
+                        self.push_event(Event::Yielded);
                     }
-                    self.yielded = Some(self.now);
+                    self.yielded_at = Some(self.now);
                     return;
                 }
             }
-        } else if claim.state == State::Alive || !outdone {
+        } else if claim.state == State::Alive || !must_refute {
             return;
         } else {
             self.stats.denials += 1;
-            self.health.ill();
-            self.event(Event::Denied);
+            self.health.degrade();
+            self.push_event(Event::Denied);
         }
         self.own.incarnation = claim.incarnation + 1;
         self.gossip.add(self.own.clone());
     }
 
-    pub(super) fn suspect(&mut self, name: &Arc<str>, by: &Arc<str>) {
-        let (least, most) = self.set.suspicion(self.table.counts().0);
-        let (least, most) = (self.health.stretch(least), self.health.stretch(most));
+    /// Starts the suspicion timer of a member.
+    pub(super) fn start_suspicion(&mut self, name: &Arc<str>, accuser: &Arc<str>) {
+        let (min_duration, max_duration) = self.settings.suspicion_bounds(self.table.counts().0);
+        let (min_duration, max_duration) = (self.health.scale(min_duration), self.health.scale(max_duration));
         if let Some(member) = self.table.members.get_mut(name) {
-            let by = vec![by.clone()];
-            member.suspicion = Some(Suspicion { began: self.now, least, most, by });
+            let accusers = vec![accuser.clone()];
+            member.suspicion = Some(Suspicion { started_at: self.now, min_duration, max_duration, accusers });
             self.suspects.insert(name.clone());
         }
     }
 
-    pub(super) fn confirm(&mut self, name: &Arc<str>, by: &Arc<str>) {
+    /// Records another accuser of a suspect, which shortens the suspicion.
+    pub(super) fn confirm_suspicion(&mut self, name: &Arc<str>, accuser: &Arc<str>) {
         let Some(suspicion) = self.table.members.get_mut(name).and_then(|m| m.suspicion.as_mut()) else {
             return;
         };
-        if suspicion.by.len() <= ENOUGH && !suspicion.by.contains(by) {
-            suspicion.by.push(by.clone());
+        if suspicion.accusers.len() <= SUSPICION_CONFIRMATIONS && !suspicion.accusers.contains(accuser) {
+            suspicion.accusers.push(accuser.clone());
         }
     }
 
-    pub(super) fn suspicions(&mut self) {
+    /// Marks suspects as failed whose suspicion has expired.
+    pub(super) fn expire_suspicions(&mut self) {
         let members = &self.table.members;
         self.suspects.retain(|name| members.get(name).is_some_and(|m| m.suspicion.is_some()));
-        let over = |m: &&Member| m.suspicion.as_ref().is_some_and(|s| s.due(ENOUGH) <= self.now);
+        let expired = |m: &&Member| {
+            m.suspicion.as_ref().is_some_and(|s| s.deadline(SUSPICION_CONFIRMATIONS) <= self.now)
+        };
+        let heard_since =
+            |m: &Member| m.suspicion.as_ref().is_some_and(|s| m.heard.is_some_and(|at| at > s.started_at));
         let due: Vec<(Claim, bool)> = (self.suspects.iter())
             .filter_map(|name| members.get(name))
-            .filter(over)
-            .map(|m| {
-                (m.claim(), m.suspicion.as_ref().is_some_and(|s| m.heard.is_some_and(|at| at > s.began)))
-            })
+            .filter(expired)
+            .map(|m| (m.claim(), heard_since(m)))
             .collect();
         for (mut claim, heard) in due {
-            // Danger: one that hears and is not heard would call all others gone. Who speaks to us lives.
+            // A member whose outbound packets are lost gets no acks and would mark all others as failed. A suspect that
+            // a packet has been received from since is alive, so its suspicion restarts.
             if heard {
                 let now = self.now;
                 let member = self.table.members.get_mut(&claim.name);
-                member.and_then(|m| m.suspicion.as_mut()).into_iter().for_each(|s| s.began = now);
+                member.and_then(|m| m.suspicion.as_mut()).into_iter().for_each(|s| s.started_at = now);
                 continue;
             }
             claim.state = State::Failed;
             let own = self.own.name.clone();
-            self.claim(&claim, Source::Probe, &own);
+            self.apply_claim(&claim, Source::Probe, &own);
         }
     }
 }
--- a/crates/membership/src/machine/exchange.rs
+++ b/crates/membership/src/machine/exchange.rs
@@ -1,15 +1,17 @@
-//! Tables compared with other members, so that cuts heal; and what is forgotten or counted of a table.
+//! Anti-entropy: periodic comparison of tables with other members, which merges the views after a partition heals. Also
+//! removes members that left, and counts members for the budget share. Tables are compared by the digests of their
+//! buckets; an exchange sends at most [`MAX_SYNC_PACKETS`] packets of claims.
 
-use super::{MOST_PAGES, MOST_STRANGERS, Membership};
-use crate::table::{Compares, Member};
-use crate::wire::{self, Body, Claim, MARKS, State};
+use super::{MAX_SYNC_PACKETS, MAX_UNVERIFIED_PER_ROUND, Membership};
+use crate::table::{BucketSync, Member};
+use crate::wire::{self, BUCKETS, Body, Claim, State};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 impl Membership {
-    /// Compares tables with one that is up, and with one that seems gone or a seed: so cuts heal.
-    pub(super) fn sync(&mut self) {
-        if self.yielded.is_some() {
+    /// Starts a table exchange with a member that is up, and with a failed member or a seed, so that partitions heal.
+    pub(super) fn sync_tables(&mut self) {
+        if self.yielded_at.is_some() {
             return;
         }
         let heard = |m: &&Member| m.heard.is_some();
@@ -19,98 +21,102 @@
             up = self.up_addresses();
         }
         let known: Vec<SocketAddr> = self.members().map(|m| m.address).collect();
-        let failed = |spoke: bool| {
-            let of = self.members().filter(move |m| m.state == State::Failed && m.heard.is_some() == spoke);
-            of.map(|m| m.address).collect::<Vec<SocketAddr>>()
+        let failed = |was_heard: bool| {
+            let failed =
+                self.members().filter(move |m| m.state == State::Failed && m.heard.is_some() == was_heard);
+            failed.map(|m| m.address).collect::<Vec<SocketAddr>>()
         };
-        // Of those that never spoke one is tried now and then, as they may be made up.
-        let (mut lost, strangers) = (failed(true), failed(false));
-        if lost.is_empty() || self.page.is_multiple_of(4) {
-            lost.extend(strangers.into_iter().take(MOST_STRANGERS));
+        // Failed members that never sent a packet may be forged: a few of them are candidates where there are no
+        // others, or where the offset of the claim exchange is a multiple of four.
+        let (mut unreachable, unverified) = (failed(true), failed(false));
+        if unreachable.is_empty() || self.sync_offset.is_multiple_of(4) {
+            unreachable.extend(unverified.into_iter().take(MAX_UNVERIFIED_PER_ROUND));
         }
-        lost.extend(self.seeds.iter().filter(|s| !known.contains(s)));
-        for mut list in [up, lost] {
+        unreachable.extend(self.seeds.iter().filter(|s| !known.contains(s)));
+        for mut list in [up, unreachable] {
             self.shuffle(&mut list);
-            // Everyone that seems gone is tried within some rounds, however many there are.
-            let most = if self.joined.is_some() { 1 } else { 3 };
-            for to in list.into_iter().take(most) {
+            // A random choice reaches every unreachable member within some rounds, however many there are.
+            let limit = if self.joined_at.is_some() { 1 } else { 3 };
+            for to in list.into_iter().take(limit) {
                 self.send(to, &Body::Hello { answer: false }, None);
             }
         }
     }
 
-    /// The digests of the parts of this member's view.
-    pub(super) fn marks(&self) -> [u32; MARKS] {
-        let mut marks = self.table.marks();
-        marks[wire::mark_of(&self.own.name)] ^= wire::digest(&self.own) as u32;
-        marks
+    /// Returns the digest of each bucket of the table, with this member's own claim included.
+    pub(super) fn bucket_digests(&self) -> [u32; BUCKETS] {
+        let mut digests = self.table.bucket_digests();
+        digests[wire::bucket_of(&self.own.name)] ^= wire::claim_digest(&self.own) as u32;
+        digests
     }
 
-    /// Finds out with another in which parts the tables differ; or sends all, to one that does not know how.
-    pub(super) fn differ(&mut self, to: SocketAddr, name: &Arc<str>) {
+    /// Sends the bucket digests to a member whose table differs; all claims too, if an earlier comparison had no reply.
+    pub(super) fn compare_buckets(&mut self, to: SocketAddr, name: &Arc<str>) {
         let Some(member) = self.table.members.get_mut(name) else { return };
-        let unanswered = member.compares == Compares::Asked;
-        if member.compares == Compares::Untold {
-            member.compares = Compares::Asked;
+        let unanswered = member.bucket_sync == BucketSync::Requested;
+        if member.bucket_sync == BucketSync::Unknown {
+            member.bucket_sync = BucketSync::Requested;
         }
-        let marks = self.marks().to_vec();
-        self.send(to, &Body::Differ { marks, answer: false }, None);
+        let digests = self.bucket_digests().to_vec();
+        self.send(to, &Body::CompareBuckets { digests, answer: false }, None);
         if unanswered {
-            self.pages(to, |_| true);
+            self.send_claims(to, |_| true);
         }
     }
 
-    /// Sends all such claims, or as many as an exchange may have.
-    pub(super) fn pages(&mut self, to: SocketAddr, which: impl Fn(&str) -> bool) {
-        let listed = self.members().filter(|m| m.state != State::Left && which(&m.name));
+    /// Sends the claims about the selected names, up to the limit of one exchange; the next exchange continues there.
+    pub(super) fn send_claims(&mut self, to: SocketAddr, selected: impl Fn(&str) -> bool) {
+        let listed = self.members().filter(|m| m.state != State::Left && selected(&m.name));
         let mut all: Vec<Claim> = listed.map(Member::claim).collect();
         if all.is_empty() {
             return;
         }
-        let from = self.page % all.len();
+        let from = self.sync_offset % all.len();
         all.rotate_left(from);
         let mut rest = &all[..];
-        for _ in 0..MOST_PAGES {
+        for _ in 0..MAX_SYNC_PACKETS {
             if rest.is_empty() {
                 break;
             }
-            let count = self.post(to, &Body::Claims, rest);
+            let count = self.enqueue_packet(to, &Body::Claims, rest);
             if count == 0 {
                 break;
             }
             rest = &rest[count..];
         }
-        self.page = if rest.is_empty() { 0 } else { from + all.len() - rest.len() };
+        self.sync_offset = if rest.is_empty() { 0 } else { from + all.len() - rest.len() };
     }
 
-    /// Forgets those that left long ago. One that fell silent is kept: it may come back, and holds its part.
-    pub(super) fn forget(&mut self) {
-        let old = |m: &&Member| m.state == State::Left && m.since + self.set.forget <= self.now;
-        let gone: Vec<Arc<str>> = self.members().filter(old).map(|m| m.name.clone()).collect();
-        gone.iter().for_each(|name| self.table.forget(name));
+    /// Removes members that left longer ago than the retention period. Failed members stay: they may return, and keep
+    /// their share of the budget.
+    pub(super) fn remove_departed(&mut self) {
+        let old = |m: &&Member| m.state == State::Left && m.since + self.settings.forget <= self.now;
+        let departed: Vec<Arc<str>> = self.members().filter(old).map(|m| m.name.clone()).collect();
+        departed.iter().for_each(|name| self.table.remove(name));
     }
 
-    /// Members that hear each other, this one among them, and silent ones, as they count for a share. Danger: a peer may
-    /// claim thousands. Those that never spoke to this member count only as far as the platform expects so many.
-    pub(super) fn counted(&mut self) -> (usize, usize) {
-        let changes = self.table.changes;
-        if let Some((_, counts)) = self.counted.filter(|(at, _)| *at == changes) {
+    /// Returns the numbers of members that are up, this one included, and of failed ones, as they count for a budget
+    /// share. A malicious peer may claim thousands of members, so those that this member never received a packet from
+    /// count only up to the number of instances that the platform expects.
+    pub(super) fn share_counts(&mut self) -> (usize, usize) {
+        let revision = self.table.count_revision;
+        if let Some((_, counts)) = self.cached_counts.filter(|(at, _)| *at == revision) {
             return counts;
         }
-        let (mut up, mut silent, mut told_up, mut told_silent) = (1, 0, 0, 0);
+        let (mut up, mut failed, mut unverified_up, mut unverified_failed) = (1, 0, 0, 0);
         for member in self.members() {
             match (member.state, member.heard.is_some()) {
                 (State::Left, _) => {}
-                (State::Failed, true) => silent += 1,
-                (State::Failed, false) => told_silent += 1,
+                (State::Failed, true) => failed += 1,
+                (State::Failed, false) => unverified_failed += 1,
                 (_, true) => up += 1,
-                (_, false) => told_up += 1,
+                (_, false) => unverified_up += 1,
             }
         }
-        let room = self.set.expected.saturating_sub(up + silent);
-        let up_too = told_up.min(room);
-        let counts = (up + up_too, silent + told_silent.min(room - up_too));
-        self.counted = Some((changes, counts));
+        let room = self.settings.expected.saturating_sub(up + failed);
+        let counted_up = unverified_up.min(room);
+        let counts = (up + counted_up, failed + unverified_failed.min(room - counted_up));
+        self.cached_counts = Some((revision, counts));
         counts
     }
 }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,35 +1,38 @@
-//! What bounds and times a membership, in microseconds where it is a time.
+//! Time-outs, periods and limits of a membership. Times are in microseconds.
 
 use crate::Micros;
 
-/// Times and bounds. All members of a group should have the same.
+/// The settings of a membership. All members of a group should use the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The group; packets of another are dropped.
+    /// The group's name; packets of other groups are dropped.
     pub group: String,
-    /// One member is probed in this time (SWIM's protocol period).
+    /// The probe period (SWIM's protocol period), in which one member is probed.
     pub probe_every: Micros,
-    /// A probe without an answer for this long is tried through others.
+    /// How long a direct probe waits for an ack before indirect probes are sent.
     pub probe_timeout: Micros,
-    /// Through so many others.
+    /// The number of members asked for an indirect probe.
     pub indirect: usize,
-    /// The least time of a suspicion, in probe periods times the decimal logarithm of the number of members.
+    /// The minimum duration of a suspicion, in probe periods times the decimal logarithm of the number of members.
     pub suspicion: f64,
-    /// The longest time of a suspicion, in least times (Lifeguard's dogpile: confirmations shorten it).
+    /// The maximum duration of a suspicion, as a multiple of the minimum (Lifeguard's dogpile: confirmations shorten
+    /// it).
     pub suspicion_most: f64,
-    /// A claim is passed on this many times the decimal logarithm of the number of members, and once more.
+    /// A claim is transmitted this many times the decimal logarithm of the number of members, rounded up, plus once.
     pub retransmit: f64,
-    /// Tables are compared with another member's, and with one that seems gone or a seed, this often.
+    /// The mean period of table exchanges with a member that is up, and with a failed member or a seed.
     pub sync_every: Micros,
-    /// Nothing that a silent member still does lands later than this; a share falls no sooner.
+    /// How long a budget divisor is held before it falls, and so a share before it rises: the longest time in which
+    /// something that an unreachable member started can still take effect.
     pub hold: Micros,
-    /// A starting member that hears nobody for this long goes on alone.
+    /// The join timeout: a starting member without a reply continues alone after it.
     pub join_patience: Micros,
-    /// One that left is forgotten after this.
+    /// How long a member that left is kept in the table.
     pub forget: Micros,
-    /// Members held at the most.
+    /// The most members in the table.
     pub most_members: usize,
-    /// Instances that the platform's settings tell: no share is larger than one of so many for a member that is alone.
+    /// The number of instances by the platform's settings. A member that is alone takes at most the share of one of
+    /// these.
     pub expected: usize,
 }
 
@@ -54,19 +57,19 @@
 }
 
 impl Settings {
-    /// The decimal logarithm that SWIM's bounds go by, of at least one other member.
-    fn scale(members: usize) -> f64 {
+    /// Returns the decimal logarithm of the group's size by which SWIM scales its bounds, at least 0.3 (two members).
+    fn log_scale(members: usize) -> f64 {
         ((members + 1) as f64).log10().max(0.3)
     }
 
-    /// The least and the longest time of a suspicion.
-    pub(crate) fn suspicion(&self, members: usize) -> (Micros, Micros) {
-        let least = self.suspicion * Settings::scale(members).max(1.0) * self.probe_every as f64;
-        (least as Micros, (least * self.suspicion_most.max(1.0)) as Micros)
+    /// Returns the minimum and maximum duration of a suspicion.
+    pub(crate) fn suspicion_bounds(&self, members: usize) -> (Micros, Micros) {
+        let min_duration = self.suspicion * Settings::log_scale(members).max(1.0) * self.probe_every as f64;
+        (min_duration as Micros, (min_duration * self.suspicion_most.max(1.0)) as Micros)
     }
 
-    /// How often a claim is passed on.
-    pub(crate) fn copies(&self, members: usize) -> u32 {
-        (self.retransmit * Settings::scale(members)).ceil() as u32 + 1
+    /// Returns how many times a claim is transmitted.
+    pub(crate) fn max_transmissions(&self, members: usize) -> u32 {
+        (self.retransmit * Settings::log_scale(members)).ceil() as u32 + 1
     }
 }
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -1,41 +1,46 @@
-//! What a member may conclude from its table, and what share of a common budget it may take. Arithmetic alone.
+//! A member's connectivity to its group, and the share of a common budget that follows from it. Pure arithmetic on
+//! counts and times.
 //!
-//! **A cut is never taken for a death.** One that is silent may be dead, stopped, or on the other side of a cut, where it
-//! goes on; nothing here can tell. So a silent member keeps its part: with `expected` (S) dispatchers by the platform's
-//! settings or by the table, whichever is more, a silent one may go on taking 1/S of a budget. Those that hear each other,
-//! m of them, share what k silent ones leave: (1 - k/S) / m each. A member in the smaller part, or alone, takes 1/S, as
-//! without any of this. Then the shares of all that run sum to 1 at the most: with m members on the larger side and k on
-//! the other, m (1 - k/S) / m + k / S = 1; with halves, S members at 1/S. Only those that left on purpose, or were never
-//! there, free their part; and a share rises no sooner than [`crate::Settings::hold`] after the reason for the smaller
-//! one, in which nothing that one that left had begun can still land. One that is cut off must know it sooner than the
-//! others let their parts grow: two of its last four probes without an answer tell it, long before any suspicion and the
-//! hold after it are over. One that starts takes nothing until it has been heard by another, or has waited for that in vain,
-//! and a hold has passed, in which the others hear of it; one that starts inside a cut adds 1/S at the most.
+//! **A partition is never treated as a death.** An unreachable member may be dead, stopped, or running on the other
+//! side of a partition; these cannot be distinguished here. So it keeps its share. Let S be the number of dispatchers
+//! by the platform's settings (`expected`) or by the table, whichever is greater: an unreachable member may go on
+//! taking 1/S of a budget. The m members that reach each other divide what k unreachable ones leave: (1 - k/S) / m
+//! each. A member in the minority, or alone, takes 1/S, as it would without this rule. The shares of all running
+//! members then sum to at most 1: with m members on the majority side and k on the other, m (1 - k/S) / m + k / S = 1;
+//! with two halves, each of at most S members takes 1/S.
+//!
+//! Only members that left on purpose, or never existed, release their share. A share rises no sooner than
+//! [`crate::Settings::hold`] after the reason for the smaller one has ended, so that nothing which a departed member
+//! started can still take effect. A partitioned member must detect the partition before the others raise their shares:
+//! two failures among its last four probes suffice, long before a suspicion and the hold time after it have passed. A
+//! starting member takes no share until another has replied to it or its join timeout has expired, and a hold time has
+//! passed in which the others learn of it; one that starts inside a partition adds at most 1/S.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// How a member stands to the group.
+/// A member's connectivity to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// It has begun, and nobody has answered yet.
+    /// It has started, and its join is not complete yet.
     Joining,
-    /// No other is known: it is the whole group.
+    /// No other member is known: it is the whole group.
     Only,
-    /// It hears all that are known.
+    /// It reaches all known members.
     All,
-    /// It hears more than half of them, itself among them.
+    /// It is in the majority: it reaches more than half of them, itself included.
     Larger,
-    /// It hears a half of them or less.
+    /// It is in the minority: it reaches half of them or less.
     Smaller,
-    /// It hears none of them.
+    /// It neither receives packets nor replies.
     Alone,
-    /// It hears others, and none of them answers it: it is heard by nobody.
+    /// It receives packets but no replies: its own packets do not arrive.
     Unheard,
 }
 
 impl Part {
-    /// From what is known: others that are not known to have left, those of them that answer, and whether any is heard.
+    /// Derives the connectivity from the number of other members that have not left, the number of those that answer,
+    /// and whether packets are received from any.
     pub fn of(joined: bool, others: usize, answering: usize, heard: bool) -> Part {
         match (joined, others, answering) {
             (false, _, _) => Part::Joining,
@@ -48,73 +53,77 @@
         }
     }
 
-    /// Whether it may take the part of ones that left or never were there.
+    /// Returns whether the member may take over shares of members that left or never existed.
     pub fn may_grow(self) -> bool {
         matches!(self, Part::Only | Part::All | Part::Larger)
     }
 }
 
-/// Whether the views agree.
+/// A member's connectivity, and whether its view agrees with those of others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Agreement {
-    /// How this member stands.
+    /// The connectivity of this member.
     pub part: Part,
-    /// The digest of its own table.
+    /// The digest of its view.
     pub digest: u64,
-    /// Members that it holds for alive or suspect, itself among them.
+    /// The number of members that are alive or suspect in its view, itself included.
     pub alive: usize,
-    /// Members that are silent.
+    /// The number of failed members.
     pub silent: usize,
-    /// Of the others alive, those whose last word had the same digest.
+    /// The number of those alive or suspect, without itself, whose last packet had the same digest.
     pub same: usize,
 }
 
 impl Agreement {
-    /// Whether all that are alive see the same.
+    /// Returns whether all members that are up have the same view.
     pub fn agreed(&self) -> bool {
         self.same + 1 >= self.alive
     }
 }
 
-/// The divisor of a common budget: a member may take one part of so many. `m` members hear each other, `silent` do not,
-/// `expected` are told by the platform; `part` decides who may take more than one of `expected`.
-/// Without being `sure` that it hears most others, a member takes one of `expected` as well.
-pub fn divisor(part: Part, sure: bool, m: usize, silent: usize, expected: usize) -> usize {
-    let all = expected.max(m + silent).max(1);
-    match part {
-        Part::Joining => all.saturating_mul(1_024),
-        _ if !part.may_grow() || !sure || silent >= all => all,
-        _ => (m * all).div_ceil(all - silent).clamp(m.max(1), all),
+/// Makes the share of a joining member negligible.
+const JOINING_FACTOR: usize = 1_024;
+
+/// Returns the divisor of a common budget: a member takes one share of that many. `up` members reach each other,
+/// `failed` are unreachable, and the platform's settings list `expected`. A member whose connectivity does not allow a
+/// larger share ([`Part::may_grow`]), or that is not `well_connected`, takes one share of all: of `expected`, or of `up
+/// + failed` if that is greater.
+pub fn divisor(connectivity: Part, well_connected: bool, up: usize, failed: usize, expected: usize) -> usize {
+    let all = expected.max(up + failed).max(1);
+    match connectivity {
+        Part::Joining => all.saturating_mul(JOINING_FACTOR),
+        _ if !connectivity.may_grow() || !well_connected || failed >= all => all,
+        _ => (up * all).div_ceil(all - failed).clamp(up.max(1), all),
     }
 }
 
-/// A divisor that rises at once, and falls only once the larger one has not held for `hold`.
+/// A divisor that rises at once, and falls only after the larger value has not applied for the hold time.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    /// Falling values, each until when it holds.
-    marks: VecDeque<(Micros, usize)>,
+pub struct HeldDivisor {
+    /// Decreasing values, each with the time until which it is held.
+    values: VecDeque<(Micros, usize)>,
 }
 
-impl Held {
-    /// The divisor to go by, `now` being the raw one.
+impl HeldDivisor {
+    /// Records the raw divisor at `now`, and returns the held one.
     pub fn update(&mut self, now: Micros, hold: Micros, raw: usize) -> usize {
-        // What held until now holds on from now.
-        if let Some(last) = self.marks.back_mut() {
+        // The last value applied until now, so its hold time starts now.
+        if let Some(last) = self.values.back_mut() {
             last.0 = now.saturating_add(hold);
         }
-        while self.marks.back().is_some_and(|(_, value)| *value <= raw) {
-            self.marks.pop_back();
+        while self.values.back().is_some_and(|(_, value)| *value <= raw) {
+            self.values.pop_back();
         }
-        self.marks.push_back((now.saturating_add(hold), raw));
-        while self.marks.len() > 1 && self.marks.front().is_some_and(|(until, _)| *until <= now) {
-            self.marks.pop_front();
+        self.values.push_back((now.saturating_add(hold), raw));
+        while self.values.len() > 1 && self.values.front().is_some_and(|(held_until, _)| *held_until <= now) {
+            self.values.pop_front();
         }
-        self.marks.front().map_or(raw, |(_, value)| *value)
+        self.values.front().map_or(raw, |(_, value)| *value)
     }
 
-    /// When it may next fall.
+    /// Returns when the divisor may next fall.
     pub fn due(&self) -> Micros {
-        if self.marks.len() > 1 { self.marks[0].0 } else { Micros::MAX }
+        if self.values.len() > 1 { self.values[0].0 } else { Micros::MAX }
     }
 }
 
--- a/crates/membership/src/standing/tests.rs
+++ b/crates/membership/src/standing/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn whichever_way_a_group_is_cut_the_shares_sum_to_one_at_the_most() {
+fn shares_sum_to_at_most_one_for_every_partition_of_a_group() {
     for expected in 1..=12 {
         for all in 1..=12_usize {
             for here in 0..=all {
-                let side = |m: usize| {
-                    let part = Part::of(true, all - 1, m.saturating_sub(1), false);
-                    m as f64 / divisor(part, true, m, all - m, expected) as f64
+                let side = |up: usize| {
+                    let connectivity = Part::of(true, all - 1, up.saturating_sub(1), false);
+                    up as f64 / divisor(connectivity, true, up, all - up, expected) as f64
                 };
                 let sum = side(here) + side(all - here);
                 assert!(sum <= 1.0 + 1e-9, "{here} of {all}, {expected} expected: {sum}");
@@ -17,18 +17,18 @@
 }
 
 #[test]
-fn those_that_left_free_their_part_and_silent_ones_do_not() {
+fn departed_members_release_their_share_and_failed_ones_do_not() {
     assert_eq!(divisor(Part::All, true, 6, 0, 10), 6);
     assert_eq!(divisor(Part::Larger, true, 6, 4, 10), 10);
     assert_eq!(divisor(Part::Larger, true, 6, 2, 10), 8);
     assert_eq!(divisor(Part::Smaller, true, 3, 7, 10), 10);
     assert_eq!(divisor(Part::Alone, true, 1, 9, 10), 10);
-    assert_eq!(divisor(Part::All, false, 6, 0, 10), 10, "not sure of it");
+    assert_eq!(divisor(Part::All, false, 6, 0, 10), 10, "not well connected");
     assert!(divisor(Part::Joining, true, 1, 0, 10) > 1_000);
 }
 
 #[test]
-fn what_a_member_hears_tells_how_it_stands() {
+fn connectivity_follows_from_replies_and_received_packets() {
     let cases = [
         ((false, 4, 0, false), Part::Joining),
         ((true, 0, 0, false), Part::Only),
@@ -38,19 +38,19 @@
         ((true, 4, 0, false), Part::Alone),
         ((true, 4, 0, true), Part::Unheard),
     ];
-    for ((joined, others, answering, heard), part) in cases {
-        assert_eq!(Part::of(joined, others, answering, heard), part);
+    for ((joined, others, answering, heard), connectivity) in cases {
+        assert_eq!(Part::of(joined, others, answering, heard), connectivity);
     }
 }
 
 #[test]
-fn a_divisor_rises_at_once_and_falls_after_the_hold() {
-    let mut held = Held::default();
+fn divisor_rises_at_once_and_falls_after_the_hold_time() {
+    let mut held = HeldDivisor::default();
     assert_eq!(held.update(0, 10, 6), 6);
     assert_eq!(held.update(5, 10, 8), 8);
     assert_eq!(held.update(6, 10, 4), 8);
-    assert_eq!(held.update(15, 10, 5), 8, "eight held until 6");
+    assert_eq!(held.update(15, 10, 5), 8, "8 applied until time 6");
     assert_eq!(held.update(16, 10, 5), 5);
-    assert_eq!(held.update(30, 10, 3), 5, "five held until the word of three");
+    assert_eq!(held.update(30, 10, 3), 5, "5 applied until 3 was recorded");
     assert_eq!(held.update(40, 10, 3), 3);
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,86 +1,86 @@
-//! Who is known, and how that is known. Claims are merged here; what follows from one is the machine's.
+//! The table of known members. It is given claims and merges those that supersede what it has; [`crate::Membership`]
+//! acts on the changes. The number of members is bounded by [`crate::Settings::most_members`].
 
 use crate::Micros;
-use crate::wire::{Claim, MARKS, Record, State, Window, digest, mark_of};
+use crate::wire::{BUCKETS, Claim, Record, ReplayWindow, State, bucket_of, claim_digest};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How something is known.
+/// The source of the information about a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// From the member itself.
+    /// A packet of the member itself.
     Direct,
-    /// From another.
+    /// A claim by another member, or an introduction by the host.
     Told,
-    /// It did not answer this member.
+    /// A probe by this member that had no ack.
     Probe,
 }
 
-/// A member as it is known here.
+/// A member as this one's table has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// Where it is heard.
+    /// The address at which it is reached.
     pub address: SocketAddr,
     /// The process.
     pub instance: u64,
-    /// Of the newest claim about it.
+    /// The incarnation of the newest claim about it.
     pub incarnation: u64,
-    /// What it is held to be.
+    /// The state.
     pub state: State,
-    /// What it tells of itself.
+    /// The record that it publishes.
     pub record: Record,
-    /// Since when it is held to be that.
+    /// When it entered that state.
     pub since: Micros,
-    /// How that is known.
+    /// The source of that state.
     pub source: Source,
-    /// When a packet of its own last came; `None`: never.
+    /// When the last packet from it was received; `None` if never.
     pub heard: Option<Micros>,
-    /// When it last answered a probe of this member; `None`: never.
+    /// When it last answered a probe of this member; `None` if never.
     pub answered: Option<Micros>,
-    /// The digest and the load that it last told.
+    /// The digest of its view, from its last packet.
     pub digest: u64,
-    /// In thousandths.
+    /// The load from its last packet, in thousandths.
     pub load: u16,
-    /// Whether it compares tables by marks, as far as is known.
-    pub(crate) compares: Compares,
-    /// Tells replays.
-    pub(crate) window: Window,
-    /// While suspect: when it counts as failed, and who suspects it.
+    /// Whether it supports the comparison of tables by buckets.
+    pub(crate) bucket_sync: BucketSync,
+    pub(crate) replay_window: ReplayWindow,
+    /// The suspicion, while the member is suspect.
     pub(crate) suspicion: Option<Suspicion>,
 }
 
-/// Whether a member answers a comparison by marks; the first version of the program did not.
+/// Whether a member supports the comparison of tables by buckets; the first release of the program did not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Compares {
-    /// Not known.
+pub(crate) enum BucketSync {
     #[default]
-    Untold,
-    /// Marks were sent, and none came back yet.
-    Asked,
-    /// It does.
-    Yes,
+    Unknown,
+    /// Bucket digests were sent, and none have been received yet.
+    Requested,
+    Supported,
 }
 
-/// A suspicion under way.
+/// A running suspicion (SWIM 4.2).
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Suspicion {
-    pub began: Micros,
-    pub least: Micros,
-    pub most: Micros,
-    /// Others that accuse as well.
-    pub by: Vec<Arc<str>>,
+    pub started_at: Micros,
+    pub min_duration: Micros,
+    pub max_duration: Micros,
+    /// The member that started the suspicion, and those that confirmed it.
+    pub accusers: Vec<Arc<str>>,
 }
 
 impl Suspicion {
-    /// When it ends: the more accuse, the sooner (Lifeguard, 'Dogpile').
-    pub fn due(&self, enough: usize) -> Micros {
-        let confirmed = self.by.len().saturating_sub(1).min(enough) as f64;
-        let part = (confirmed + 1.0).ln() / (enough as f64 + 1.0).ln().max(f64::MIN_POSITIVE);
-        let span = self.most.saturating_sub(self.least) as f64;
-        self.began + self.most.saturating_sub((span * part.min(1.0)) as Micros)
+    /// Returns when it expires: the more confirmations, the sooner, down to the minimum at `max_confirmations`
+    /// (Lifeguard, 'Dogpile').
+    pub fn deadline(&self, max_confirmations: usize) -> Micros {
+        let confirmations = self.accusers.len().saturating_sub(1).min(max_confirmations) as f64;
+        let fraction =
+            (confirmations + 1.0).ln() / (max_confirmations as f64 + 1.0).ln().max(f64::MIN_POSITIVE);
+        let range = self.max_duration.saturating_sub(self.min_duration) as f64;
+        self.started_at + self.max_duration.saturating_sub((range * fraction.min(1.0)) as Micros)
     }
 }
 
@@ -96,54 +96,54 @@
         }
     }
 
-    /// Alive or suspect.
+    /// Returns whether the member is alive or suspect.
     pub fn is_up(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect)
     }
 }
 
-/// What a claim changed.
+/// The effect of merging a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing: it is older than what is known, or known.
-    None,
-    /// A member that was not known.
-    New,
-    /// Another state, incarnation or record than before: what it was.
-    Was(State),
-    /// There was no room.
-    Full,
+    /// The claim does not supersede what is known.
+    Unchanged,
+    /// A new member was added.
+    Added,
+    /// A member was updated; its previous state.
+    Updated(State),
+    /// The claim is about a new member, and the table is full.
+    TableFull,
 }
 
-/// All others that are known.
+/// All other members.
 #[derive(Default)]
 pub(crate) struct Table {
     pub members: BTreeMap<Arc<str>, Member>,
-    /// Counts what changed of that by which members are counted.
-    pub changes: u64,
+    /// Incremented whenever the counts of members for a budget share may change.
+    pub count_revision: u64,
     digest: u64,
-    marks: [u32; MARKS],
+    bucket_digests: [u32; BUCKETS],
     up: usize,
-    silent: usize,
+    failed: usize,
 }
 
 impl Table {
-    /// Takes a claim in, if it is newer than what is known.
-    pub fn merge(&mut self, now: Micros, claim: &Claim, source: Source, most: usize) -> Change {
+    /// Merges a claim if it supersedes what is known, in a table of at most `max_members`.
+    pub fn merge(&mut self, now: Micros, claim: &Claim, source: Source, max_members: usize) -> Change {
         if let Some(member) = self.members.get(&claim.name) {
             let known = member.claim();
             if !claim.newer(&known) {
-                return Change::None;
+                return Change::Unchanged;
             }
-            self.count(&known, false);
-            self.count(claim, true);
-            let (was, renewed) = (known.state, known.instance != claim.instance);
-            let Some(member) = self.members.get_mut(&claim.name) else { return Change::None };
-            if renewed {
-                (member.window, member.heard, member.answered) = (Window::default(), None, None);
-                member.compares = Compares::default();
+            self.update_totals(&known, false);
+            self.update_totals(claim, true);
+            let (previous, restarted) = (known.state, known.instance != claim.instance);
+            let Some(member) = self.members.get_mut(&claim.name) else { return Change::Unchanged };
+            if restarted {
+                (member.replay_window, member.heard, member.answered) = (ReplayWindow::default(), None, None);
+                member.bucket_sync = BucketSync::default();
             }
-            if was != claim.state || renewed {
+            if previous != claim.state || restarted {
                 (member.since, member.source) = (now, source);
             }
             (member.address, member.instance) = (claim.address, claim.instance);
@@ -152,12 +152,12 @@
             if claim.state != State::Suspect {
                 member.suspicion = None;
             }
-            return Change::Was(was);
+            return Change::Updated(previous);
         }
-        if self.members.len() >= most && !self.make_room() {
-            return Change::Full;
+        if self.members.len() >= max_members && !self.evict_one() {
+            return Change::TableFull;
         }
-        self.count(claim, true);
+        self.update_totals(claim, true);
         let member = Member {
             name: claim.name.clone(),
             address: claim.address,
@@ -171,56 +171,58 @@
             answered: None,
             digest: 0,
             load: 0,
-            compares: Compares::default(),
-            window: Window::default(),
+            bucket_sync: BucketSync::default(),
+            replay_window: ReplayWindow::default(),
             suspicion: None,
         };
         self.members.insert(claim.name.clone(), member);
-        Change::New
+        Change::Added
     }
 
-    /// Forgets a member.
-    pub fn forget(&mut self, name: &str) {
+    /// Removes a member.
+    pub fn remove(&mut self, name: &str) {
         if let Some(member) = self.members.remove(name) {
-            self.count(&member.claim(), false);
+            self.update_totals(&member.claim(), false);
         }
     }
 
-    /// Danger: a peer that claims thousands of members would drive out real ones. What was never heard goes first, then
-    /// what left or has failed longest; one that answers never does.
-    fn make_room(&mut self) -> bool {
+    /// Evicts one member to make room, so that a malicious peer that claims thousands of members cannot displace real
+    /// ones: first a member that never sent a packet, then the one that left or failed longest ago. Members that are up
+    /// and have sent a packet are never evicted; returns false if there are no others.
+    fn evict_one(&mut self) -> bool {
         let rank = |m: &&Member| (m.heard.is_some(), m.state != State::Left, m.since);
-        let over = self.members.values().filter(|m| m.heard.is_none() || !m.is_up()).min_by_key(rank);
-        let name = over.map(|m| m.name.clone());
-        name.iter().for_each(|n| self.forget(n));
+        let evicted = self.members.values().filter(|m| m.heard.is_none() || !m.is_up()).min_by_key(rank);
+        let name = evicted.map(|m| m.name.clone());
+        name.iter().for_each(|n| self.remove(n));
         name.is_some()
     }
 
-    fn count(&mut self, claim: &Claim, adds: bool) {
-        let digest = digest(claim);
+    /// Adds a claim to the digests and counts, or removes it from them.
+    fn update_totals(&mut self, claim: &Claim, adds: bool) {
+        let digest = claim_digest(claim);
         self.digest ^= digest;
-        self.marks[mark_of(&claim.name)] ^= digest as u32;
-        self.changes += 1;
+        self.bucket_digests[bucket_of(&claim.name)] ^= digest as u32;
+        self.count_revision += 1;
         let counter = match claim.state {
             State::Alive | State::Suspect => &mut self.up,
-            State::Failed => &mut self.silent,
+            State::Failed => &mut self.failed,
             State::Left => return,
         };
         *counter = if adds { *counter + 1 } else { counter.saturating_sub(1) };
     }
 
-    /// The digest of all, without the member that holds the table.
+    /// Returns the digest of all members, without the one that holds the table.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The same by parts of the table: members whose names share a mark.
-    pub fn marks(&self) -> [u32; MARKS] {
-        self.marks
+    /// Returns the digests of the members in each bucket ([`bucket_of`]).
+    pub fn bucket_digests(&self) -> [u32; BUCKETS] {
+        self.bucket_digests
     }
 
-    /// Members that are alive or suspect, and that are silent.
+    /// Returns the numbers of members that are up (alive or suspect), and that have failed.
     pub fn counts(&self) -> (usize, usize) {
-        (self.up, self.silent)
+        (self.up, self.failed)
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,7 +1,8 @@
-//! The packet: what members tell each other, and how it is read. `docs/protocol/peers.md` has it in words.
+//! The packet format: types, encoding and decoding. `docs/protocol/peers.md` describes the protocol.
 //!
-//! Two bytes `oP`, the version, a header and a body in postcard's encoding (its wire specification, version 1), and the
-//! CRC-32 (ISO-HDLC) of all before it, least byte first. Whatever does not fit is an [`Unread`], never a panic.
+//! A packet consists of the two bytes `oP`, the version, a header, a body and claims in postcard's encoding (its wire
+//! specification, version 1), and the CRC-32 (ISO-HDLC) of all preceding bytes, in little-endian order. The order of
+//! fields and variants is the format. Invalid input yields a [`DecodeError`], never a panic.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -10,234 +11,240 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The largest packet, in bytes: fits one frame of the usual networks.
+/// The largest packet, in bytes: fits one Ethernet frame.
 pub const MOST_PACKET: usize = 1_400;
-/// The longest name, in bytes.
-pub const MOST_NAME: usize = 64;
-/// The longest text of a record, in bytes.
+/// The longest member name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The longest text in a record, in bytes.
 pub const MOST_TEXT: usize = 32;
-/// Parts into which tables are split to be compared.
-pub const MARKS: usize = 32;
-/// The most bytes of a note.
-pub const MOST_NOTE: usize = 900;
-/// The version of the packet. What is added comes as further kinds of body, which older members drop, counted as damaged;
-/// it rises only with a release that still reads and sends the former one, since members that drop each other's packets
-/// would count without each other.
+/// Buckets into which a table is split, by name, for comparison.
+pub const BUCKETS: usize = 32;
+/// The longest content of a note, in bytes.
+pub const MAX_NOTE_BYTES: usize = 900;
+/// The version of the packet format. Additions are new variants of [`Body`], which older members drop and count as
+/// malformed. The version rises only with a release that still reads and sends the previous one, since members that
+/// drop each other's packets would compute their budget shares without each other.
 pub const VERSION: u8 = 1;
 const MAGIC: [u8; 2] = *b"oP";
 
-/// What is held of a member, in the order in which one word outdoes another of the same incarnation.
+/// The state of a member. Of two claims of the same incarnation the one with the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It has not answered, and may say that it lives.
+    /// A probe had no ack; the member may still refute the suspicion.
     Suspect,
-    /// It has not answered nor said that it lives. It may be dead, stopped, or cut off.
+    /// The suspicion expired without a refutation. The member may be dead, stopped, or partitioned.
     Failed,
-    /// It left on purpose.
+    /// The member left on purpose.
     Left,
 }
 
-/// What a member does for clients.
+/// Whether a member accepts requests of clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Serving {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Serves,
-    /// It ends once all is settled.
+    /// It drains: it exits once its open requests are settled.
     Drains,
-    /// It has only begun.
+    /// It has only just started (cold start).
     Cold,
 }
 
-/// What a member tells of itself.
+/// What a member publishes about itself.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its zone.
+    /// The zone.
     pub zone: Arc<str>,
     /// The program's version.
     pub program: Arc<str>,
-    /// The version of its configuration; 0 for none.
+    /// The version of the configuration; 0 for none.
     pub configuration: u64,
-    /// What it does for clients.
+    /// Whether it accepts requests.
     pub serving: Serving,
 }
 
-/// A claim about a member: newer is what has the higher incarnation, then the later word of [`State`].
+/// A claim about a member. Claims are ordered by incarnation, then by process, then by [`State`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Its name.
+    /// The name.
     pub name: Arc<str>,
-    /// Where it is heard.
+    /// The address at which it is reached.
     pub address: SocketAddr,
-    /// The process: its start in Unix milliseconds times 65,536, and a random rest.
+    /// The process: its start in Unix milliseconds times 65,536, plus a random remainder.
     pub instance: u64,
-    /// Raised by the member alone, whenever it denies a claim or its record changes.
+    /// Raised only by the member itself, whenever it refutes a claim or its record changes.
     pub incarnation: u64,
-    /// What it is said to be.
+    /// The claimed state.
     pub state: State,
-    /// What it tells of itself.
+    /// The record that it publishes.
     pub record: Record,
 }
 
 impl Claim {
-    /// Whether this is newer than the other, about the same name. Two processes of one incarnation: the later began.
+    /// Returns whether this claim supersedes another about the same name. Of two processes with the same incarnation
+    /// the one that started later takes precedence.
     pub fn newer(&self, other: &Claim) -> bool {
-        let of = |c: &Claim| (c.incarnation, c.instance, c.state);
-        of(self) > of(other)
+        let precedence = |c: &Claim| (c.incarnation, c.instance, c.state);
+        precedence(self) > precedence(other)
     }
 
-    fn fits(&self) -> bool {
+    fn is_within_bounds(&self) -> bool {
         !self.name.is_empty()
-            && self.name.len() <= MOST_NAME
+            && self.name.len() <= MAX_NAME_BYTES
             && self.record.zone.len() <= MOST_TEXT
             && self.record.program.len() <= MOST_TEXT
     }
 }
 
-/// What a packet is for.
+/// The kind of a packet and its content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Answer with `Ack` of the same number, if this is your name.
+    /// A probe: the target answers with an `Ack` of the same number.
     Ping {
-        /// The number.
+        /// The probe number.
         number: u64,
-        /// Who is asked.
+        /// The name of the probed member; any other receiver ignores the packet.
         target: Arc<str>,
     },
-    /// The answer to a `Ping`, or what came of a `Seek`.
+    /// The acknowledgement of a `Ping`, or of the one sent for a `PingRequest`.
     Ack {
-        /// The number.
+        /// The probe number.
         number: u64,
     },
-    /// Ping this one for me.
-    Seek {
-        /// The number.
+    /// An indirect probe (SWIM's ping-req): the receiver pings the target and forwards its ack.
+    #[serde(rename = "Seek")]
+    PingRequest {
+        /// The probe number.
         number: u64,
-        /// Who.
+        /// The name of the probed member.
         target: Arc<str>,
-        /// Where.
+        /// The address of the target in the sender's table; receivers use the one in their own table.
         address: SocketAddr,
     },
-    /// My table has this digest, the header's; send claims if yours differs.
+    /// Starts a table exchange by the header's digest. The member that started it continues with a `CompareBuckets` if
+    /// the digest in the reply differs from its own.
     Hello {
-        /// This answers a `Hello`: it asks for none in return.
+        /// Whether this is the reply to a `Hello`; a reply is not replied to.
         answer: bool,
     },
-    /// Nothing but claims.
+    /// Carries only claims.
     Claims,
-    /// The digests of the parts of my table, [`MARKS`] of them: send the claims of those in which yours differs.
-    Differ {
-        /// The digests, each cut to 32 bits.
-        marks: Vec<u32>,
-        /// This answers a `Differ`: it asks for none in return.
+    /// The digests of the [`BUCKETS`] buckets of the sender's table: the receiver sends its claims of those that
+    /// differ.
+    #[serde(rename = "Differ")]
+    CompareBuckets {
+        /// The digests, each truncated to 32 bits.
+        #[serde(rename = "marks")]
+        digests: Vec<u32>,
+        /// Whether this is the reply to a `CompareBuckets`; a reply is not replied to.
         answer: bool,
     },
-    /// What other parts of the program tell each other; [`MOST_NOTE`] bytes at the most.
+    /// A message between other parts of the program.
     Note {
-        /// Which part.
+        /// The part of the program that it is for.
         channel: u8,
-        /// What it says.
+        /// The content, at most [`MAX_NOTE_BYTES`] bytes.
         bytes: Vec<u8>,
     },
 }
 
 impl Body {
-    fn fits(&self) -> bool {
+    fn is_within_bounds(&self) -> bool {
         match self {
-            Body::Differ { marks, .. } => marks.len() == MARKS,
-            Body::Note { bytes, .. } => bytes.len() <= MOST_NOTE,
+            Body::CompareBuckets { digests, .. } => digests.len() == BUCKETS,
+            Body::Note { bytes, .. } => bytes.len() <= MAX_NOTE_BYTES,
             _ => true,
         }
     }
 }
 
-/// Who sends, and how the group looks from there.
+/// The sender, and a summary of its view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The hash of the group's name.
+    /// The hash of the group's name ([`group`]).
     pub group: u64,
     /// The sender's claim about itself.
     pub own: Claim,
-    /// Counts the sender's packets: an old one that comes again is a replay.
+    /// The sequence number of the sender's packet, for replay detection.
     pub stamp: u64,
-    /// The digest of its table.
+    /// The digest of the sender's view.
     pub digest: u64,
-    /// Members that it holds for alive.
+    /// The number of members that are alive or suspect in the sender's view.
     pub alive: u16,
-    /// Its load, in thousandths.
+    /// The sender's load, in thousandths.
     pub load: u16,
 }
 
 /// A packet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Who sends.
+    /// The sender.
     pub header: Header,
-    /// What for.
+    /// The content.
     pub body: Body,
-    /// Claims passed on.
+    /// Piggybacked claims.
     pub claims: Vec<Claim>,
 }
 
-/// Why a packet was not read.
+/// Why a packet could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// Not a packet of this kind, cut, or damaged.
-    Garbage,
-    /// Another version.
-    Version(u8),
-    /// Another group.
-    Group,
-    /// A name or text that is too long, or empty.
-    Bounds,
+pub enum DecodeError {
+    /// Not a packet of this format, truncated, or corrupt.
+    Malformed,
+    /// A packet of this other version.
+    OtherVersion(u8),
+    /// A packet of another group.
+    OtherGroup,
+    /// An empty name, or a name, text, note or digest list out of bounds.
+    OutOfBounds,
 }
 
-/// The hash that stands for a group's name.
+/// Returns the hash by which packets identify a group.
 pub fn group(name: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// The part of a table that a name belongs to.
-pub fn mark_of(name: &str) -> usize {
+/// Returns the bucket of a name.
+pub fn bucket_of(name: &str) -> usize {
     let mut hasher = SipHasher13::new();
     name.hash(&mut hasher);
-    (hasher.finish() % MARKS as u64) as usize
+    (hasher.finish() % BUCKETS as u64) as usize
 }
 
-/// What a claim adds to a table's digest.
-pub fn digest(claim: &Claim) -> u64 {
-    let class = match claim.state {
+/// Returns what a claim contributes to the digest of a table.
+pub fn claim_digest(claim: &Claim) -> u64 {
+    let state_class = match claim.state {
         State::Alive | State::Suspect => 1_u8,
         State::Failed => 2,
-        // Forgotten at different times: it must not keep tables apart.
+        // Members remove a departed member at different times; counting it would make equal views differ.
         State::Left => return 0,
     };
     let mut hasher = SipHasher13::new();
-    (&*claim.name, claim.instance, claim.incarnation, class).hash(&mut hasher);
+    (&*claim.name, claim.instance, claim.incarnation, state_class).hash(&mut hasher);
     hasher.finish()
 }
 
-fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
-    // Nothing in a packet can fail to be written into memory.
+fn to_bytes<T: Serialize>(value: &T) -> Vec<u8> {
+    // Serializing these types into memory cannot fail.
     postcard::to_stdvec(value).unwrap_or_default()
 }
 
-/// Writes a packet, leaving out the last claims that do not fit; the number of claims in it.
+/// Encodes a packet with as many of the first claims as fit. Returns it with the number of these claims.
 pub fn write(header: &Header, body: &Body, claims: &[Claim]) -> (Vec<u8>, usize) {
     let mut out = MAGIC.to_vec();
     out.push(VERSION);
-    out.extend(bytes(header));
-    out.extend(bytes(body));
-    // The count takes one byte up to 127; more claims never fit.
+    out.extend(to_bytes(header));
+    out.extend(to_bytes(body));
+    // postcard encodes a count of up to 127 in one byte; the checksum takes four. More than 127 claims never fit.
     let room = MOST_PACKET.saturating_sub(out.len() + 4 + 1);
     let mut list = Vec::new();
     let mut count = 0;
     for claim in claims.iter().take(127) {
-        let next = bytes(claim);
+        let next = to_bytes(claim);
         if list.len() + next.len() > room {
             break;
         }
@@ -250,52 +257,57 @@
     (out, count)
 }
 
-/// Reads a packet of the group.
-pub fn read(packet: &[u8], group: u64) -> Result<Packet, Unread> {
+/// Decodes a packet of the group, and checks its bounds.
+pub fn decode(packet: &[u8], group: u64) -> Result<Packet, DecodeError> {
     if packet.len() > MOST_PACKET || packet.len() < MAGIC.len() + 5 || packet[..2] != MAGIC {
-        return Err(Unread::Garbage);
+        return Err(DecodeError::Malformed);
     }
     let (body, sum) = packet.split_at(packet.len() - 4);
     if crc32fast::hash(body).to_le_bytes() != sum {
-        return Err(Unread::Garbage);
+        return Err(DecodeError::Malformed);
     }
     if body[2] != VERSION {
-        return Err(Unread::Version(body[2]));
+        return Err(DecodeError::OtherVersion(body[2]));
     }
-    let read: Packet = postcard::from_bytes(&body[3..]).map_err(|_| Unread::Garbage)?;
-    if read.header.group != group {
-        return Err(Unread::Group);
+    let decoded: Packet = postcard::from_bytes(&body[3..]).map_err(|_| DecodeError::Malformed)?;
+    if decoded.header.group != group {
+        return Err(DecodeError::OtherGroup);
     }
-    if !read.header.own.fits() || !read.body.fits() || !read.claims.iter().all(Claim::fits) {
-        return Err(Unread::Bounds);
+    if !decoded.header.own.is_within_bounds()
+        || !decoded.body.is_within_bounds()
+        || !decoded.claims.iter().all(Claim::is_within_bounds)
+    {
+        return Err(DecodeError::OutOfBounds);
     }
-    Ok(read)
+    Ok(decoded)
 }
 
-/// Tells replays: packets of one process are numbered, and may overtake each other a little.
+/// Replay detection for the packets of one process: a sliding window of 64 sequence numbers, within which packets may
+/// arrive out of order.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Window {
-    last: u64,
+pub struct ReplayWindow {
+    highest: u64,
+    /// A bit for each received number, counted down from the highest.
     seen: u64,
-    /// When it last took one.
-    pub at: Micros,
+    /// When the last packet was accepted.
+    pub accepted_at: Micros,
 }
 
-impl Window {
-    /// Whether a packet with this number is new; it is taken note of.
-    pub fn take(&mut self, now: Micros, stamp: u64) -> bool {
-        if stamp > self.last {
-            let ahead = stamp - self.last;
+impl ReplayWindow {
+    /// Records a sequence number. Returns false if it was seen before, or is older than the window.
+    pub fn accept(&mut self, now: Micros, sequence: u64) -> bool {
+        if sequence > self.highest {
+            let ahead = sequence - self.highest;
             self.seen = if ahead >= 64 { 1 } else { self.seen << ahead | 1 };
-            self.last = stamp;
+            self.highest = sequence;
         } else {
-            let behind = self.last - stamp;
+            let behind = self.highest - sequence;
             if behind >= 64 || self.seen >> behind & 1 == 1 {
                 return false;
             }
             self.seen |= 1 << behind;
         }
-        self.at = now;
+        self.accepted_at = now;
         true
     }
 }
--- a/crates/membership/src/wire/tests.rs
+++ b/crates/membership/src/wire/tests.rs
@@ -18,56 +18,58 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_no_packet_is_too_large() {
-    let body = Body::Seek { number: 7, target: "n1".into(), address: SocketAddr::from(([0; 16], 9)) };
+fn encoded_packet_decodes_to_the_same_and_stays_within_the_size_limit() {
+    let body = Body::PingRequest { number: 7, target: "n1".into(), address: SocketAddr::from(([0; 16], 9)) };
     let claims: Vec<Claim> = (0..200).map(|n| claim(&format!("{n:0>64}"))).collect();
     let (packet, count) = write(&header(), &body, &claims);
     assert!(packet.len() <= MOST_PACKET && (8..40).contains(&count), "{count} claims in {}", packet.len());
-    let read = read(&packet, group("g")).expect("good");
-    assert_eq!((read.header, read.body, read.claims.len()), (header(), body, count));
+    let decoded = decode(&packet, group("g")).expect("valid packet");
+    assert_eq!((decoded.header, decoded.body, decoded.claims.len()), (header(), body, count));
 }
 
 #[test]
-fn each_cut_and_each_bent_byte_is_told() {
+fn truncated_corrupt_and_out_of_bounds_packets_are_rejected() {
     let (packet, _) = write(&header(), &Body::Claims, &[claim("n1")]);
     for cut in 0..packet.len() {
-        assert!(read(&packet[..cut], group("g")).is_err(), "cut at {cut}");
+        assert!(decode(&packet[..cut], group("g")).is_err(), "truncated to {cut} bytes");
     }
     for at in 0..packet.len() {
-        let mut bent = packet.clone();
-        bent[at] ^= 0x20;
-        assert!(read(&bent, group("g")).is_err(), "bent at {at}");
+        let mut corrupt = packet.clone();
+        corrupt[at] ^= 0x20;
+        assert!(decode(&corrupt, group("g")).is_err(), "corrupt at byte {at}");
     }
-    assert_eq!(read(&packet, group("other")), Err(Unread::Group));
+    assert_eq!(decode(&packet, group("other")), Err(DecodeError::OtherGroup));
     let mut old = packet[..packet.len() - 4].to_vec();
     old[2] = 0;
     old.extend(crc32fast::hash(&old).to_le_bytes());
-    assert_eq!(read(&old, group("g")), Err(Unread::Version(0)));
-    let (long, _) = write(&header(), &Body::Differ { marks: vec![0; MARKS + 1], answer: true }, &[]);
-    assert_eq!(read(&long, group("g")), Err(Unread::Bounds));
-    let (long, _) = write(&header(), &Body::Note { channel: 1, bytes: vec![0; MOST_NOTE + 1] }, &[]);
-    assert_eq!(read(&long, group("g")), Err(Unread::Bounds));
-    let (note, _) = write(&header(), &Body::Note { channel: 1, bytes: vec![255; MOST_NOTE] }, &[]);
-    assert!(note.len() <= MOST_PACKET && read(&note, group("g")).is_ok());
+    assert_eq!(decode(&old, group("g")), Err(DecodeError::OtherVersion(0)));
+    let (long, _) =
+        write(&header(), &Body::CompareBuckets { digests: vec![0; BUCKETS + 1], answer: true }, &[]);
+    assert_eq!(decode(&long, group("g")), Err(DecodeError::OutOfBounds));
+    let (long, _) = write(&header(), &Body::Note { channel: 1, bytes: vec![0; MAX_NOTE_BYTES + 1] }, &[]);
+    assert_eq!(decode(&long, group("g")), Err(DecodeError::OutOfBounds));
+    let (note, _) = write(&header(), &Body::Note { channel: 1, bytes: vec![255; MAX_NOTE_BYTES] }, &[]);
+    assert!(note.len() <= MOST_PACKET && decode(&note, group("g")).is_ok());
     let (long, _) = write(&header(), &Body::Claims, &[claim(&"x".repeat(65))]);
-    assert_eq!(read(&long, group("g")), Err(Unread::Bounds));
+    assert_eq!(decode(&long, group("g")), Err(DecodeError::OutOfBounds));
 }
 
 #[test]
-fn a_replay_is_told_and_what_overtook_another_is_not_one() {
-    let mut window = Window::default();
-    for (stamp, new) in [(5, true), (5, false), (3, true), (3, false), (70, true), (5, false), (69, true)] {
-        assert_eq!(window.take(1, stamp), new, "{stamp}");
+fn replay_window_rejects_replays_and_accepts_reordered_packets() {
+    let mut window = ReplayWindow::default();
+    for (sequence, new) in [(5, true), (5, false), (3, true), (3, false), (70, true), (5, false), (69, true)]
+    {
+        assert_eq!(window.accept(1, sequence), new, "{sequence}");
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = read(&bytes, 1);
-        let mut whole = b"oP\x01".to_vec();
-        whole.extend(bytes);
-        whole.extend(crc32fast::hash(&whole).to_le_bytes());
-        let _ = read(&whole, 1);
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let _ = decode(&bytes, 1);
+        let mut packet = b"oP\x01".to_vec();
+        packet.extend(bytes);
+        packet.extend(crc32fast::hash(&packet).to_le_bytes());
+        let _ = decode(&packet, 1);
     }
 }
