--- a/crates/stream/src/last_good.rs
+++ b/crates/stream/src/last_good.rs
@@ -1,9 +1,10 @@
-//! The versions that a subscriber keeps on disk: the last good one, the one before it, the one on trial, and what it
-//! remembers of the service.
+//! The versions that a subscriber stores on disk: the last good one, the previous good one, the one on trial, and the
+//! subscriber's [`Memory`].
 //!
-//! Each is a file of its own: written beside, synced, and renamed into place, so that a cut leaves the old or the new
-//! one. The layout is magic (8 bytes), form, CRC-32 of the body (4 bytes each, little-endian), the body's length (8
-//! bytes), and the body, a JSON object. A file that is torn, foreign, damaged or of a later form is never used.
+//! Each has its own file, which is written under a temporary name, synced and renamed into place, so that a crash or
+//! power failure leaves either the old or the new file. The layout is magic (8 bytes), format version and CRC-32 of the
+//! body (4 bytes each, little-endian), length of the body (8 bytes, little-endian), and the body, a JSON object. A file
+//! that is truncated, foreign, damaged or of a later format is never used.
 
 use crate::subscriber::Memory;
 use crate::{Snapshot, Version};
@@ -14,52 +15,60 @@
 use std::path::{Path, PathBuf};
 
 const MAGIC: &[u8; 8] = b"OCHRCFG\n";
-const FORM: u32 = 1;
-const HEAD: usize = 24;
-/// The longest file that is read.
-const MOST: u64 = 64 << 20;
+const FORMAT_VERSION: u32 = 1;
+/// Magic, format version, checksum and body length.
+const HEADER_BYTES: usize = 24;
+/// The maximum size of a file that is read, in bytes.
+const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// The file of the last good version, of the one before, and of the one on trial.
+/// The file of the last good version.
 const GOOD: &str = "good";
-const BEFORE: &str = "good.prev";
+/// The file of the previous good version.
+const PREVIOUS_GOOD: &str = "good.prev";
+/// The file of the version on trial.
 const TRIAL: &str = "trial";
+/// The file of the subscriber's memory.
 const MEMORY: &str = "memory";
 
-/// Why a file is not used.
+/// The reason why a file is not used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unusable {
-    /// It is not there.
-    #[error("is not there: nothing to do, a version that proves good is written anew")]
+    /// The file does not exist.
+    #[error("does not exist: nothing to do, the next version that passes its trial is written")]
     Missing,
-    /// It ends early, or goes on after its end.
-    #[error("is torn: nothing to do, the one before it serves; see that the disk is not full")]
+    /// The file is shorter or longer than its header says.
+    #[error(
+        "is truncated or too long: nothing to do, the previous version is used; check that the disk is not full"
+    )]
     Torn,
-    /// It is no such file at all, or another instance's.
-    #[error("is another program's or instance's: give each instance a folder of its own")]
+    /// The file was written by another program or for another instance.
+    #[error("belongs to another program or instance: give each instance its own folder")]
     Foreign,
-    /// It was written by a later program.
-    #[error("has form {0}, {FORM} is known: start the newer program again, or delete the file")]
+    /// The file was written by a later release in a newer format.
+    #[error(
+        "has format {0}, this program reads format {FORMAT_VERSION}: start the newer program again, or delete the file"
+    )]
     FutureForm(u32),
-    /// Its checksum, or a digest in it, does not fit.
-    #[error("is damaged: nothing to do, the one before it serves; see that the disk is sound")]
+    /// The checksum, or the digest of a resource, does not match.
+    #[error("is damaged: nothing to do, the previous version is used; check the disk for errors")]
     Damaged,
-    /// It can't be read.
-    #[error("can't be read, {0}: see to the file's rights and its disk")]
+    /// The file can't be read or parsed.
+    #[error("can't be read, {0}: check the file's permissions and its disk")]
     Unreadable(String),
 }
 
 #[derive(Serialize, Deserialize)]
-struct Body<T> {
+struct FileBody<T> {
     instance: String,
     content: T,
 }
 
-/// What was found at a start.
+/// The result of loading a version at start-up.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// The version to run, and the file that it came from.
+    /// The version to run, and the file that it was read from.
     pub snapshot: Option<(Snapshot, &'static str)>,
-    /// Files that could not be used, and why.
+    /// Files that could not be used, each with the reason.
     pub passed_over: Vec<(&'static str, Unusable)>,
 }
 
@@ -70,43 +79,45 @@
     instance: String,
 }
 
-/// The bytes of a file with this body.
-pub fn seal(body: &[u8]) -> Vec<u8> {
+/// Encodes a body as the bytes of a file.
+pub fn encode_file(body: &[u8]) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
-    out.extend(FORM.to_le_bytes());
+    out.extend(FORMAT_VERSION.to_le_bytes());
     out.extend(crc32fast::hash(body).to_le_bytes());
     out.extend((body.len() as u64).to_le_bytes());
     out.extend(body);
     out
 }
 
-/// The body in the bytes of a file.
-pub fn unseal(bytes: &[u8]) -> Result<&[u8], Unusable> {
+/// Verifies the bytes of a file and returns the body.
+pub fn decode_file(bytes: &[u8]) -> Result<&[u8], Unusable> {
     let magic = &bytes[..bytes.len().min(MAGIC.len())];
     if !MAGIC.starts_with(magic) {
         return Err(Unusable::Foreign);
     }
-    if bytes.len() < HEAD {
+    if bytes.len() < HEADER_BYTES {
         return Err(Unusable::Torn);
     }
-    let word = |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-    if word(8) != FORM {
-        return Err(Unusable::FutureForm(word(8)));
+    let u32_at = |offset: usize| {
+        u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
+    };
+    if u32_at(8) != FORMAT_VERSION {
+        return Err(Unusable::FutureForm(u32_at(8)));
     }
-    let (length, body) = (u64::from(word(16)) | u64::from(word(20)) << 32, &bytes[HEAD..]);
+    let (length, body) = (u64::from(u32_at(16)) | u64::from(u32_at(20)) << 32, &bytes[HEADER_BYTES..]);
     if body.len() as u64 != length {
         return Err(Unusable::Torn);
     }
-    if crc32fast::hash(body) != word(12) { Err(Unusable::Damaged) } else { Ok(body) }
+    if crc32fast::hash(body) != u32_at(12) { Err(Unusable::Damaged) } else { Ok(body) }
 }
 
-/// Has the folder's entries outlive a power cut.
+/// Syncs the folder itself, without which a rename or removal may be lost in a power failure.
 fn sync_folder(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
 impl LastGood {
-    /// The files of an instance in a folder, which is made where there is none.
+    /// Opens the files of an instance in a folder, which is created if it does not exist.
     pub fn open(folder: PathBuf, instance: &str) -> io::Result<LastGood> {
         fs::create_dir_all(&folder)?;
         Ok(LastGood { folder, instance: instance.to_string() })
@@ -117,12 +128,12 @@
     }
 
     fn write(&self, name: &str, content: &impl Serialize) -> io::Result<()> {
-        let body = serde_json::to_vec(&Body { instance: self.instance.clone(), content })?;
-        let part = self.path(&format!("{name}.part"));
-        let mut file = File::create(&part)?;
-        file.write_all(&seal(&body))?;
+        let body = serde_json::to_vec(&FileBody { instance: self.instance.clone(), content })?;
+        let temporary = self.path(&format!("{name}.part"));
+        let mut file = File::create(&temporary)?;
+        file.write_all(&encode_file(&body))?;
         file.sync_all()?;
-        fs::rename(part, self.path(name))?;
+        fs::rename(temporary, self.path(name))?;
         sync_folder(&self.folder)
     }
 
@@ -132,21 +143,22 @@
             io::ErrorKind::NotFound => Unusable::Missing,
             _ => Unusable::Unreadable(e.to_string()),
         };
-        if fs::metadata(&path).map_err(unreadable)?.len() > MOST {
+        if fs::metadata(&path).map_err(unreadable)?.len() > MAX_FILE_BYTES {
             return Err(Unusable::Foreign);
         }
         let bytes = fs::read(&path).map_err(unreadable)?;
-        let body: Body<T> =
-            serde_json::from_slice(unseal(&bytes)?).map_err(|e| Unusable::Unreadable(e.to_string()))?;
+        let body: FileBody<T> =
+            serde_json::from_slice(decode_file(&bytes)?).map_err(|e| Unusable::Unreadable(e.to_string()))?;
         if body.instance == self.instance { Ok(body.content) } else { Err(Unusable::Foreign) }
     }
 
     fn snapshot(&self, name: &str) -> Result<Snapshot, Unusable> {
         let snapshot: Snapshot = self.read(name)?;
-        if snapshot.is_whole() { Ok(snapshot) } else { Err(Unusable::Damaged) }
+        if snapshot.is_intact() { Ok(snapshot) } else { Err(Unusable::Damaged) }
     }
 
-    fn first(&self, names: &[&'static str]) -> Loaded {
+    /// Loads the first of these files that is usable.
+    fn first_usable(&self, names: &[&'static str]) -> Loaded {
         let mut loaded = Loaded::default();
         for name in names {
             match self.snapshot(name) {
@@ -161,44 +173,45 @@
         loaded
     }
 
-    /// The version to start with: the last good one, else the one before. One that was on trial when the process
-    /// ended may be why it ended; it is not used, and will be offered again.
+    /// Loads the version to start with: the last good one, or else the previous one. A version that was on trial when
+    /// the process ended is not used, since it may have caused the end; the service will offer it again.
     pub fn load(&self) -> Loaded {
-        self.first(&[GOOD, BEFORE])
+        self.first_usable(&[GOOD, PREVIOUS_GOOD])
     }
 
-    /// The version that the process beside this one runs, on trial or not.
+    /// Loads the version that another process of this instance runs, on trial or not.
     pub fn load_running(&self) -> Loaded {
-        self.first(&[TRIAL, GOOD, BEFORE])
+        self.first_usable(&[TRIAL, GOOD, PREVIOUS_GOOD])
     }
 
-    /// Whether a version is on trial, and which.
+    /// Returns the version on trial, if there is one.
     pub fn on_trial(&self) -> Option<Version> {
         self.snapshot(TRIAL).ok().map(|s| s.version)
     }
 
-    /// Writes a version ahead of its use.
+    /// Stores a version as the one on trial, before it is applied.
     pub fn put_on_trial(&self, snapshot: &Snapshot) -> io::Result<()> {
         self.write(TRIAL, snapshot)
     }
 
-    /// The version on trial becomes the last good one, and that the one before. At no moment is there none.
+    /// Makes the version on trial the last good one, and the last good one the previous one. A crash between any two
+    /// steps leaves a usable version.
     pub fn promote(&self) -> io::Result<()> {
-        let part = self.path("good.prev.part");
-        match fs::remove_file(&part) {
+        let temporary = self.path("good.prev.part");
+        match fs::remove_file(&temporary) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
         }
-        // Danger: a file that can't be used must not take the place of the one before, which may be all there is.
+        // An unusable file must not replace the previous good version, which may be the only usable one.
         if self.snapshot(GOOD).is_ok() {
-            fs::hard_link(self.path(GOOD), &part)?;
-            fs::rename(part, self.path(BEFORE))?;
+            fs::hard_link(self.path(GOOD), &temporary)?;
+            fs::rename(temporary, self.path(PREVIOUS_GOOD))?;
         }
         fs::rename(self.path(TRIAL), self.path(GOOD))?;
         sync_folder(&self.folder)
     }
 
-    /// The version on trial was given up.
+    /// Deletes the version on trial, after it was rolled back.
     pub fn discard_trial(&self) -> io::Result<()> {
         match fs::remove_file(self.path(TRIAL)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
@@ -206,12 +219,12 @@
         }
     }
 
-    /// Keeps what must be remembered beside the versions.
+    /// Stores the subscriber's memory.
     pub fn remember(&self, memory: &Memory) -> io::Result<()> {
         self.write(MEMORY, memory)
     }
 
-    /// What was remembered.
+    /// Loads the subscriber's memory.
     pub fn memory(&self) -> Result<Memory, Unusable> {
         self.read(MEMORY)
     }
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -1,9 +1,10 @@
-//! Streamed configuration: versions, messages, and the decisions of a subscriber. No socket and no clock; only
-//! [`last_good`] touches a disk, and only when its caller says so.
+//! Streamed configuration: versions, the messages that carry them, and the subscriber's state machine. The crate opens
+//! no socket and reads no clock; only [`last_good`] accesses the disk, and only when its caller asks for it.
 //!
-//! The semantics follow the xDS transport protocol: an offer carries a version and a nonce, and is answered by one
-//! ACK or NACK with an error detail; a subscriber that comes back says what it holds. `docs/protocol/control.md`
-//! holds the page for implementers, `docs/design/streamed-configuration.md` the choices.
+//! The semantics follow the xDS transport protocol: an offer carries a version and a nonce and is answered by exactly
+//! one ACK, or one NACK with an error detail; a subscriber that reconnects reports what it already holds.
+//! `docs/protocol/control.md` specifies the protocol for implementers, `docs/design/streamed-configuration.md` gives
+//! the reasons for the design.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,6 +18,6 @@
 pub mod wire;
 
 pub use backoff::Backoff;
-pub use snapshot::{Assembly, Resource, Snapshot, content};
+pub use snapshot::{Assembly, Resource, Snapshot, content_digest};
 pub use subscriber::{Memory, Step, Subscriber};
 pub use version::{Digest, Hasher, Kind, NoVersion, Version};
--- a/crates/stream/src/overlay.rs
+++ b/crates/stream/src/overlay.rs
@@ -1,38 +1,38 @@
-//! Layers of configuration: what a later layer says goes over what earlier ones said, key by key.
+//! Layered configuration: a later layer overrides earlier layers key by key.
 //!
-//! Objects are merged member by member; whatever else (numbers, texts, lists) is replaced whole. Nothing can be
-//! removed: a key that a lower layer gives can be given another value, not taken away.
+//! Objects are merged member by member; any other value (number, string, list) is replaced whole. A later layer can
+//! override a key of a lower layer but not remove it.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Lays a value over another.
-pub fn lay(under: &mut Value, over: &Value) {
-    match (under, over) {
-        (Value::Object(under), Value::Object(over)) => {
-            for (name, value) in over {
-                lay(under.entry(name.clone()).or_insert(Value::Null), value);
+/// Merges `overlay` into `base`; where both set a key, `overlay` wins.
+pub fn lay(base: &mut Value, overlay: &Value) {
+    match (base, overlay) {
+        (Value::Object(base), Value::Object(overlay)) => {
+            for (name, value) in overlay {
+                lay(base.entry(name.clone()).or_insert(Value::Null), value);
             }
         }
-        (under, over) => *under = over.clone(),
+        (base, overlay) => *base = overlay.clone(),
     }
 }
 
-/// Notes for each key that `over` gives, as a path, that it comes from `layer`.
-pub fn sources(over: &Value, layer: &str, out: &mut BTreeMap<String, String>) {
-    walk(over, "", &mut |path, _| {
-        // What a replaced object held is gone with it.
-        let below = format!("{path}.");
-        out.retain(|known, _| !known.starts_with(&below));
+/// Records `layer` in `out` as the source of each key, as a path, that `overlay` sets.
+pub fn sources(overlay: &Value, layer: &str, out: &mut BTreeMap<String, String>) {
+    for_each_leaf(overlay, "", &mut |path, _| {
+        // A value that replaces an object also replaces the keys inside it.
+        let prefix = format!("{path}.");
+        out.retain(|key, _| !key.starts_with(&prefix));
         out.insert(path.to_string(), layer.to_string());
     });
 }
 
-/// The keys that differ between two values: path, before, after.
+/// Returns the keys that differ between two values, as (path, value before, value after).
 pub fn differences(before: &Value, after: &Value) -> Vec<(String, Option<Value>, Option<Value>)> {
     let leaves = |value: &Value| {
         let mut out = BTreeMap::new();
-        walk(value, "", &mut |path, leaf| drop(out.insert(path.to_string(), leaf.clone())));
+        for_each_leaf(value, "", &mut |path, value| drop(out.insert(path.to_string(), value.clone())));
         out
     };
     let (mut before, mut after) = (leaves(before), leaves(after));
@@ -44,15 +44,15 @@
     pairs.filter(|(_, old, new)| old != new).collect()
 }
 
-/// Calls for each value that is no object with members, with the path that leads to it.
-fn walk(value: &Value, path: &str, each: &mut impl FnMut(&str, &Value)) {
+/// Calls `visit` with the path and value of each leaf: any value but a non-empty object.
+fn for_each_leaf(value: &Value, path: &str, visit: &mut impl FnMut(&str, &Value)) {
     match value.as_object().filter(|members| !members.is_empty()) {
-        Some(members) => members.iter().for_each(|(name, value)| {
-            let below = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-            walk(value, &below, each);
+        Some(members) => members.iter().for_each(|(member, value)| {
+            let prefix = if path.is_empty() { member.clone() } else { format!("{path}.{member}") };
+            for_each_leaf(value, &prefix, visit);
         }),
         None if path.is_empty() => {}
-        None => each(path, value),
+        None => visit(path, value),
     }
 }
 
--- a/crates/stream/src/subscriber.rs
+++ b/crates/stream/src/subscriber.rs
@@ -1,16 +1,17 @@
-//! The subscriber's decisions: which service to follow, which version to take, turn down, keep or give up.
+//! The subscriber's state machine: decides which service to follow and which version to accept, reject, keep or roll
+//! back.
 //!
-//! Told what happens (connections, messages, checks done, time), it leaves [`Step`]s to be carried out. It has no
-//! socket, no disk and no clock. What it promises, whatever the other side sends:
+//! Its inputs are events (connections, messages, results of checks, the passing of time); its outputs are [`Step`]s for
+//! the caller to carry out. It uses no socket, no disk and no clock. Whatever the service sends, these invariants hold:
 //!
-//! - nothing runs that was not checked;
-//! - after a version has run, no lower one does, but for the last good one when a trial fails;
-//! - each nonce gets one ACK or NACK, as long as its connection lives;
-//! - of a version, all is taken or nothing.
+//! - only a version that was checked is applied;
+//! - after a version has run, no lower version is applied, except for the last good one when a trial fails;
+//! - each nonce is answered by exactly one ACK or NACK while its connection is open;
+//! - a version is applied as a whole or not at all.
 
 use crate::backoff::Backoff;
-use crate::snapshot::{Assembly, Snapshot, content};
-use crate::trial::{Guard, Rules, Verdict};
+use crate::snapshot::{Assembly, Snapshot, content_digest};
+use crate::trial::{Rules, TrialMonitor, Verdict};
 use crate::wire::{Code, Entry, Fault, FromService, Health, Hello, MOST_FAULTS, PROTOCOL, ToService};
 use crate::{Digest, Kind, Version};
 use serde::{Deserialize, Serialize};
@@ -18,141 +19,147 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Given-up versions remembered.
-const MOST_REFUSED: usize = 32;
+/// The number of rolled-back versions that are remembered.
+const MAX_REMEMBERED_REFUSALS: usize = 32;
+/// The bounds, in microseconds, to which the service's heartbeat interval is clamped: 1 ms to 10 minutes.
+const MIN_HEARTBEAT_US: u64 = 1_000;
+const MAX_HEARTBEAT_US: u64 = 600_000_000;
 
-/// What a subscriber is told at its start.
+/// The configuration of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The instance's name and labels.
+    /// The instance name.
     pub instance: String,
-    /// What the instance says of itself.
+    /// The instance labels, which the service uses to select layers and the canary.
     pub labels: BTreeMap<String, String>,
-    /// The services, tried in turn.
+    /// The addresses of the control services, tried in turn.
     pub services: Vec<SocketAddr>,
-    /// Bounds of the waits between connections, in microseconds.
+    /// The first and the last backoff bound between connection attempts, in microseconds.
     pub backoff: (u64, u64),
-    /// A connection without a word for this long is dead, in microseconds.
+    /// A connection is closed after this long without a message, in microseconds.
     pub silence: u64,
-    /// How trials go.
+    /// The parameters of trials.
     pub trial: Rules,
-    /// The largest version taken, in bytes.
+    /// The maximum size of a version, in bytes.
     pub most_bytes: u64,
-    /// There is something to run without any version: the instance's own file.
+    /// Whether the instance can run without any version, on its own configuration file.
     pub has_base: bool,
-    /// For random waits.
+    /// The seed for the backoff jitter and for the choice of the first service.
     pub seed: u64,
 }
 
-/// A service that was followed.
+/// A control service that this subscriber has followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
-    /// Its epoch.
+    /// The service's epoch.
     pub epoch: u64,
-    /// Its store's id.
+    /// The id of the service's store.
     pub store: String,
 }
 
-/// What must outlive the process, beside the versions.
+/// The state that must survive a restart of the process, besides the versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Memory {
-    /// The service with the highest epoch that was followed.
+    /// The service with the highest epoch that has been followed.
     pub leader: Leader,
-    /// The highest version that ran.
+    /// The highest version that has run.
     pub highest: Version,
-    /// The digest of what it held.
+    /// The content digest of that version.
     pub content: Option<Digest>,
-    /// Versions that were given up after a trial.
+    /// Versions that were rolled back after a trial.
     pub refused: VecDeque<Version>,
 }
 
-/// Names an offer: the connection that it came on, and its nonce there.
+/// Identifies an offer: the connection on which it arrived, and its nonce on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket {
-    /// The connection, counted from 1.
+    /// The number of the connection, counted from 1.
     pub connection: u64,
     /// The offer's nonce.
     pub nonce: u64,
 }
 
-/// Why a connection is ended.
+/// The reason why the subscriber closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It never came up, or was never welcomed.
+    /// The connection was not established in time.
     NeverUp,
-    /// No word for too long.
+    /// No message arrived for too long.
     Silent,
-    /// The service broke the protocol; says how.
+    /// The service violated the protocol, as described.
     Protocol(&'static str),
-    /// The service has a lower epoch than one that was followed.
+    /// The service has a lower epoch than a service that was followed.
     OlderEpoch,
-    /// Another service with the same epoch was followed.
+    /// Another service, with the same epoch but a different store, was followed.
     Rival,
-    /// The service would not have this subscriber.
+    /// The service refused this subscriber.
     TurnedAway,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Connect to a service.
     Connect(SocketAddr),
-    /// End the connection.
+    /// Close the connection.
     Disconnect(Ending),
     /// Send a message.
     Send(ToService),
-    /// Check a version, keep it as the one on trial, and say so by `checked`.
+    /// Check a version, store it as the one on trial, and report the result with `checked`.
     Check(Ticket, Arc<Snapshot>),
-    /// Take a version that was checked into use, and say so by `applied`.
+    /// Apply a version that was checked, and report the result with `applied`.
     Apply(Ticket, Arc<Snapshot>),
-    /// The version on trial is the last good one from now on.
+    /// Promote the version on trial to the last good one.
     Keep(Version, Verdict),
-    /// Go back to the last good version, or with `None` to the instance's own file.
+    /// Roll back from the given version to the last good one, or with `None` to the instance's own file.
     Return(Option<Arc<Snapshot>>, Version, Verdict),
-    /// Keep this.
+    /// Store the memory.
     Remember(Memory),
-    /// A version was turned down; for logs.
+    /// Log that a version was rejected.
     TurnedDown(Version, Code, Vec<Fault>),
 }
 
+/// The state of the connection to a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Link {
-    /// The next attempt is due then.
-    Down { at: u64 },
-    /// Being connected since then.
-    Rising { since: u64 },
-    /// Up; last heard, and when the next sign of life is due. The heartbeat is 0 until welcomed.
-    Up { heard: u64, beat_at: u64, heartbeat: u64 },
+    /// Disconnected; the next attempt is due at `retry_at`.
+    Down { retry_at: u64 },
+    /// Connecting since `since`.
+    Connecting { since: u64 },
+    /// Connected; the last message arrived at `last_received`, and the next heartbeat is due at `beat_at`. The heartbeat
+    /// interval is 0 until the service's `Welcome`.
+    Up { last_received: u64, beat_at: u64, heartbeat: u64 },
 }
 
-/// The state machine.
+/// The state machine of a subscriber.
 pub struct Subscriber {
     options: Options,
     link: Link,
-    service: usize,
+    /// The index into `options.services` of the service that is tried or connected.
+    service_index: usize,
     connection: u64,
     backoff: Backoff,
     memory: Memory,
     running: Option<Arc<Snapshot>>,
-    good: Option<Arc<Snapshot>>,
+    last_good: Option<Arc<Snapshot>>,
     last_nonce: u64,
     assembly: Option<Assembly>,
-    /// An offer that was turned down and is still being sent.
-    ignored: Option<u64>,
-    /// Being checked, or checked and being applied.
+    /// The nonce of a rejected offer whose parts are still arriving.
+    rejected_nonce: Option<u64>,
+    /// The version that is being checked, or was checked and is being applied.
     checking: Option<(Ticket, Arc<Snapshot>)>,
-    /// Next to be checked.
-    waiting: Option<(Ticket, Arc<Snapshot>)>,
-    guard: Guard,
+    /// The complete version that is checked next.
+    pending_check: Option<(Ticket, Arc<Snapshot>)>,
+    trial: TrialMonitor,
     health: Health,
-    heard_at: Option<u64>,
-    /// What is to be done, in order.
+    last_service_message_at: Option<u64>,
+    /// The actions to carry out, in order.
     pub steps: VecDeque<Step>,
 }
 
 impl Subscriber {
-    /// Starts with what was kept: what is remembered, and the version that runs, which is the last good one unless it
-    /// is on trial.
+    /// Creates a subscriber from the stored memory and versions. The running version is on trial unless it is the last
+    /// good one.
     pub fn new(
         options: Options,
         now: u64,
@@ -161,109 +168,109 @@
         good: Option<Snapshot>,
     ) -> Subscriber {
         let mut backoff = Backoff::new(options.backoff.0, options.backoff.1, options.seed);
-        // Many may start at one moment.
-        let at = now + backoff.next_wait();
+        // Jitter the first attempt too: many subscribers may start at the same moment.
+        let retry_at = now + backoff.next_wait();
         backoff.reset();
-        let guard = Guard::new(options.trial);
-        let (running, good) = (running.map(Arc::new), good.map(Arc::new));
+        let trial = TrialMonitor::new(options.trial);
+        let (running, last_good) = (running.map(Arc::new), good.map(Arc::new));
         let mut memory = memory;
         memory.highest = memory.highest.max(running.as_ref().map(|r| r.version).unwrap_or_default());
-        let mut it = Subscriber {
-            service: (options.seed % options.services.len().max(1) as u64) as usize,
+        let mut subscriber = Subscriber {
+            service_index: (options.seed % options.services.len().max(1) as u64) as usize,
             options,
-            link: Link::Down { at },
+            link: Link::Down { retry_at },
             connection: 0,
             backoff,
             memory,
             running,
-            good,
+            last_good,
             last_nonce: 0,
             assembly: None,
-            ignored: None,
+            rejected_nonce: None,
             checking: None,
-            waiting: None,
-            guard,
+            pending_check: None,
+            trial,
             health: Health::default(),
-            heard_at: None,
+            last_service_message_at: None,
             steps: VecDeque::new(),
         };
-        if it.version() != it.good.as_ref().map(|g| g.version) {
-            it.guard.begin(now, it.health);
+        if subscriber.version() != subscriber.last_good.as_ref().map(|good| good.version) {
+            subscriber.trial.begin(now, subscriber.health);
         }
-        it
+        subscriber
     }
 
-    /// The version that runs.
+    /// Returns the running version.
     pub fn version(&self) -> Option<Version> {
         self.running.as_ref().map(|r| r.version)
     }
 
-    /// What runs.
+    /// Returns the running snapshot.
     pub fn running(&self) -> Option<&Snapshot> {
         self.running.as_deref()
     }
 
-    /// The last good version.
+    /// Returns the last good version.
     pub fn good(&self) -> Option<Version> {
-        self.good.as_ref().map(|g| g.version)
+        self.last_good.as_ref().map(|g| g.version)
     }
 
-    /// Whether the running version is on trial.
+    /// Returns whether the running version is on trial.
     pub fn on_trial(&self) -> bool {
-        self.guard.watches()
+        self.trial.is_active()
     }
 
-    /// What is remembered.
+    /// Returns the state that must survive a restart.
     pub fn memory(&self) -> &Memory {
         &self.memory
     }
 
-    /// For how long no service has been heard, in microseconds; `None` if never.
+    /// Returns the time since the last message of an accepted service, in microseconds; `None` if there was none.
     pub fn stale_for(&self, now: u64) -> Option<u64> {
-        self.heard_at.map(|at| now.saturating_sub(at))
+        self.last_service_message_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Whether a service is connected and has welcomed this subscriber.
+    /// Returns whether a service is connected and its `Welcome` was accepted.
     pub fn connected(&self) -> bool {
         matches!(self.link, Link::Up { heartbeat: 1.., .. })
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has something to do.
     pub fn due(&self) -> u64 {
-        let silent = |since: u64| since + self.options.silence;
+        let times_out = |since: u64| since + self.options.silence;
         let link = match self.link {
-            Link::Down { at } => at,
-            Link::Rising { since } => silent(since),
-            Link::Up { heard, beat_at, heartbeat } => {
-                silent(heard).min(if heartbeat > 0 { beat_at } else { u64::MAX })
+            Link::Down { retry_at } => retry_at,
+            Link::Connecting { since } => times_out(since),
+            Link::Up { last_received, beat_at, heartbeat } => {
+                times_out(last_received).min(if heartbeat > 0 { beat_at } else { u64::MAX })
             }
         };
-        link.min(self.guard.due())
+        link.min(self.trial.next_due())
     }
 
-    /// Time has passed; so many answers were given by now.
+    /// Acts on the passing of time; `health` counts the final answers so far.
     pub fn advance(&mut self, now: u64, health: Health) {
         self.health = health;
         match self.link {
-            Link::Down { at } if now >= at && !self.options.services.is_empty() => {
-                self.link = Link::Rising { since: now };
+            Link::Down { retry_at } if now >= retry_at && !self.options.services.is_empty() => {
+                self.link = Link::Connecting { since: now };
                 self.connection += 1;
-                self.steps.push_back(Step::Connect(self.options.services[self.service]));
+                self.steps.push_back(Step::Connect(self.options.services[self.service_index]));
             }
-            Link::Rising { since } if now >= since + self.options.silence => {
+            Link::Connecting { since } if now >= since + self.options.silence => {
                 self.disconnect(now, Ending::NeverUp)
             }
-            Link::Up { heard, .. } if now >= heard + self.options.silence => {
+            Link::Up { last_received, .. } if now >= last_received + self.options.silence => {
                 self.disconnect(now, Ending::Silent)
             }
-            Link::Up { heard, beat_at, heartbeat } if heartbeat > 0 && now >= beat_at => {
-                self.link = Link::Up { heard, beat_at: now + heartbeat, heartbeat };
+            Link::Up { last_received, beat_at, heartbeat } if heartbeat > 0 && now >= beat_at => {
+                self.link = Link::Up { last_received, beat_at: now + heartbeat, heartbeat };
                 self.send(ToService::Beat { running: self.version(), health });
             }
             _ => {}
         }
-        if let Some(verdict) = self.guard.look(now, health) {
-            self.judged(verdict);
+        if let Some(verdict) = self.trial.sample(now, health) {
+            self.finish_trial(verdict);
         }
     }
 
@@ -273,10 +280,10 @@
 
     // ---- The connection ----
 
-    /// The connection is up.
+    /// Handles an established connection: sends the `Hello`.
     pub fn connected_now(&mut self, now: u64) {
-        self.link = Link::Up { heard: now, beat_at: u64::MAX, heartbeat: 0 };
-        (self.last_nonce, self.assembly, self.ignored) = (0, None, None);
+        self.link = Link::Up { last_received: now, beat_at: u64::MAX, heartbeat: 0 };
+        (self.last_nonce, self.assembly, self.rejected_nonce) = (0, None, None);
         self.send(ToService::Hello(Hello {
             protocol: PROTOCOL,
             instance: self.options.instance.clone(),
@@ -289,12 +296,12 @@
         }));
     }
 
-    /// The connection is gone, or never came up.
+    /// Handles a connection that was lost or could not be established: the next service is tried after a backoff.
     pub fn lost(&mut self, now: u64) {
-        // What is being checked goes on: the version may still run; its ACK has nowhere to go.
-        (self.assembly, self.ignored, self.waiting) = (None, None, None);
-        self.service = (self.service + 1) % self.options.services.len().max(1);
-        self.link = Link::Down { at: now + self.backoff.next_wait() };
+        // A check in progress continues, and its version may still be applied; only its ACK can't be sent any more.
+        (self.assembly, self.rejected_nonce, self.pending_check) = (None, None, None);
+        self.service_index = (self.service_index + 1) % self.options.services.len().max(1);
+        self.link = Link::Down { retry_at: now + self.backoff.next_wait() };
     }
 
     fn disconnect(&mut self, now: u64, why: Ending) {
@@ -302,26 +309,27 @@
         self.lost(now);
     }
 
-    /// A message has come.
+    /// Handles a message from the service.
     pub fn received(&mut self, now: u64, message: FromService) {
         let Link::Up { beat_at, heartbeat, .. } = self.link else { return };
-        self.link = Link::Up { heard: now, beat_at, heartbeat };
+        self.link = Link::Up { last_received: now, beat_at, heartbeat };
         if heartbeat == 0 {
-            return self.first(now, message);
+            return self.on_first_message(now, message);
         }
-        self.heard_at = Some(now);
+        self.last_service_message_at = Some(now);
         match message {
-            FromService::Offer { nonce, version, entries } => self.offered(now, nonce, version, entries),
-            FromService::Part { nonce, kind, text } => self.part(now, nonce, kind, &text),
-            FromService::End { nonce } => self.end(now, nonce),
+            FromService::Offer { nonce, version, entries } => self.on_offer(now, nonce, version, entries),
+            FromService::Part { nonce, kind, text } => self.on_part(now, nonce, kind, &text),
+            FromService::End { nonce } => self.on_end(now, nonce),
             FromService::Beat {} => {}
             FromService::Welcome { .. } => self.disconnect(now, Ending::Protocol("a second welcome")),
             FromService::Refused { .. } => self.disconnect(now, Ending::TurnedAway),
         }
     }
 
-    /// The first message decides whether this service is followed.
-    fn first(&mut self, now: u64, message: FromService) {
+    /// Decides by the first message of a connection whether to follow the service. Epochs must not go down, and at one
+    /// epoch only one store is followed: two services could publish the same version with different content.
+    fn on_first_message(&mut self, now: u64, message: FromService) {
         let FromService::Welcome { protocol, store, epoch, heartbeat_us } = message else {
             let refused = matches!(message, FromService::Refused { .. });
             let why = if refused { Ending::TurnedAway } else { Ending::Protocol("no welcome") };
@@ -346,9 +354,9 @@
             self.remember();
         }
         self.backoff.reset();
-        self.heard_at = Some(now);
-        let heartbeat = heartbeat_us.clamp(1_000, 600_000_000);
-        self.link = Link::Up { heard: now, beat_at: now, heartbeat };
+        self.last_service_message_at = Some(now);
+        let heartbeat = heartbeat_us.clamp(MIN_HEARTBEAT_US, MAX_HEARTBEAT_US);
+        self.link = Link::Up { last_received: now, beat_at: now, heartbeat };
     }
 
     fn remember(&mut self) {
@@ -375,8 +383,8 @@
         }
     }
 
-    /// Why a version is not to run, whatever its types say.
-    fn unwanted(&self, version: Version, content: &Digest) -> Option<(Code, String)> {
+    /// Returns why a version must not run regardless of the contents of its types, if there is a reason.
+    fn rejection(&self, version: Version, content: &Digest) -> Option<(Code, String)> {
         if self.memory.refused.contains(&version) {
             return Some((Code::Refused, "ran here and was given up".to_string()));
         }
@@ -384,24 +392,27 @@
         if version < highest && self.version() != Some(version) {
             return Some((Code::OutOfOrder, format!("{highest} has run here")));
         }
-        let running = self.running.as_ref().filter(|r| r.version == version).map(|r| r.content());
-        let known = (version == highest).then(|| self.memory.content.clone()).flatten();
-        let other = running.or(known).is_some_and(|c| c != *content);
-        other.then(|| (Code::Conflict, "has run here with another content".to_string()))
+        let running_content =
+            self.running.as_ref().filter(|r| r.version == version).map(|r| r.content_digest());
+        let highest_content = (version == highest).then(|| self.memory.content.clone()).flatten();
+        let conflicts = running_content.or(highest_content).is_some_and(|known| known != *content);
+        conflicts.then(|| (Code::Conflict, "has run here with another content".to_string()))
     }
 
-    fn offered(&mut self, now: u64, nonce: u64, version: Version, entries: Vec<Entry>) {
+    fn on_offer(&mut self, now: u64, nonce: u64, version: Version, entries: Vec<Entry>) {
         if nonce <= self.last_nonce {
             return self.disconnect(now, Ending::Protocol("a nonce that does not go up"));
         }
         self.last_nonce = nonce;
-        self.ignored = None;
+        self.rejected_nonce = None;
         if let Some(old) = self.assembly.take() {
-            let why = Fault { key: "(the whole)".to_string(), why: format!("{version} came before its end") };
-            self.nack(self.ticket(old.nonce), old.version, Code::Superseded, vec![why]);
+            let fault =
+                Fault { key: "(the whole)".to_string(), why: format!("{version} came before its end") };
+            self.nack(self.ticket(old.nonce), old.version, Code::Superseded, vec![fault]);
         }
         let ticket = self.ticket(nonce);
-        let unfit = match self.unwanted(version, &content(entries.iter().map(|e| (e.kind, &e.digest)))) {
+        let content = content_digest(entries.iter().map(|entry| (entry.kind, &entry.digest)));
+        let assembly = match self.rejection(version, &content) {
             Some((code, why)) => Err((code, Fault { key: "version".to_string(), why })),
             None if version.epoch > self.memory.leader.epoch => {
                 let why =
@@ -412,60 +423,60 @@
                 Assembly::begin((nonce, version), entries, self.running.as_deref(), self.options.most_bytes)
             }
         };
-        match unfit {
+        match assembly {
             Ok(assembly) => self.assembly = Some(assembly),
             Err((code, fault)) => {
-                self.ignored = Some(nonce);
+                self.rejected_nonce = Some(nonce);
                 self.nack(ticket, version, code, vec![fault]);
             }
         }
     }
 
-    fn part(&mut self, now: u64, nonce: u64, kind: Kind, text: &str) {
-        if self.ignored == Some(nonce) {
+    fn on_part(&mut self, now: u64, nonce: u64, kind: Kind, text: &str) {
+        if self.rejected_nonce == Some(nonce) {
             return;
         }
         let Some(assembly) = self.assembly.as_mut().filter(|a| a.nonce == nonce) else {
             return self.disconnect(now, Ending::Protocol("a part of nothing"));
         };
-        if let Err((code, fault)) = assembly.part(kind, text) {
+        if let Err((code, fault)) = assembly.add_part(kind, text) {
             let version = assembly.version;
-            (self.assembly, self.ignored) = (None, Some(nonce));
+            (self.assembly, self.rejected_nonce) = (None, Some(nonce));
             self.nack(self.ticket(nonce), version, code, vec![fault]);
         }
     }
 
-    fn end(&mut self, now: u64, nonce: u64) {
-        if self.ignored == Some(nonce) {
-            self.ignored = None;
+    fn on_end(&mut self, now: u64, nonce: u64) {
+        if self.rejected_nonce == Some(nonce) {
+            self.rejected_nonce = None;
             return;
         }
         let Some(assembly) = self.assembly.take_if(|a| a.nonce == nonce) else {
             return self.disconnect(now, Ending::Protocol("an end of nothing"));
         };
         let (ticket, version) = (self.ticket(nonce), assembly.version);
-        match assembly.end() {
+        match assembly.finish() {
             Err((code, fault)) => self.nack(ticket, version, code, vec![fault]),
             Ok(snapshot) => {
-                if let Some((old, snapshot)) = self.waiting.take() {
+                if let Some((old, snapshot)) = self.pending_check.take() {
                     let why = format!("{version} came before it was checked");
                     let fault = Fault { key: "(the whole)".to_string(), why };
                     self.nack(old, snapshot.version, Code::Superseded, vec![fault]);
                 }
-                self.waiting = Some((ticket, Arc::new(snapshot)));
+                self.pending_check = Some((ticket, Arc::new(snapshot)));
                 self.check_next();
             }
         }
     }
 
-    /// Begins to check what waits, once nothing else is being checked.
+    /// Starts the pending check, unless another version is still being checked or applied.
     fn check_next(&mut self) {
         if self.checking.is_some() {
             return;
         }
-        let Some((ticket, snapshot)) = self.waiting.take() else { return };
-        // What ran before may have changed since it was offered.
-        if let Some((code, why)) = self.unwanted(snapshot.version, &snapshot.content()) {
+        let Some((ticket, snapshot)) = self.pending_check.take() else { return };
+        // The running and the refused versions may have changed since the offer arrived.
+        if let Some((code, why)) = self.rejection(snapshot.version, &snapshot.content_digest()) {
             let fault = Fault { key: "version".to_string(), why };
             return self.nack(ticket, snapshot.version, code, vec![fault]);
         }
@@ -476,59 +487,59 @@
         self.steps.push_back(Step::Check(ticket, snapshot));
     }
 
-    /// The check of a version, and its keeping on disk, came to this.
+    /// Handles the result of [`Step::Check`]: the check of a version and its storage on disk.
     pub fn checked(&mut self, ticket: Ticket, result: Result<(), (Code, Vec<Fault>)>) {
         let Some((_, snapshot)) = self.checking.as_ref().filter(|(t, _)| *t == ticket) else { return };
         match result {
             Ok(()) => self.steps.push_back(Step::Apply(ticket, snapshot.clone())),
-            Err((code, faults)) => self.turned_down(ticket, code, faults),
+            Err((code, faults)) => self.reject_checked(ticket, code, faults),
         }
     }
 
-    fn turned_down(&mut self, ticket: Ticket, code: Code, faults: Vec<Fault>) {
+    fn reject_checked(&mut self, ticket: Ticket, code: Code, faults: Vec<Fault>) {
         if let Some((_, snapshot)) = self.checking.take() {
             self.nack(ticket, snapshot.version, code, faults);
         }
         self.check_next();
     }
 
-    /// A version that was checked is in use now, or could not be taken into use.
+    /// Handles the result of [`Step::Apply`]: the version is in use, or could not be applied.
     pub fn applied(&mut self, now: u64, ticket: Ticket, result: Result<(), (Code, Vec<Fault>)>) {
         if self.checking.as_ref().is_none_or(|(t, _)| *t != ticket) {
             return;
         }
         if let Err((code, faults)) = result {
-            return self.turned_down(ticket, code, faults);
+            return self.reject_checked(ticket, code, faults);
         }
         let Some((_, snapshot)) = self.checking.take() else { return };
         let version = snapshot.version;
         if version >= self.memory.highest {
-            (self.memory.highest, self.memory.content) = (version, Some(snapshot.content()));
+            (self.memory.highest, self.memory.content) = (version, Some(snapshot.content_digest()));
         }
         self.running = Some(snapshot);
         self.remember();
         self.ack(ticket, version);
         if self.options.trial.length == 0 {
-            self.judged(Verdict::Untested);
+            self.finish_trial(Verdict::Untested);
         } else {
-            self.guard.begin(now, self.health);
+            self.trial.begin(now, self.health);
         }
         self.check_next();
     }
 
-    /// A trial is over.
-    fn judged(&mut self, verdict: Verdict) {
+    /// Ends a trial: keeps the running version, or rolls back to the last good one and refuses this one from now on.
+    fn finish_trial(&mut self, verdict: Verdict) {
         let Some(running) = self.running.clone() else { return };
         let version = running.version;
         let worse = matches!(verdict, Verdict::Worse { .. });
-        // With nothing to go back to, what runs is better than nothing.
-        if !worse || (self.good.is_none() && !self.options.has_base) {
-            self.good = Some(running);
+        // Without a version or a file to roll back to, a worse version is better than none.
+        if !worse || (self.last_good.is_none() && !self.options.has_base) {
+            self.last_good = Some(running);
             return self.steps.push_back(Step::Keep(version, verdict));
         }
-        self.running = self.good.clone();
+        self.running = self.last_good.clone();
         self.memory.refused.push_back(version);
-        if self.memory.refused.len() > MOST_REFUSED {
+        if self.memory.refused.len() > MAX_REMEMBERED_REFUSALS {
             self.memory.refused.pop_front();
         }
         let why = match &verdict {
@@ -546,12 +557,12 @@
         }
     }
 
-    /// Another process of this dispatcher took a version into use, and this one follows it.
+    /// Takes over the versions and memory that another process of this dispatcher has applied.
     pub fn follow(&mut self, running: Option<Snapshot>, good: Option<Snapshot>, memory: Memory) {
         let version = running.as_ref().map(|r| r.version).unwrap_or_default();
-        (self.running, self.good) = (running.map(Arc::new), good.map(Arc::new));
+        (self.running, self.last_good) = (running.map(Arc::new), good.map(Arc::new));
         self.memory = memory;
         self.memory.highest = self.memory.highest.max(version);
-        self.guard.abandon();
+        self.trial.cancel();
     }
 }
--- a/crates/stream/src/trial.rs
+++ b/crates/stream/src/trial.rs
@@ -1,138 +1,147 @@
-//! The guarded trial: whether a version that was just taken into use makes things worse.
+//! The trial (probation) of a newly applied version: decides whether the version makes the share of bad answers worse.
 //!
-//! The share of final answers that are refused or failed is compared with the time before: the last window ahead of
-//! the trial, as long as the trial itself. It counts as worse where it grew by more than the margin, where that is no
-//! accident (three standard deviations of the difference of two shares), and where it says so twice in a row: one
-//! bad moment returns nothing. A version that was given up stays refused, so that nothing flips to and fro.
+//! The share of final answers that are refusals or failures is compared with a baseline: the window before the trial,
+//! as long as the trial itself. The version counts as worse if the share grew by more than the margin, if the growth is
+//! statistically significant (three standard deviations of the difference of two shares), and if two consecutive
+//! samples agree, so that a single bad moment causes no rollback. The subscriber keeps refusing a version that was
+//! rolled back, so that it does not oscillate between two versions.
 
 use crate::wire::Health;
 use std::collections::VecDeque;
 
-/// Samples in a window.
-const SAMPLES: u64 = 10;
-/// Looks in a row that must say the same.
-const STRIKES: u32 = 2;
-/// Standard deviations that make a difference.
-const DEVIATIONS: f64 = 3.0;
+/// The number of samples in a window.
+const SAMPLES_PER_WINDOW: u64 = 10;
+/// Consecutive samples that must find the version worse before it is rolled back.
+const WORSE_SAMPLES_FOR_ROLLBACK: u32 = 2;
+/// A difference of shares is significant beyond this number of standard deviations.
+const SIGNIFICANT_DEVIATIONS: f64 = 3.0;
 
-/// How trials go.
+/// The parameters of trials.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How long a trial lasts, in microseconds; 0: there is none.
+    /// The duration of a trial, in microseconds; 0 disables trials.
     pub length: u64,
-    /// By how much the share of bad answers may grow.
+    /// The growth of the share of bad answers that is tolerated.
     pub margin: f64,
-    /// Fewer answers than this say nothing.
+    /// The minimum number of answers, both in the baseline and in the trial, for a verdict on the version.
     pub least: u64,
 }
 
-/// What came of a trial.
+/// The result of a trial.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The version is good.
+    /// The version did not make the share of bad answers worse.
     Passed,
-    /// Too little happened to tell; the version is kept.
+    /// There were too few answers for a comparison; the version is kept.
     Untested,
-    /// The shares before and after, and the answers since.
+    /// The version made the share of bad answers worse.
     Worse {
-        /// Bad answers before, as a share.
+        /// The share of bad answers in the baseline.
         before: f64,
-        /// Bad answers since.
+        /// The share of bad answers since the start of the trial.
         after: f64,
-        /// All answers since.
+        /// The number of answers since the start of the trial.
         answers: u64,
     },
 }
 
-struct Watch {
-    until: u64,
+struct Trial {
+    ends_at: u64,
     start: Health,
-    before: Health,
-    strikes: u32,
+    baseline: Health,
+    /// Consecutive samples that found the version worse.
+    worse_samples: u32,
 }
 
-/// Keeps the time before, and watches the trial.
-pub struct Guard {
+/// Keeps the samples of the baseline window and monitors the trial of a version.
+pub struct TrialMonitor {
     rules: Rules,
     samples: VecDeque<Health>,
-    next: u64,
-    watch: Option<Watch>,
+    next_sample_at: u64,
+    trial: Option<Trial>,
 }
 
-fn since(now: Health, then: Health) -> Health {
-    Health { answers: now.answers.saturating_sub(then.answers), bad: now.bad.saturating_sub(then.bad) }
+fn difference(later: Health, earlier: Health) -> Health {
+    Health {
+        answers: later.answers.saturating_sub(earlier.answers),
+        bad: later.bad.saturating_sub(earlier.bad),
+    }
 }
 
-fn share(health: Health) -> f64 {
+fn bad_share(health: Health) -> f64 {
     health.bad as f64 / health.answers.max(1) as f64
 }
 
-/// Whether the second share is larger by more than the margin, and by no accident.
-fn worse(before: Health, after: Health, margin: f64) -> bool {
-    let grown = share(after) - share(before) - margin;
-    let (n, m) = (before.answers as f64, after.answers as f64);
-    let pooled = (before.bad + after.bad) as f64 / (n + m);
-    let deviation = (pooled * (1.0 - pooled) * (1.0 / n + 1.0 / m)).sqrt();
-    grown > 0.0 && share(after) - share(before) > DEVIATIONS * deviation
+/// Returns whether the second share is larger by more than the margin and the difference is significant.
+fn is_worse(before: Health, after: Health, margin: f64) -> bool {
+    let beyond_margin = bad_share(after) - bad_share(before) - margin;
+    let (answers_before, answers_after) = (before.answers as f64, after.answers as f64);
+    let pooled = (before.bad + after.bad) as f64 / (answers_before + answers_after);
+    let deviation = (pooled * (1.0 - pooled) * (1.0 / answers_before + 1.0 / answers_after)).sqrt();
+    beyond_margin > 0.0 && bad_share(after) - bad_share(before) > SIGNIFICANT_DEVIATIONS * deviation
 }
 
-impl Guard {
-    /// Nothing is on trial.
-    pub fn new(rules: Rules) -> Guard {
-        Guard { rules, samples: VecDeque::new(), next: 0, watch: None }
+impl TrialMonitor {
+    /// Creates a monitor with no version on trial.
+    pub fn new(rules: Rules) -> TrialMonitor {
+        TrialMonitor { rules, samples: VecDeque::new(), next_sample_at: 0, trial: None }
     }
 
-    /// Whether a version is on trial.
-    pub fn watches(&self) -> bool {
-        self.watch.is_some()
+    /// Returns whether a version is on trial.
+    pub fn is_active(&self) -> bool {
+        self.trial.is_some()
     }
 
-    /// A version was just taken into use. One that takes the place of another on trial is held against the time
-    /// before that one: else each would excuse the next.
+    /// Starts the trial of a version that was just applied. If it replaces another version on trial, it is compared with
+    /// the baseline of that one; otherwise the errors of each bad version would raise the baseline of the next.
     pub fn begin(&mut self, now: u64, health: Health) {
-        let before = match &self.watch {
-            Some(watch) => watch.before,
-            None => since(health, self.samples.front().copied().unwrap_or(health)),
+        let baseline = match &self.trial {
+            Some(trial) => trial.baseline,
+            None => difference(health, self.samples.front().copied().unwrap_or(health)),
         };
-        self.watch = Some(Watch { until: now + self.rules.length, start: health, before, strikes: 0 });
+        let ends_at = now + self.rules.length;
+        self.trial = Some(Trial { ends_at, start: health, baseline, worse_samples: 0 });
     }
 
-    /// The trial ends without a verdict.
-    pub fn abandon(&mut self) {
-        self.watch = None;
+    /// Ends the trial without a verdict.
+    pub fn cancel(&mut self) {
+        self.trial = None;
         self.samples.clear();
     }
 
-    /// When `look` next has something to do.
-    pub fn due(&self) -> u64 {
-        if self.rules.length == 0 { u64::MAX } else { self.next }
+    /// Returns when the next sample is due.
+    pub fn next_due(&self) -> u64 {
+        if self.rules.length == 0 { u64::MAX } else { self.next_sample_at }
     }
 
-    /// Takes a sample when one is due; tells what came of the trial.
-    pub fn look(&mut self, now: u64, health: Health) -> Option<Verdict> {
-        if now < self.due() {
+    /// Takes a sample if one is due, and returns the verdict if that ends the trial.
+    pub fn sample(&mut self, now: u64, health: Health) -> Option<Verdict> {
+        if now < self.next_due() {
             return None;
         }
-        self.next = now + (self.rules.length / SAMPLES).max(1);
-        // A trial that is passed is a time before the next one.
+        self.next_sample_at = now + (self.rules.length / SAMPLES_PER_WINDOW).max(1);
+        // Samples are taken during a trial too: the window of a passed trial is the baseline of the next one.
         self.samples.push_back(health);
-        while self.samples.len() as u64 > SAMPLES + 1 {
+        while self.samples.len() as u64 > SAMPLES_PER_WINDOW + 1 {
             self.samples.pop_front();
         }
-        let watch = self.watch.as_mut()?;
-        let after = since(health, watch.start);
-        let tells = after.answers >= self.rules.least && watch.before.answers >= self.rules.least;
-        watch.strikes =
-            if tells && worse(watch.before, after, self.rules.margin) { watch.strikes + 1 } else { 0 };
-        let verdict = if watch.strikes >= STRIKES {
-            let (before, after_share) = (share(watch.before), share(after));
+        let trial = self.trial.as_mut()?;
+        let after = difference(health, trial.start);
+        let enough_answers = after.answers >= self.rules.least && trial.baseline.answers >= self.rules.least;
+        trial.worse_samples = if enough_answers && is_worse(trial.baseline, after, self.rules.margin) {
+            trial.worse_samples + 1
+        } else {
+            0
+        };
+        let verdict = if trial.worse_samples >= WORSE_SAMPLES_FOR_ROLLBACK {
+            let (before, after_share) = (bad_share(trial.baseline), bad_share(after));
             Verdict::Worse { before, after: after_share, answers: after.answers }
-        } else if now >= watch.until && watch.strikes == 0 {
-            if tells { Verdict::Passed } else { Verdict::Untested }
+        } else if now >= trial.ends_at && trial.worse_samples == 0 {
+            if enough_answers { Verdict::Passed } else { Verdict::Untested }
         } else {
             return None;
         };
-        self.watch = None;
+        self.trial = None;
         if matches!(verdict, Verdict::Worse { .. }) {
             self.samples.clear();
         }
--- a/crates/stream/src/trial/tests.rs
+++ b/crates/stream/src/trial/tests.rs
@@ -2,26 +2,26 @@
 
 const RULES: Rules = Rules { length: 1_000, margin: 0.05, least: 50 };
 
-/// Plays a share of bad answers before and after, 100 answers a sample.
-fn play(before: &[u64], after: &[u64]) -> Option<Verdict> {
-    let (mut guard, mut now, mut health) = (Guard::new(RULES), 0, Health::default());
+/// Runs a trial with these counts of bad answers per sample before and during it; each sample has 100 answers.
+fn run_trial(before: &[u64], after: &[u64]) -> Option<Verdict> {
+    let (mut monitor, mut now, mut health) = (TrialMonitor::new(RULES), 0, Health::default());
     for bad in before {
-        assert_eq!(guard.look(now, health), None);
+        assert_eq!(monitor.sample(now, health), None);
         now += 100;
         health = Health { answers: health.answers + 100, bad: health.bad + bad };
     }
-    guard.look(now, health);
-    guard.begin(now, health);
+    monitor.sample(now, health);
+    monitor.begin(now, health);
     after.iter().find_map(|bad| {
         now += 100;
         health = Health { answers: health.answers + 100, bad: health.bad + bad };
-        guard.look(now, health)
+        monitor.sample(now, health)
     })
 }
 
 #[test]
-fn a_share_that_grows_past_the_margin_gives_the_version_up_early() {
-    match play(&[2; 12], &[30; 10]) {
+fn a_share_of_bad_answers_beyond_the_margin_ends_the_trial_early_as_worse() {
+    match run_trial(&[2; 12], &[30; 10]) {
         Some(Verdict::Worse { before, after, answers }) => {
             assert!((before - 0.02).abs() < 1e-9 && (after - 0.3).abs() < 1e-9 && answers == 200);
         }
@@ -30,33 +30,33 @@
 }
 
 #[test]
-fn one_bad_moment_or_a_small_growth_does_not() {
-    assert_eq!(play(&[2; 12], &[9, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2]), Some(Verdict::Passed));
-    assert_eq!(play(&[2; 12], &[6; 11]), Some(Verdict::Passed));
-    assert_eq!(play(&[40; 12], &[41; 11]), Some(Verdict::Passed));
+fn one_bad_sample_or_growth_within_the_margin_passes() {
+    assert_eq!(run_trial(&[2; 12], &[9, 2, 2, 2, 2, 2, 2, 2, 2, 2, 2]), Some(Verdict::Passed));
+    assert_eq!(run_trial(&[2; 12], &[6; 11]), Some(Verdict::Passed));
+    assert_eq!(run_trial(&[40; 12], &[41; 11]), Some(Verdict::Passed));
 }
 
 #[test]
-fn without_enough_answers_nothing_is_said() {
-    assert_eq!(play(&[], &[100; 11]), Some(Verdict::Untested));
-    let mut guard = Guard::new(RULES);
-    guard.begin(0, Health::default());
-    assert_eq!(guard.look(1_000, Health { answers: 10, bad: 10 }), Some(Verdict::Untested));
+fn too_few_answers_leave_the_version_untested() {
+    assert_eq!(run_trial(&[], &[100; 11]), Some(Verdict::Untested));
+    let mut monitor = TrialMonitor::new(RULES);
+    monitor.begin(0, Health::default());
+    assert_eq!(monitor.sample(1_000, Health { answers: 10, bad: 10 }), Some(Verdict::Untested));
 }
 
 #[test]
-fn a_second_version_on_trial_is_held_against_the_time_before_the_first() {
-    let (mut guard, mut health) = (Guard::new(RULES), Health::default());
+fn a_second_version_on_trial_is_compared_with_the_baseline_of_the_first() {
+    let (mut monitor, mut health) = (TrialMonitor::new(RULES), Health::default());
     for step in 0..12 {
-        guard.look(step * 100, health);
+        monitor.sample(step * 100, health);
         health.answers += 100;
     }
-    guard.begin(1_200, health);
+    monitor.begin(1_200, health);
     health = Health { answers: health.answers + 40, bad: 40 };
-    guard.begin(1_250, health);
+    monitor.begin(1_250, health);
     for step in 0..2 {
         health = Health { answers: health.answers + 100, bad: health.bad + 50 };
-        let verdict = guard.look(1_300 + step * 100, health);
+        let verdict = monitor.sample(1_300 + step * 100, health);
         assert_eq!(verdict.is_some(), step == 1, "{verdict:?}");
     }
 }
--- a/crates/stream/src/version.rs
+++ b/crates/stream/src/version.rs
@@ -1,29 +1,29 @@
-//! What is versioned, and how versions are told apart: `(epoch, number)`, compared in that order.
+//! Resource types, versions and content digests. A version is `(epoch, number)`, compared in that order.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 use std::str::FromStr;
 
-/// A type of resource. Each has a version of its own; a snapshot holds one of each at the most.
+/// A type of resource. Each type has its own version; a snapshot holds at most one resource of each type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Classes, tenants, attempts, deadlines: `settings` of the platform's file.
+    /// Classes, tenants, attempts and deadlines: `settings` in the platform's file.
     Settings,
-    /// Memory and descriptors: `limits` of the platform's file.
+    /// Memory and file descriptors: `limits` in the platform's file.
     Limits,
-    /// Executors left out.
+    /// Executors excluded from dispatch.
     Bans,
     /// MQTT brokers.
     Fronts,
 }
 
 impl Kind {
-    /// All of them, in the order in which they are sent and applied.
+    /// All types, in the order in which they are sent and applied.
     pub const ALL: [Kind; 4] = [Kind::Settings, Kind::Limits, Kind::Bans, Kind::Fronts];
 
-    /// Its name in files and messages.
+    /// Returns the type's name in files and messages.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Settings => "settings",
@@ -34,18 +34,18 @@
     }
 }
 
-/// A version: the epoch of the service that published it, and its number, which goes on over epochs.
+/// A version: the epoch of the service that published it, and a number that keeps counting across epochs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "(u64, u64)", from = "(u64, u64)")]
 pub struct Version {
-    /// Raised by each start of a control service; compared first.
+    /// Incremented at each start of a control service; compared first.
     pub epoch: u64,
-    /// From 1.
+    /// Counted from 1.
     pub number: u64,
 }
 
 impl Version {
-    /// A version.
+    /// Creates a version from its two components.
     pub fn new(epoch: u64, number: u64) -> Version {
         Version { epoch, number }
     }
@@ -69,9 +69,9 @@
     }
 }
 
-/// The text is no version.
+/// The error for text that does not parse as a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no version: EPOCH.NUMBER is wanted, such as 3.17")]
+#[error("invalid version: expected EPOCH.NUMBER, such as 3.17")]
 pub struct NoVersion;
 
 impl FromStr for Version {
@@ -79,17 +79,22 @@
 
     fn from_str(text: &str) -> Result<Version, NoVersion> {
         let (epoch, number) = text.split_once('.').ok_or(NoVersion)?;
-        let digits = |t: &str| t.parse().ok().filter(|_| t.bytes().all(|b| b.is_ascii_digit()));
-        Ok(Version { epoch: digits(epoch).ok_or(NoVersion)?, number: digits(number).ok_or(NoVersion)? })
+        // `u64::from_str` accepts a leading `+`, which `Display` never writes.
+        let parse_digits =
+            |text: &str| text.parse().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()));
+        Ok(Version {
+            epoch: parse_digits(epoch).ok_or(NoVersion)?,
+            number: parse_digits(number).ok_or(NoVersion)?,
+        })
     }
 }
 
-/// SHA-256 of a resource's text, in hex; tells equal contents apart from equal numbers.
+/// SHA-256 of a resource's text, in hex. Detects different contents published under the same version number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub String);
 
 impl Digest {
-    /// The digest of a text.
+    /// Computes the digest of a text.
     pub fn of(text: &str) -> Digest {
         let mut hasher = Hasher::default();
         hasher.update(text);
@@ -97,17 +102,17 @@
     }
 }
 
-/// Makes a digest piece by piece, so that a long text costs no long turn.
+/// An incremental digest: hashing a long text piece by piece does not block the event loop for long.
 #[derive(Clone, Default)]
 pub struct Hasher(Sha256);
 
 impl Hasher {
-    /// Takes in the next piece.
+    /// Hashes the next piece.
     pub fn update(&mut self, piece: &str) {
         self.0.update(piece.as_bytes());
     }
 
-    /// The digest of all pieces.
+    /// Returns the digest of all pieces.
     pub fn finish(self) -> Digest {
         Digest(self.0.finalize().iter().map(|byte| format!("{byte:02x}")).collect())
     }
--- a/crates/stream/src/version/tests.rs
+++ b/crates/stream/src/version/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn versions_are_ordered_by_epoch_first_and_read_as_written() {
+fn versions_are_ordered_by_epoch_first_and_parse_as_displayed() {
     let sorted = [Version::new(1, 9), Version::new(2, 3), Version::new(2, 10)];
     assert!(sorted.is_sorted());
     assert!(sorted.iter().all(|v| v.to_string().parse() == Ok(*v)));
--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -1,27 +1,29 @@
-//! The messages of the stream and their frames: four bytes of length, big-endian, and a JSON object.
+//! The messages of the configuration stream and their framing: a length of four bytes, big-endian, then a JSON object
+//! of at most [`MOST_FRAME`] bytes.
 //!
-//! `docs/protocol/control.md` is the page for implementers.
+//! `docs/protocol/control.md` specifies the protocol for implementers.
 
 use crate::{Digest, Kind, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The version of the protocol; a peer with another one is refused.
+/// The protocol version; a peer with another version is refused.
 pub const PROTOCOL: u32 = 1;
-/// The longest body of a frame, in bytes.
+/// The maximum length of a frame's body, in bytes.
 pub const MOST_FRAME: usize = 128 * 1024;
-/// Bytes of a resource's text in one part; escaped, they fit a frame whatever they are.
-pub const PIECE: usize = 16 * 1024;
-/// Faults told in one NACK; the rest is left out.
+/// The maximum length of the text in one part, in bytes. JSON escapes a byte to at most six bytes, so that any text of
+/// this length fits a frame.
+pub const PIECE_BYTES: usize = 16 * 1024;
+/// The maximum number of faults in one NACK; further faults are omitted.
 pub const MOST_FAULTS: usize = 50;
 
-/// Something wrong with a version: a key and what is wrong with it.
+/// An error in a version: the faulty key and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// The faulty key, as a path.
     pub key: String,
-    /// What is wrong with it.
+    /// The reason.
     pub why: String,
 }
 
@@ -31,45 +33,45 @@
     }
 }
 
-/// Why a version was turned down.
+/// The reason code of a rejected version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
-    /// Its content has faults or breaks a rule.
+    /// The content has faults or violates a rule.
     Invalid,
-    /// A lower version than one that has run here.
+    /// The version is lower than one that has already run on this instance.
     OutOfOrder,
-    /// The same version as one that has run here, with another content.
+    /// The same version has already run on this instance with different content.
     Conflict,
-    /// It ran here and made things worse.
+    /// The version ran on this instance and was rolled back because it made the share of bad answers worse.
     Refused,
-    /// It leaves out a type that is not held here; all types are asked for.
+    /// The offer omits a type that the subscriber does not hold; requests that all types be sent.
     Gap,
-    /// What arrived is not what was announced.
+    /// The received content does not match what was announced.
     Damaged,
-    /// Larger than allowed.
+    /// The version is larger than allowed.
     Oversize,
-    /// A newer one came before this one was whole or checked.
+    /// A newer offer arrived before this one was complete or checked.
     Superseded,
-    /// It could not be kept or taken into use.
+    /// The version could not be stored or applied.
     Failed,
 }
 
-/// Counts of final answers since the process started.
+/// Counts of final answers since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// All of them.
+    /// All final answers.
     pub answers: u64,
-    /// Those that were refused or failed.
+    /// Final answers that were refusals or failures.
     pub bad: u64,
 }
 
-/// What a subscriber holds of a type.
+/// The resource that a subscriber holds for one type.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The type's version.
     pub version: Version,
-    /// Its digest.
+    /// The digest of its text.
     pub digest: Digest,
 }
 
@@ -78,28 +80,28 @@
 pub struct Hello {
     /// [`PROTOCOL`].
     pub protocol: u32,
-    /// The instance's name.
+    /// The instance name.
     pub instance: String,
-    /// Its labels.
+    /// The instance labels.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// The version that it runs.
+    /// The running version.
     pub running: Option<Version>,
-    /// The highest version that it ever ran.
+    /// The highest version that has ever run on this instance.
     #[serde(default)]
     pub highest: Version,
-    /// The highest epoch of a service that it has heard.
+    /// The highest epoch of a service that the subscriber has followed.
     #[serde(default)]
     pub epoch: u64,
-    /// What it holds, by type: only what differs is sent.
+    /// The resources that it holds, by type; the service sends only those that differ.
     #[serde(default)]
     pub holds: BTreeMap<Kind, Holding>,
-    /// Versions that it gave up after a trial.
+    /// Versions that it rolled back after a trial.
     #[serde(default)]
     pub refused: Vec<Version>,
 }
 
-/// A type in an offer.
+/// One type in an offer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The type.
@@ -110,132 +112,133 @@
     pub digest: Digest,
     /// The length of its text, in bytes.
     pub bytes: u64,
-    /// Its text follows in parts; else the subscriber holds it.
+    /// Whether the text follows in parts; if not, the subscriber already holds it.
     pub sent: bool,
 }
 
-/// From a subscriber to the service.
+/// Messages from a subscriber to the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum ToService {
-    /// The first message.
+    /// The subscriber's first message on a connection.
     Hello(Hello),
-    /// The offered version runs.
+    /// The offered version was applied and is running.
     Ack {
-        /// The offer's.
+        /// The nonce of the offer.
         nonce: u64,
         /// The version.
         version: Version,
     },
-    /// The offered version was turned down; what ran before goes on.
+    /// The offered version was rejected; the version that ran before stays in use.
     Nack {
-        /// The offer's.
+        /// The nonce of the offer.
         nonce: u64,
         /// The version.
         version: Version,
-        /// Why, for programs.
+        /// The machine-readable reason.
         code: Code,
-        /// Why, for people.
+        /// The human-readable reasons.
         faults: Vec<Fault>,
     },
-    /// A late refusal: the version ran, made things worse, and was given up.
+    /// A late rejection: the version ran, made the share of bad answers worse, and was rolled back.
     Reverted {
-        /// The version that was given up.
+        /// The version that was rolled back.
         version: Version,
-        /// What runs now.
+        /// The version that runs now.
         running: Option<Version>,
-        /// The figures that decided.
+        /// The shares of bad answers that led to the rollback.
         why: String,
     },
-    /// A sign of life.
+    /// A heartbeat.
     Beat {
-        /// The version that runs.
+        /// The running version.
         running: Option<Version>,
-        /// How it does.
+        /// The instance's counts of final answers.
         health: Health,
     },
 }
 
-/// From the service to a subscriber.
+/// Messages from the service to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum FromService {
-    /// The first message.
+    /// The service's first message on a connection.
     Welcome {
         /// [`PROTOCOL`].
         protocol: u32,
-        /// The id of the service's store, which tells two services apart.
+        /// The id of the service's store, which distinguishes two services with the same epoch.
         store: String,
         /// The service's epoch.
         epoch: u64,
-        /// The time between two signs of life, in microseconds.
+        /// The heartbeat interval, in microseconds.
         heartbeat_us: u64,
     },
-    /// Begins a version.
+    /// Starts the transfer of a version.
     Offer {
-        /// Goes up with each offer on a connection; answered by one ACK or NACK.
+        /// Increases with each offer on a connection; answered by exactly one ACK or NACK.
         nonce: u64,
-        /// The version of the whole.
+        /// The version of the snapshot.
         version: Version,
-        /// All its types.
+        /// All types of the version.
         entries: Vec<Entry>,
     },
-    /// A piece of a type's text.
+    /// A piece of one type's text.
     Part {
-        /// The offer's.
+        /// The nonce of the offer.
         nonce: u64,
         /// The type.
         kind: Kind,
-        /// The piece, cut between characters.
+        /// The piece; it begins and ends on a character boundary.
         text: String,
     },
-    /// All has been sent.
+    /// Ends the transfer of a version: all parts have been sent.
     End {
-        /// The offer's.
+        /// The nonce of the offer.
         nonce: u64,
     },
-    /// A sign of life.
+    /// A heartbeat.
     Beat {},
-    /// The service will not have this subscriber.
+    /// The service refuses this subscriber and closes the connection.
     Refused {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// Bytes that are no frame of this protocol.
+/// The error for bytes that are not a frame of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}: see that both ends are of one version, and that the address is the control service's")]
+#[error("{0}: check that both ends run the same version and that the address is the control service's")]
 pub struct BadFrame(pub &'static str);
 
-/// A message as a frame.
+/// Encodes a message as a frame.
 pub fn frame(message: &impl Serialize) -> Vec<u8> {
     let mut out = vec![0; 4];
-    // Writing to memory can't fail, and all keys are text.
+    // Serialisation can't fail here: writes to memory always succeed and all map keys are strings.
     let _ = serde_json::to_writer(&mut out, message);
     let length = (out.len() - 4) as u32;
     out[..4].copy_from_slice(&length.to_be_bytes());
     out
 }
 
-/// The body at the front of the bytes, if it is whole; the frame's length is 4 more.
+/// Returns the body of the first frame in `bytes`, or `None` while it is incomplete. The frame is 4 bytes longer than
+/// its body.
 pub fn body(bytes: &[u8]) -> Result<Option<&[u8]>, BadFrame> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
     if length == 0 || length > MOST_FRAME {
-        return Err(BadFrame("a frame with a length out of bounds"));
+        return Err(BadFrame("frame length out of bounds"));
     }
     Ok(rest.get(..length))
 }
 
-/// Reads a body.
+/// Parses a frame's body.
 pub fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, BadFrame> {
-    serde_json::from_slice(body).map_err(|_| BadFrame("a message that can't be read"))
+    serde_json::from_slice(body).map_err(|_| BadFrame("unreadable message"))
 }
 
-/// The next piece of a text from a place on, cut between characters.
+/// Returns the piece of `text` that begins at byte `from`, cut at a character boundary.
 pub fn piece(text: &str, from: usize) -> &str {
-    let mut end = text.len().min(from + PIECE);
+    let mut end = text.len().min(from + PIECE_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/stream/src/wire/tests.rs
+++ b/crates/stream/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn frames_are_read_as_written_however_they_are_cut() {
+fn incomplete_frames_yield_nothing_and_a_whole_frame_parses_as_sent() {
     let sent = ToService::Ack { nonce: 7, version: Version::new(2, 9) };
     let bytes = frame(&sent);
     for cut in 0..bytes.len() {
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn the_worst_piece_fits_a_frame_and_pieces_make_up_the_text() {
-    let worst = "\u{1}".repeat(PIECE);
+fn a_fully_escaped_piece_fits_a_frame_and_pieces_concatenate_to_the_text() {
+    let worst = "\u{1}".repeat(PIECE_BYTES);
     let part = FromService::Part { nonce: u64::MAX, kind: Kind::Settings, text: worst };
     assert!(frame(&part).len() <= MOST_FRAME + 4);
-    let text = "a\u{20ac}".repeat(PIECE);
+    let text = "a\u{20ac}".repeat(PIECE_BYTES);
     let (mut from, mut whole) = (0, String::new());
     while from < text.len() {
         let next = piece(&text, from);
--- a/crates/stream/tests/subscriber.rs
+++ b/crates/stream/tests/subscriber.rs
@@ -1,5 +1,5 @@
-//! The state machine against a small reference model, under random orders of everything, and each written outcome by
-//! itself. A failure prints the shortest history that causes it.
+//! The subscriber's state machine: each documented outcome on its own, and a comparison with a small reference model
+//! under random sequences of events. A failure prints the shortest sequence that causes it.
 
 use ochreward_stream::subscriber::{Ending, Leader, Options, Ticket};
 use ochreward_stream::trial::Rules;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// The same histories every time; another seed plays others.
+/// A fixed seed, so that every run generates the same sequences.
 const SEED: RngSeed = RngSeed::Fixed(0x0c4e);
 const SILENCE: u64 = 1_000_000;
 
@@ -42,7 +42,7 @@
     FromService::Welcome { protocol: PROTOCOL, store: store.into(), epoch, heartbeat_us: 50_000 }
 }
 
-/// The messages of an offer.
+/// Returns the messages of an offer.
 fn offer(nonce: u64, of: &Snapshot, sent: bool) -> Vec<FromService> {
     let entry = |(kind, r): (&Kind, &Resource)| Entry {
         kind: *kind,
@@ -65,52 +65,54 @@
     out
 }
 
-// ---- Each outcome by itself ----
+// ---- Documented outcomes ----
 
-struct Bench {
-    it: Subscriber,
+/// A subscriber together with its time, the last nonce and its counts of answers.
+struct Harness {
+    subscriber: Subscriber,
     now: u64,
     nonce: u64,
     health: Health,
 }
 
-impl Bench {
-    fn new(running: Option<Snapshot>) -> Bench {
-        let it = Subscriber::new(options(true), 0, Memory::default(), running.clone(), running);
-        let mut bench = Bench { it, now: 0, nonce: 0, health: Health::default() };
-        bench.connect(welcome(1, "a"));
-        bench
+impl Harness {
+    fn new(running: Option<Snapshot>) -> Harness {
+        let subscriber = Subscriber::new(options(true), 0, Memory::default(), running.clone(), running);
+        let mut harness = Harness { subscriber, now: 0, nonce: 0, health: Health::default() };
+        harness.connect(welcome(1, "a"));
+        harness
     }
 
     fn connect(&mut self, hello: FromService) -> Vec<Step> {
-        while !self.it.steps.iter().any(|s| matches!(s, Step::Connect(_))) {
-            self.pass(SILENCE / 10);
+        while !self.subscriber.steps.iter().any(|s| matches!(s, Step::Connect(_))) {
+            self.advance_by(SILENCE / 10);
         }
         self.nonce = 0;
-        self.it.steps.clear();
-        self.it.connected_now(self.now);
-        self.it.received(self.now, hello);
-        self.it.steps.drain(..).collect()
+        self.subscriber.steps.clear();
+        self.subscriber.connected_now(self.now);
+        self.subscriber.received(self.now, hello);
+        self.subscriber.steps.drain(..).collect()
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance_by(&mut self, time: u64) {
         self.now += time;
-        self.it.advance(self.now, self.health);
+        self.subscriber.advance(self.now, self.health);
     }
 
-    /// Offers a version, and says yes to all checks; what it was answered.
+    /// Offers a version and accepts all checks; returns the code of the NACK, or `None` for an ACK.
     fn offer(&mut self, of: &Snapshot) -> Option<Code> {
         self.nonce += 1;
-        offer(self.nonce, of, true).into_iter().for_each(|m| self.it.received(self.now, m));
+        offer(self.nonce, of, true).into_iter().for_each(|m| self.subscriber.received(self.now, m));
         self.answer()
     }
 
+    /// Carries out all steps and returns the subscriber's only answer to the last nonce.
     fn answer(&mut self) -> Option<Code> {
         let mut answers = Vec::new();
-        while let Some(step) = self.it.steps.pop_front() {
+        while let Some(step) = self.subscriber.steps.pop_front() {
             match step {
-                Step::Check(ticket, _) => self.it.checked(ticket, Ok(())),
-                Step::Apply(ticket, _) => self.it.applied(self.now, ticket, Ok(())),
+                Step::Check(ticket, _) => self.subscriber.checked(ticket, Ok(())),
+                Step::Apply(ticket, _) => self.subscriber.applied(self.now, ticket, Ok(())),
                 Step::Send(ToService::Ack { nonce, .. }) if nonce == self.nonce => answers.push(None),
                 Step::Send(ToService::Nack { nonce, code, .. }) if nonce == self.nonce => {
                     answers.push(Some(code))
@@ -118,61 +120,65 @@
                 _ => {}
             }
         }
-        assert_eq!(answers.len(), 1, "one answer to a nonce: {answers:?}");
+        assert_eq!(answers.len(), 1, "expected exactly one answer to a nonce: {answers:?}");
         answers[0]
     }
 }
 
 #[test]
-fn out_of_order_repeated_skipped_and_conflicting_versions_have_their_outcomes() {
-    let mut bench = Bench::new(None);
-    assert_eq!(bench.offer(&snapshot(version(1, 2), 2)), None);
-    assert_eq!(bench.offer(&snapshot(version(1, 2), 2)), None, "repeated");
-    assert_eq!(bench.offer(&snapshot(version(1, 2), 9)), Some(Code::Conflict), "two services, one version");
-    assert_eq!(bench.offer(&snapshot(version(1, 1), 1)), Some(Code::OutOfOrder));
-    assert_eq!(bench.offer(&snapshot(version(1, 7), 7)), None, "skipped numbers");
-    assert_eq!(bench.offer(&snapshot(version(2, 8), 7)), Some(Code::Damaged), "an epoch that nobody has");
-    assert_eq!(bench.it.version(), Some(version(1, 7)));
+fn lower_repeated_skipped_and_conflicting_versions_get_the_documented_answers() {
+    let mut harness = Harness::new(None);
+    assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), None);
+    assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), None, "repeated");
+    assert_eq!(harness.offer(&snapshot(version(1, 2), 9)), Some(Code::Conflict), "two services, one version");
+    assert_eq!(harness.offer(&snapshot(version(1, 1), 1)), Some(Code::OutOfOrder));
+    assert_eq!(harness.offer(&snapshot(version(1, 7), 7)), None, "skipped numbers");
+    assert_eq!(
+        harness.offer(&snapshot(version(2, 8), 7)),
+        Some(Code::Damaged),
+        "an epoch above the service's"
+    );
+    assert_eq!(harness.subscriber.version(), Some(version(1, 7)));
 }
 
 #[test]
-fn a_service_with_a_lower_epoch_or_a_rival_is_not_followed_and_a_higher_one_is() {
-    let mut bench = Bench::new(None);
-    bench.it.lost(bench.now);
-    assert!(bench.connect(welcome(3, "a")).iter().any(|s| matches!(s, Step::Remember(_))));
+fn only_a_service_with_a_higher_epoch_or_the_same_store_is_followed() {
+    let mut harness = Harness::new(None);
+    harness.subscriber.lost(harness.now);
+    assert!(harness.connect(welcome(3, "a")).iter().any(|s| matches!(s, Step::Remember(_))));
     for (hello, why) in [(welcome(2, "a"), Ending::OlderEpoch), (welcome(3, "b"), Ending::Rival)] {
-        bench.it.lost(bench.now);
-        assert!(bench.connect(hello).contains(&Step::Disconnect(why)));
+        harness.subscriber.lost(harness.now);
+        assert!(harness.connect(hello).contains(&Step::Disconnect(why)));
     }
-    assert!(!bench.connect(welcome(4, "b")).iter().any(|s| matches!(s, Step::Disconnect(_))));
-    assert_eq!(bench.it.memory().leader, Leader { epoch: 4, store: "b".into() });
-    // A higher number of an older epoch is lower.
-    assert_eq!(bench.offer(&snapshot(version(4, 2), 1)), None);
-    assert_eq!(bench.offer(&snapshot(version(3, 9), 1)), Some(Code::OutOfOrder));
+    assert!(!harness.connect(welcome(4, "b")).iter().any(|s| matches!(s, Step::Disconnect(_))));
+    assert_eq!(harness.subscriber.memory().leader, Leader { epoch: 4, store: "b".into() });
+    // The epoch is compared first: a higher number under a lower epoch is a lower version.
+    assert_eq!(harness.offer(&snapshot(version(4, 2), 1)), None);
+    assert_eq!(harness.offer(&snapshot(version(3, 9), 1)), Some(Code::OutOfOrder));
 }
 
 #[test]
-fn a_gap_in_deltas_is_told_and_a_type_that_is_held_need_not_be_sent() {
-    let mut bench = Bench::new(None);
+fn an_unsent_type_is_a_gap_unless_the_subscriber_holds_it() {
+    let mut harness = Harness::new(None);
     let first = snapshot(version(1, 1), 1);
-    bench.nonce += 1;
-    offer(1, &first, false).into_iter().for_each(|m| bench.it.received(0, m));
-    assert_eq!(bench.answer(), Some(Code::Gap));
-    assert_eq!(bench.offer(&first), None);
+    harness.nonce += 1;
+    offer(1, &first, false).into_iter().for_each(|m| harness.subscriber.received(0, m));
+    assert_eq!(harness.answer(), Some(Code::Gap));
+    assert_eq!(harness.offer(&first), None);
     let same = Snapshot { version: version(1, 2), ..first };
-    bench.nonce += 1;
-    offer(bench.nonce, &same, false).into_iter().for_each(|m| bench.it.received(0, m));
-    assert_eq!(bench.answer(), None);
-    assert_eq!(bench.it.version(), Some(version(1, 2)));
+    harness.nonce += 1;
+    offer(harness.nonce, &same, false).into_iter().for_each(|m| harness.subscriber.received(0, m));
+    assert_eq!(harness.answer(), None);
+    assert_eq!(harness.subscriber.version(), Some(version(1, 2)));
 }
 
 #[test]
-fn what_is_not_what_was_announced_is_turned_down_and_the_stream_goes_on() {
-    let mut bench = Bench::new(None);
+fn content_that_differs_from_the_offer_is_rejected_and_the_connection_stays_open() {
+    let mut harness = Harness::new(None);
     let good = snapshot(version(1, 1), 1);
     let text = good.resources[&Kind::Settings].text.to_string();
-    type Bend = fn(&mut Vec<FromService>);
-    let bends: [(Bend, Code); 6] = [
+    type Corruption = fn(&mut Vec<FromService>);
+    let corruptions: [(Corruption, Code); 6] = [
         (|m| drop(m.remove(1)), Code::Damaged),
         (|m| m.insert(1, m[1].clone()), Code::Damaged),
         (
@@ -208,105 +214,105 @@
             Code::Damaged,
         ),
     ];
-    for (bend, code) in bends {
-        bench.nonce += 1;
-        let mut messages = offer(bench.nonce, &good, true);
-        bend(&mut messages);
-        messages.into_iter().for_each(|m| bench.it.received(bench.now, m));
-        assert_eq!(bench.answer(), Some(code), "{text}");
-        assert!(bench.it.connected());
+    for (corrupt, code) in corruptions {
+        harness.nonce += 1;
+        let mut messages = offer(harness.nonce, &good, true);
+        corrupt(&mut messages);
+        messages.into_iter().for_each(|m| harness.subscriber.received(harness.now, m));
+        assert_eq!(harness.answer(), Some(code), "{text}");
+        assert!(harness.subscriber.connected());
     }
-    assert_eq!(bench.offer(&good), None);
+    assert_eq!(harness.offer(&good), None);
 }
 
 #[test]
-fn a_version_that_makes_things_worse_is_given_up_for_good_and_the_next_one_is_not() {
+fn a_worse_version_is_rolled_back_and_refused_while_the_next_version_is_accepted() {
     let good = snapshot(version(1, 1), 1);
-    let mut bench = Bench::new(Some(good.clone()));
-    let serve = |bench: &mut Bench, steps: usize, bad: u64| {
+    let mut harness = Harness::new(Some(good.clone()));
+    let serve = |harness: &mut Harness, steps: usize, bad: u64| {
         for _ in 0..steps {
-            bench.health.answers += 100;
-            bench.health.bad += bad;
-            bench.pass(10_000);
+            harness.health.answers += 100;
+            harness.health.bad += bad;
+            harness.advance_by(10_000);
         }
     };
-    serve(&mut bench, 12, 1);
-    assert_eq!(bench.offer(&snapshot(version(1, 2), 2)), None);
-    serve(&mut bench, 3, 60);
-    let steps: Vec<Step> = bench.it.steps.drain(..).collect();
+    serve(&mut harness, 12, 1);
+    assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), None);
+    serve(&mut harness, 3, 60);
+    let steps: Vec<Step> = harness.subscriber.steps.drain(..).collect();
     let to =
         steps.iter().find_map(|s| if let Step::Return(to, from, _) = s { Some((to, *from)) } else { None });
     assert_eq!(to, Some((&Some(Arc::new(good)), version(1, 2))));
     assert!(steps.iter().any(|s| matches!(s, Step::Send(ToService::Reverted { .. }))));
-    assert_eq!(bench.it.version(), Some(version(1, 1)));
-    assert_eq!(bench.offer(&snapshot(version(1, 2), 2)), Some(Code::Refused));
-    assert_eq!(bench.offer(&snapshot(version(1, 3), 3)), None);
-    serve(&mut bench, 12, 1);
-    assert!(bench.it.steps.iter().any(|s| matches!(s, Step::Keep(v, _) if *v == version(1, 3))));
-    assert_eq!(bench.it.good(), Some(version(1, 3)));
+    assert_eq!(harness.subscriber.version(), Some(version(1, 1)));
+    assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), Some(Code::Refused));
+    assert_eq!(harness.offer(&snapshot(version(1, 3), 3)), None);
+    serve(&mut harness, 12, 1);
+    assert!(harness.subscriber.steps.iter().any(|s| matches!(s, Step::Keep(v, _) if *v == version(1, 3))));
+    assert_eq!(harness.subscriber.good(), Some(version(1, 3)));
 }
 
 #[test]
-fn with_nothing_to_go_back_to_a_version_is_kept_whatever_it_does() {
-    let mut it =
+fn without_a_version_to_roll_back_to_a_worse_version_is_kept() {
+    let mut subscriber =
         Subscriber::new(options(false), 0, Memory::default(), Some(snapshot(version(1, 1), 1)), None);
-    assert!(it.on_trial());
+    assert!(subscriber.on_trial());
     for step in 0..30 {
-        it.advance(step * 10_000, Health { answers: step * 100, bad: step * 100 });
+        subscriber.advance(step * 10_000, Health { answers: step * 100, bad: step * 100 });
     }
-    assert!(it.steps.iter().any(|s| matches!(s, Step::Keep(..))));
+    assert!(subscriber.steps.iter().any(|s| matches!(s, Step::Keep(..))));
 }
 
 #[test]
-fn a_process_that_ended_during_a_trial_may_try_the_same_version_again_but_no_other_content() {
+fn after_a_restart_during_a_trial_the_same_version_is_accepted_only_with_the_same_content() {
     let memory = Memory {
         leader: Leader { epoch: 1, store: "a".into() },
         highest: version(1, 5),
-        content: Some(snapshot(version(1, 5), 5).content()),
+        content: Some(snapshot(version(1, 5), 5).content_digest()),
         refused: VecDeque::new(),
     };
     let good = snapshot(version(1, 4), 4);
-    let it = Subscriber::new(options(true), 0, memory, Some(good.clone()), Some(good));
-    let mut bench = Bench { it, now: 0, nonce: 0, health: Health::default() };
-    bench.connect(welcome(1, "a"));
-    assert_eq!(bench.offer(&snapshot(version(1, 5), 6)), Some(Code::Conflict));
-    assert_eq!(bench.offer(&snapshot(version(1, 5), 5)), None);
+    let subscriber = Subscriber::new(options(true), 0, memory, Some(good.clone()), Some(good));
+    let mut harness = Harness { subscriber, now: 0, nonce: 0, health: Health::default() };
+    harness.connect(welcome(1, "a"));
+    assert_eq!(harness.offer(&snapshot(version(1, 5), 6)), Some(Code::Conflict));
+    assert_eq!(harness.offer(&snapshot(version(1, 5), 5)), None);
 }
 
 #[test]
-fn silence_and_a_connection_that_never_comes_up_end_it_and_the_next_service_is_tried() {
-    let mut it = Subscriber::new(options(true), 0, Memory::default(), None, None);
+fn a_silent_or_unestablished_connection_is_closed_and_the_next_service_is_tried() {
+    let mut subscriber = Subscriber::new(options(true), 0, Memory::default(), None, None);
     let mut now = 0;
     let mut services = Vec::new();
     for _ in 0..6 {
-        while it.steps.is_empty() {
-            now = it.due().max(now + 1);
-            it.advance(now, Health::default());
+        while subscriber.steps.is_empty() {
+            now = subscriber.due().max(now + 1);
+            subscriber.advance(now, Health::default());
         }
-        match it.steps.pop_front() {
+        match subscriber.steps.pop_front() {
             Some(Step::Connect(to)) => services.push(to.port()),
             Some(Step::Disconnect(why)) => assert_eq!(why, Ending::NeverUp),
             other => panic!("{other:?}"),
         }
     }
     assert_eq!(services, [1, 2, 1]);
-    while !matches!(it.steps.pop_front(), Some(Step::Connect(_))) {
-        now = it.due().max(now + 1);
-        it.advance(now, Health::default());
+    while !matches!(subscriber.steps.pop_front(), Some(Step::Connect(_))) {
+        now = subscriber.due().max(now + 1);
+        subscriber.advance(now, Health::default());
     }
-    it.connected_now(now);
-    it.received(now, welcome(1, "a"));
-    it.steps.clear();
+    subscriber.connected_now(now);
+    subscriber.received(now, welcome(1, "a"));
+    subscriber.steps.clear();
     let heard = now;
-    while !it.steps.iter().any(|s| matches!(s, Step::Disconnect(_))) {
-        now = it.due().max(now + 1);
-        it.advance(now, Health::default());
+    while !subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_))) {
+        now = subscriber.due().max(now + 1);
+        subscriber.advance(now, Health::default());
     }
     assert_eq!(now, heard + SILENCE);
-    assert!(it.steps.contains(&Step::Disconnect(Ending::Silent)));
+    assert!(subscriber.steps.contains(&Step::Disconnect(Ending::Silent)));
 }
 
-// ---- Random orders ----
+// ---- Random sequences of events ----
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -321,16 +327,17 @@
         content: u8,
         sent: bool,
     },
-    /// So many of the messages that the service has yet to send.
+    /// Delivers up to this number of the service's undelivered messages.
     Deliver(usize),
-    /// Says yes or no to the oldest check or application that waits.
+    /// Accepts or rejects the oldest pending check or application.
     Answer(bool),
     Pass {
         time: u64,
         answers: u64,
         bad: u64,
     },
-    Nonsense(u8),
+    /// Sends a message that is out of place in the protocol.
+    Unexpected(u8),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -343,20 +350,20 @@
         6 => prop::bool::weighted(0.8).prop_map(Op::Answer),
         4 => (0..60_000u64, 0..100u64, 0..100u64)
             .prop_map(|(time, answers, bad)| Op::Pass { time, answers, bad: bad.min(answers) }),
-        1 => (0..4u8).prop_map(Op::Nonsense),
+        1 => (0..4u8).prop_map(Op::Unexpected),
     ]
 }
 
-/// What the reference model knows.
+/// The reference model.
 struct Model {
-    it: Subscriber,
+    subscriber: Subscriber,
     now: u64,
     health: Health,
     up: bool,
     nonce: u64,
     undelivered: VecDeque<FromService>,
-    /// Nonces offered on this connection that have no answer.
-    open: BTreeSet<u64>,
+    /// Nonces offered on this connection and not yet answered.
+    unanswered: BTreeSet<u64>,
     pending: VecDeque<Step>,
     approved: Vec<Snapshot>,
     running: Option<Version>,
@@ -368,15 +375,15 @@
         match op {
             Op::Connect { epoch, store } if !self.up => {
                 let began = self.now;
-                while !self.steps().iter().any(|s| matches!(s, Step::Connect(_))) {
-                    self.now = self.it.due().max(self.now);
-                    assert!(self.now < began + 60 * SILENCE, "it never connects");
-                    self.it.advance(self.now, self.health);
+                while !self.take_steps().iter().any(|s| matches!(s, Step::Connect(_))) {
+                    self.now = self.subscriber.due().max(self.now);
+                    assert!(self.now < began + 60 * SILENCE, "the subscriber never connects");
+                    self.subscriber.advance(self.now, self.health);
                 }
                 (self.up, self.nonce) = (true, 0);
-                self.open.clear();
+                self.unanswered.clear();
                 self.undelivered.clear();
-                self.it.connected_now(self.now);
+                self.subscriber.connected_now(self.now);
                 self.undelivered.push_back(welcome(*epoch, if *store { "a" } else { "b" }));
             }
             Op::Lose if self.up => self.lose(),
@@ -389,10 +396,10 @@
                 for _ in 0..*count {
                     let Some(message) = self.undelivered.pop_front().filter(|_| self.up) else { break };
                     if let FromService::Offer { nonce, .. } = &message {
-                        self.open.insert(*nonce);
+                        self.unanswered.insert(*nonce);
                     }
-                    self.it.received(self.now, message);
-                    self.steps();
+                    self.subscriber.received(self.now, message);
+                    self.take_steps();
                 }
             }
             Op::Answer(yes) => self.answer(*yes),
@@ -400,30 +407,30 @@
                 self.now += time;
                 self.health.answers += answers;
                 self.health.bad += bad;
-                self.it.advance(self.now, self.health);
+                self.subscriber.advance(self.now, self.health);
             }
-            Op::Nonsense(what) if self.up => {
+            Op::Unexpected(what) if self.up => {
                 let message = match what {
                     0 => FromService::End { nonce: 999 },
                     1 => FromService::Part { nonce: 999, kind: Kind::Bans, text: "{}".into() },
                     2 => welcome(1, "a"),
                     _ => FromService::Beat {},
                 };
-                self.it.received(self.now, message);
+                self.subscriber.received(self.now, message);
             }
             _ => {}
         }
-        self.steps();
+        self.take_steps();
     }
 
     fn lose(&mut self) {
-        self.it.lost(self.now);
+        self.subscriber.lost(self.now);
         self.down();
     }
 
     fn down(&mut self) {
         self.up = false;
-        self.open.clear();
+        self.unanswered.clear();
         self.undelivered.clear();
     }
 
@@ -434,34 +441,34 @@
                 if yes {
                     self.approved.push((*snapshot).clone());
                 }
-                self.it.checked(ticket, if yes { Ok(()) } else { no() });
+                self.subscriber.checked(ticket, if yes { Ok(()) } else { no() });
             }
             Some(Step::Apply(ticket, snapshot)) => {
-                // Nothing runs that was not checked, and nothing lower than what has run.
+                // Only a checked version is applied, and none lower than a version that has run.
                 assert!(self.approved.contains(&snapshot), "{snapshot:?} was never checked");
                 assert!(snapshot.version >= self.highest, "{} after {}", snapshot.version, self.highest);
                 if yes {
                     (self.running, self.highest) = (Some(snapshot.version), snapshot.version);
                 }
-                self.it.applied(self.now, ticket, if yes { Ok(()) } else { no() });
+                self.subscriber.applied(self.now, ticket, if yes { Ok(()) } else { no() });
             }
             _ => {}
         }
-        self.steps();
+        self.take_steps();
     }
 
-    /// Takes the steps and holds them against what was promised.
-    fn steps(&mut self) -> Vec<Step> {
-        let steps: Vec<Step> = self.it.steps.drain(..).collect();
+    /// Takes the steps and checks them against the state machine's invariants.
+    fn take_steps(&mut self) -> Vec<Step> {
+        let steps: Vec<Step> = self.subscriber.steps.drain(..).collect();
         for step in &steps {
             match step {
                 Step::Check(..) | Step::Apply(..) => self.pending.push_back(step.clone()),
                 Step::Send(ToService::Ack { nonce, version }) => {
-                    assert!(self.open.remove(nonce), "a second answer to {nonce}");
-                    assert_eq!(self.running, Some(*version), "an ACK of what does not run");
+                    assert!(self.unanswered.remove(nonce), "a second answer to {nonce}");
+                    assert_eq!(self.running, Some(*version), "an ACK of a version that does not run");
                 }
                 Step::Send(ToService::Nack { nonce, .. }) => {
-                    assert!(self.open.remove(nonce), "a second answer to {nonce}");
+                    assert!(self.unanswered.remove(nonce), "a second answer to {nonce}");
                 }
                 Step::Return(to, from, _) => {
                     assert_eq!(self.running, Some(*from));
@@ -471,7 +478,7 @@
                 _ => {}
             }
         }
-        assert_eq!(self.it.version(), self.running);
+        assert_eq!(self.subscriber.version(), self.running);
         steps
     }
 }
@@ -480,30 +487,30 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: SEED, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_comes_in_whatever_order_the_promises_hold(ops in prop::collection::vec(op(), 1..120)) {
-        let it = Subscriber::new(options(true), 0, Memory::default(), None, None);
+    fn invariants_hold_under_any_sequence_of_events(ops in prop::collection::vec(op(), 1..120)) {
+        let subscriber = Subscriber::new(options(true), 0, Memory::default(), None, None);
         let mut model = Model {
-            it, now: 0, health: Health::default(), up: false, nonce: 0, undelivered: VecDeque::new(),
-            open: BTreeSet::new(), pending: VecDeque::new(), approved: Vec::new(), running: None,
+            subscriber, now: 0, health: Health::default(), up: false, nonce: 0, undelivered: VecDeque::new(),
+            unanswered: BTreeSet::new(), pending: VecDeque::new(), approved: Vec::new(), running: None,
             highest: Version::default(),
         };
         for op in &ops {
             model.run(op);
         }
-        // Once all has been delivered and answered, nothing is left open.
+        // Once everything is delivered and answered, no nonce is left unanswered.
         model.run(&Op::Deliver(usize::MAX >> 1));
         for _ in 0..200 {
             model.answer(true);
         }
-        prop_assert!(model.open.is_empty(), "never answered: {:?}", model.open);
+        prop_assert!(model.unanswered.is_empty(), "never answered: {:?}", model.unanswered);
     }
 }
 
 #[test]
-fn a_result_for_another_ticket_changes_nothing() {
-    let mut bench = Bench::new(None);
+fn a_result_for_an_unknown_ticket_is_ignored() {
+    let mut harness = Harness::new(None);
     let stray = Ticket { connection: 9, nonce: 9 };
-    bench.it.checked(stray, Ok(()));
-    bench.it.applied(0, stray, Ok(()));
-    assert_eq!((bench.it.version(), bench.it.steps.len()), (None, 0));
+    harness.subscriber.checked(stray, Ok(()));
+    harness.subscriber.applied(0, stray, Ok(()));
+    assert_eq!((harness.subscriber.version(), harness.subscriber.steps.len()), (None, 0));
 }
