--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,5 +1,5 @@
-//! What the command line asks of a running service: the same frames as the stream, other messages, one question a
-//! connection.
+//! The admin protocol between the command line and a running service: the framing of the stream with other messages, and
+//! one request per connection. [`Client`] is its blocking client.
 
 use ochreward_stream::wire::{self, Fault, MOST_FRAME};
 use serde::{Deserialize, Serialize};
@@ -8,26 +8,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The longest document that is published, in bytes.
-pub const MOST_DOCUMENT: usize = 16 << 20;
-/// The longest that an answer is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The maximum length of a published document, in bytes.
+pub const MAX_DOCUMENT_BYTES: usize = 16 << 20;
+/// The time-out for connecting and for each read of an answer.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A question.
+/// A request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
 pub enum Ask {
-    /// A piece of the document that a later `Publish` or `Validate` on this connection is about.
+    /// Sends a piece of the document for a later `Publish` or `Validate` on this connection.
     Piece {
         /// The piece.
         text: String,
     },
-    /// Publishes the document sent before.
+    /// Publishes the document that was sent in pieces.
     Publish {
         /// Without canary and waves.
         at_once: bool,
     },
-    /// Checks the document sent before.
+    /// Validates the document that was sent in pieces.
     Validate {},
     /// Publishes the content of an earlier version again.
     Rollback {
@@ -36,27 +36,27 @@
         /// Without canary and waves.
         at_once: bool,
     },
-    /// Goes on with a halted rollout, without those who refused.
+    /// Resumes a halted rollout without the instances that refused the version.
     Resume {},
-    /// Everything that is known.
+    /// Returns the whole state of the service.
     Status {},
-    /// The published versions.
+    /// Lists the published versions.
     History {},
-    /// A version's document.
+    /// Returns a version's document.
     Show {
-        /// Its number.
+        /// The version's number.
         number: u64,
     },
-    /// Where each key of an instance comes from.
+    /// Returns the layer that each key of an instance's configuration comes from.
     Explain {
-        /// The instance.
+        /// The instance name.
         instance: String,
     },
-    /// Everything that happens from now on.
+    /// Subscribes to all events from now on.
     Watch {},
 }
 
-/// An answer; long ones come in pieces.
+/// A message in answer to a request; long answers are sent in pieces.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "kebab-case")]
 pub enum Answer {
@@ -65,34 +65,34 @@
         /// The piece.
         text: String,
     },
-    /// The answer is whole.
+    /// Ends the answer.
     Done {
-        /// Yes or no.
+        /// Whether the request was granted.
         ok: bool,
     },
-    /// Something happened, for those who watch.
+    /// Reports an event to a watching client.
     Event {
-        /// What.
+        /// The event.
         event: Value,
     },
 }
 
-/// Why a question came to nothing.
+/// The reason why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The service can't be reached, or broke off.
-    #[error("the control service can't be reached, {0}: see that it runs, and at this address")]
+    /// The service can't be reached, or closed the connection.
+    #[error("the control service can't be reached, {0}: check that it runs and listens at this address")]
     Io(#[from] io::Error),
-    /// What it sent is no answer.
-    #[error("what came is no answer: see that a control service of this version listens there")]
+    /// The service sent something other than an answer.
+    #[error("unexpected answer: check that a control service of this version listens at the address")]
     Nonsense,
-    /// The answer is no; what it said.
-    #[error("{}: correct it and ask again", told(.0))]
+    /// The service refused the request, with this answer.
+    #[error("{}: correct it and try again", refusal_text(.0))]
     No(Value),
 }
 
-/// The service's words for a no.
-fn told(value: &Value) -> String {
+/// Returns the reasons given in a refusal as text.
+fn refusal_text(value: &Value) -> String {
     match value.get("faults").and_then(Value::as_array) {
         Some(faults) => {
             let line = |v: &Value| serde_json::from_value::<Fault>(v.clone()).ok().map(|v| v.to_string());
@@ -102,17 +102,17 @@
     }
 }
 
-/// A connection to a service, for one question.
+/// A blocking connection to a service, for one request.
 pub struct Client {
     stream: TcpStream,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to a service.
     pub fn connect(to: SocketAddr) -> Result<Client, Error> {
-        let stream = TcpStream::connect_timeout(&to, PATIENCE)?;
+        let stream = TcpStream::connect_timeout(&to, TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(TIMEOUT))?;
         Ok(Client { stream })
     }
 
@@ -121,9 +121,9 @@
     }
 
     fn receive(&mut self) -> Result<Answer, Error> {
-        let mut head = [0; 4];
-        self.stream.read_exact(&mut head)?;
-        let length = u32::from_be_bytes(head) as usize;
+        let mut header = [0; 4];
+        self.stream.read_exact(&mut header)?;
+        let length = u32::from_be_bytes(header) as usize;
         if length > MOST_FRAME {
             return Err(Error::Nonsense);
         }
@@ -132,7 +132,7 @@
         wire::parse(&body).map_err(|_| Error::Nonsense)
     }
 
-    /// Asks, with a document where the question is about one.
+    /// Sends a request, preceded by its document if there is one, and returns the answer.
     pub fn ask(mut self, ask: &Ask, document: Option<&str>) -> Result<Value, Error> {
         let document = document.unwrap_or_default();
         let mut from = 0;
@@ -155,13 +155,13 @@
         }
     }
 
-    /// Calls for each thing that happens, until the service goes or the callback says no.
-    pub fn watch(mut self, mut each: impl FnMut(Value) -> bool) -> Result<(), Error> {
+    /// Calls `on_event` for each event until it returns false or the connection to the service ends.
+    pub fn watch(mut self, mut on_event: impl FnMut(Value) -> bool) -> Result<(), Error> {
         self.stream.set_read_timeout(None)?;
         self.send(&Ask::Watch {})?;
         loop {
             match self.receive()? {
-                Answer::Event { event } if each(event.clone()) => {}
+                Answer::Event { event } if on_event(event.clone()) => {}
                 Answer::Event { .. } => return Ok(()),
                 _ => return Err(Error::Nonsense),
             }
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line's words for a service that runs: `ochreward control ...`.
+//! The subcommands of `ochreward control` that query or change a running control service.
 
 use crate::admin::{Ask, Client, Error};
 use clap::{Args, Subcommand};
@@ -11,118 +11,120 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How often the state of a rollout is asked for while it is waited for.
-const EVERY: Duration = Duration::from_millis(100);
+/// The polling interval while waiting for a rollout.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where the service is.
+/// The address of the control service.
 #[derive(Args, Clone, Debug)]
 pub struct At {
-    /// Where the control service listens
+    /// Address that the control service listens on
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:8750", env = "OCHREWARD_CONTROL")]
     control: SocketAddr,
 }
 
-/// The words.
+/// The subcommands.
 #[derive(Subcommand, Debug)]
 pub enum Words {
-    /// Publishes a version; the same content twice is one version
+    /// Publish a version; the same content published twice is one version
     #[command(after_help = "Example: ochreward control publish version.toml --wait")]
     Publish {
-        /// The version's file, TOML
+        /// File of the version, in TOML
         file: PathBuf,
-        /// To all instances, without canary and waves
+        /// Roll out to all instances at once, without canary and waves
         #[arg(long)]
         at_once: bool,
-        /// Wait until the rollout is done (0) or has halted (1)
+        /// Wait until the rollout is done (exit code 0) or has halted (1)
         #[arg(long)]
         wait: bool,
-        /// The longest wait, in seconds
+        /// Longest time to wait, in seconds
         #[arg(long, default_value_t = 3600, value_name = "SECONDS")]
         timeout: u64,
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// The keys in which two versions differ
+    /// Show the keys in which two versions differ
     Diff {
-        /// One version's number
+        /// Number of one version
         before: u64,
-        /// The other's
+        /// Number of the other version
         after: u64,
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// The published versions
+    /// List the published versions
     History {
-        /// For programs
+        /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// Publishes the content of an earlier version again, under a new number
+    /// Publish the content of an earlier version again, under a new number
     Rollback {
-        /// The earlier version's number
+        /// Number of the earlier version
         number: u64,
-        /// Through canary and waves; else to all at once
+        /// Roll out through canary and waves instead of to all instances at once
         #[arg(long)]
         staged: bool,
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// Goes on with a rollout that halted, leaving those who refused aside
+    /// Resume a halted rollout, without the instances that refused the version
     Resume {
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// Which version each instance runs, who lags, and who refused and why
+    /// Show the version that each instance runs, and which instances lag behind or refused a version and why
     Status {
-        /// For programs
+        /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Where each key that this instance gets comes from
+        /// Show the layer that each key of this instance's configuration comes from
         #[arg(long, value_name = "INSTANCE")]
         explain: Option<String>,
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
-    /// Everything that happens from now on, a JSON object a line
+    /// Print all events from now on, as one JSON object per line
     Watch {
-        /// Where the service is
+        /// Address of the control service
         #[command(flatten)]
         at: At,
     },
 }
 
-/// Why a command came to nothing.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// The file can't be read.
-    #[error("{path}, {why}: name a file that can be read", path = .0.display(), why = .1)]
+    #[error("{path}, {why}: name a readable file", path = .0.display(), why = .1)]
     File(PathBuf, io::Error),
-    /// The service said no, or can't be reached.
+    /// The service refused the request or can't be reached.
     #[error(transparent)]
     Service(#[from] Error),
-    /// The rollout did not get through.
-    #[error("the rollout {0}: see `ochreward control status`, mend the version and publish it anew")]
+    /// The rollout did not complete.
+    #[error("the rollout {0}: see `ochreward control status`, correct the version and publish it again")]
     Rollout(String),
 }
 
+/// Sends a request without a document.
 fn ask(at: &At, ask: &Ask) -> Result<Value, Failure> {
     Ok(Client::connect(at.control)?.ask(ask, None)?)
 }
 
-/// Writes a line. Danger: where nobody reads it any more, `println` would panic.
-fn say(line: impl fmt::Display) -> bool {
+/// Prints a line; returns whether that succeeded. `println` would panic once the reader of the output has closed it.
+fn print_line(line: impl fmt::Display) -> bool {
     writeln!(io::stdout().lock(), "{line}").is_ok()
 }
 
-fn text(value: &Value) -> String {
+/// Returns a JSON value as text for a table.
+fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_string(),
         Value::String(text) => text.clone(),
@@ -130,32 +132,33 @@
     }
 }
 
-fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Table {
+/// Creates a table without borders.
+fn table(header: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Table {
     let mut table = Table::new();
-    table.load_style(presets::NOTHING).set_header(head.iter().copied());
+    table.load_style(presets::NOTHING).set_header(header.iter().copied());
     table.add_rows(rows);
     table
 }
 
-/// Does what the words ask for.
+/// Runs a subcommand.
 pub fn run(words: Words) -> Result<(), Failure> {
     match words {
         Words::Publish { file, at_once, wait, timeout, at } => {
             let document = std::fs::read_to_string(&file).map_err(|e| Failure::File(file, e))?;
             let answer = Client::connect(at.control)?.ask(&Ask::Publish { at_once }, Some(&document))?;
-            let version = text(&answer["version"]);
-            let new = if answer["new"] == true { "published" } else { "is the latest already" };
-            say(format_args!("{version} {new}"));
+            let version = cell_text(&answer["version"]);
+            let new = if answer["new"] == true { "published" } else { "is already the latest version" };
+            print_line(format_args!("{version} {new}"));
             if wait { wait_for(&at, &version, Duration::from_secs(timeout)) } else { Ok(()) }
         }
         Words::Rollback { number, staged, at } => {
             let answer = ask(&at, &Ask::Rollback { number, at_once: !staged })?;
-            say(format_args!("{} holds what version {number} held", text(&answer["version"])));
+            print_line(format_args!("{} holds what version {number} held", cell_text(&answer["version"])));
             Ok(())
         }
         Words::Resume { at } => {
             ask(&at, &Ask::Resume {})?;
-            say("the rollout goes on");
+            print_line("the rollout continues");
             Ok(())
         }
         Words::Diff { before, after, at } => {
@@ -163,7 +166,7 @@
                 (ask(&at, &Ask::Show { number: before })?, ask(&at, &Ask::Show { number: after })?);
             let shown = |v: Option<Value>| v.map_or_else(|| "-".to_string(), |v| v.to_string());
             let rows = overlay::differences(&old, &new).into_iter();
-            say(table(
+            print_line(table(
                 &["KEY", &before.to_string(), &after.to_string()],
                 rows.map(|(key, old, new)| vec![key, shown(old), shown(new)]),
             ));
@@ -172,119 +175,126 @@
         Words::History { json, at } => {
             let history = ask(&at, &Ask::History {})?;
             if json {
-                say(history);
+                print_line(history);
                 return Ok(());
             }
             let entries = history.as_array().into_iter().flatten();
             let row = |v: &Value| {
                 let types = v["types"].as_object().into_iter().flatten();
-                let types: Vec<String> = types.map(|(kind, at)| format!("{kind} {}", text(at))).collect();
+                let types: Vec<String> =
+                    types.map(|(kind, at)| format!("{kind} {}", cell_text(at))).collect();
                 let complete = if v["complete"] == true { "complete" } else { "" };
                 vec![
-                    text(&v["version"]),
-                    text(&v["at_ms"]),
+                    cell_text(&v["version"]),
+                    cell_text(&v["at_ms"]),
                     types.join(", "),
-                    text(&v["rollback_of"]),
+                    cell_text(&v["rollback_of"]),
                     complete.into(),
                 ]
             };
-            say(table(&["VERSION", "UNIX MS", "TYPES", "ROLLBACK OF", ""], entries.map(row)));
+            print_line(table(&["VERSION", "UNIX MS", "TYPES", "ROLLBACK OF", ""], entries.map(row)));
             Ok(())
         }
         Words::Status { json, explain: Some(instance), at } => {
             let answer = ask(&at, &Ask::Explain { instance })?;
             if json {
-                say(answer);
+                print_line(answer);
                 return Ok(());
             }
             let keys = answer["keys"].as_array().into_iter().flatten();
-            let row = |v: &Value| vec![text(&v["key"]), v["value"].to_string(), text(&v["layer"])];
-            say(format_args!(
-                "{} runs, or is to run, {}",
-                text(&answer["instance"]),
-                text(&answer["version"])
+            let row = |v: &Value| vec![cell_text(&v["key"]), v["value"].to_string(), cell_text(&v["layer"])];
+            print_line(format_args!(
+                "{} runs, or will run, {}",
+                cell_text(&answer["instance"]),
+                cell_text(&answer["version"])
             ));
-            say(table(&["KEY", "VALUE", "LAYER"], keys.map(row)));
-            say("what is not listed comes from the instance's own file");
+            print_line(table(&["KEY", "VALUE", "LAYER"], keys.map(row)));
+            print_line("keys that are not listed come from the instance's own file");
             Ok(())
         }
         Words::Status { json, explain: None, at } => {
             let status = ask(&at, &Ask::Status {})?;
             if json {
-                say(status)
+                print_line(status)
             } else {
-                tell(&status)
+                print_status(&status)
             };
             Ok(())
         }
-        Words::Watch { at } => Ok(Client::connect(at.control)?.watch(say)?),
+        Words::Watch { at } => Ok(Client::connect(at.control)?.watch(print_line)?),
     }
 }
 
-fn names(value: &Value) -> usize {
+/// Returns the length of a JSON array.
+fn count(value: &Value) -> usize {
     value.as_array().map_or(0, Vec::len)
 }
 
-fn tell(status: &Value) -> bool {
-    say(format_args!(
+/// Prints the status for operators.
+fn print_status(status: &Value) -> bool {
+    print_line(format_args!(
         "epoch {}, latest {}, complete {}",
         status["epoch"],
-        text(&status["latest"]),
-        text(&status["complete"])
+        cell_text(&status["latest"]),
+        cell_text(&status["complete"])
     ));
     if let Some(epoch) = status["deposed_by"].as_u64() {
-        say(format_args!("a service with epoch {epoch} leads; this one publishes nothing"));
+        print_line(format_args!("a service with epoch {epoch} has taken over; this one publishes nothing"));
     }
     let rollout = &status["rollout"];
     if rollout.is_object() {
         let why = rollout["why"].as_str().map(|w| format!(": {w}")).unwrap_or_default();
-        say(format_args!(
-            "rollout of {} {}{why}; wave {} of {}; {} changed, {} refused, {} not asked, {} unknown",
-            text(&rollout["version"]),
-            text(&rollout["phase"]),
+        print_line(format_args!(
+            "rollout of {} {}{why}; wave {} of {}; {} changed, {} refused, {} not offered, {} unknown",
+            cell_text(&rollout["version"]),
+            cell_text(&rollout["phase"]),
             rollout["waves_begun"],
             rollout["waves"],
-            names(&rollout["changed"]),
-            names(&rollout["refused"]),
-            names(&rollout["unchanged"]),
-            names(&rollout["unknown"])
+            count(&rollout["changed"]),
+            count(&rollout["refused"]),
+            count(&rollout["unchanged"]),
+            count(&rollout["unknown"])
         ));
     }
     let instances = status["instances"].as_array().into_iter().flatten();
     let row = |v: &Value| {
         let refused = v["refused"].as_array().and_then(|r| r.last());
-        let why =
-            refused.map(|r| format!("{}: {}", text(&r["version"]), text(&r["why"]))).unwrap_or_default();
+        let why = refused
+            .map(|r| format!("{}: {}", cell_text(&r["version"]), cell_text(&r["why"])))
+            .unwrap_or_default();
         let heard =
             v["heard_ms_ago"].as_u64().map_or_else(String::new, |ms| format!("{:.1} s", ms as f64 / 1e3));
         let cells = [&v["instance"], &v["standing"], &v["running"], &v["target"]];
-        cells.into_iter().map(text).chain([heard, why]).collect()
+        cells.into_iter().map(cell_text).chain([heard, why]).collect()
     };
-    say(table(&["INSTANCE", "STANDING", "RUNNING", "TARGET", "HEARD", "LAST REFUSAL"], instances.map(row)))
+    print_line(table(
+        &["INSTANCE", "STANDING", "RUNNING", "TARGET", "HEARD", "LAST REFUSAL"],
+        instances.map(row),
+    ))
 }
 
-/// Waits until the rollout of a version is over.
-fn wait_for(at: &At, version: &str, longest: Duration) -> Result<(), Failure> {
-    let began = Instant::now();
+/// Waits until the rollout of a version is done, has halted, or the time-out has passed.
+fn wait_for(at: &At, version: &str, timeout: Duration) -> Result<(), Failure> {
+    let started = Instant::now();
     loop {
         let status = ask(at, &Ask::Status {})?;
         let rollout = &status["rollout"];
         match rollout["phase"].as_str() {
             _ if rollout["version"] != version => {
-                return Err(Failure::Rollout("is over: another version was published".to_string()));
+                return Err(Failure::Rollout("has ended: another version was published".to_string()));
             }
             Some("done") => {
-                tell(&status);
+                print_status(&status);
                 return Ok(());
             }
             Some("halted") => {
-                tell(&status);
-                return Err(Failure::Rollout(format!("halted: {}", text(&rollout["why"]))));
+                print_status(&status);
+                return Err(Failure::Rollout(format!("halted: {}", cell_text(&rollout["why"]))));
             }
-            _ if began.elapsed() >= longest => {
-                return Err(Failure::Rollout("goes on; the wait for it is over".to_string()));
+            _ if started.elapsed() >= timeout => {
+                return Err(Failure::Rollout("is still in progress after the longest wait".to_string()));
             }
-            _ => std::thread::sleep(EVERY),
+            _ => std::thread::sleep(POLL_INTERVAL),
         }
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,9 @@
-//! The control service: numbered versions kept durably, rolled out in waves, and who runs which.
+//! The control service: stores numbered versions durably, rolls them out in waves, and tracks which instance runs which
+//! version.
 //!
-//! [`Service`] decides and [`Rollout`] stages, both without I/O; [`Log`] keeps the records that their state comes of;
-//! [`Server`] is the loop around them, and [`admin`] what the command line says to it.
+//! [`Service`] holds the state and takes the decisions, [`Rollout`] stages one version; both are free of I/O. [`Log`]
+//! stores the records from which their state is rebuilt, [`Server`] is the event loop around them, and [`admin`] is the
+//! protocol that the command line uses.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -16,6 +18,6 @@
 
 pub use catalog::Catalog;
 pub use log::Log;
-pub use rollout::{Made, Next, Phase, Plan, Report, Rollout, Seen};
+pub use rollout::{InstanceOutcome, InstanceView, Phase, Plan, Rollout, RolloutReport, Transition};
 pub use server::{Error as ServerError, Options, Server};
-pub use service::{Act, Conn, Instance, Now, Outcome, Service};
+pub use service::{Action, ConnectionId, Instance, PublishOutcome, Service, Timestamp};
--- a/crates/control/src/log/tests.rs
+++ b/crates/control/src/log/tests.rs
@@ -8,7 +8,7 @@
     records.iter().map(|r| if let Record::Done { number } = r { *number } else { 0 }).collect()
 }
 
-fn written(count: u64) -> (tempfile::TempDir, Vec<u8>) {
+fn log_with_records(count: u64) -> (tempfile::TempDir, Vec<u8>) {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = Log::open(folder.path()).expect("a log");
     (1..=count).for_each(|n| log.append(&[record(n)]).expect("appended"));
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn a_log_cut_at_any_byte_keeps_all_whole_records_and_takes_new_ones() {
-    let (folder, bytes) = written(4);
+fn a_log_truncated_at_any_byte_keeps_its_complete_records_and_accepts_new_ones() {
+    let (folder, bytes) = log_with_records(4);
     let size = (bytes.len() - MAGIC.len()) / 4;
     for cut in 0..=bytes.len() {
         fs::write(folder.path().join("log"), &bytes[..cut]).expect("written");
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn damage_in_the_middle_is_refused_and_at_the_end_cut_off() {
-    let (folder, bytes) = written(3);
+fn a_log_damaged_in_the_middle_is_refused_and_one_damaged_at_the_end_is_truncated() {
+    let (folder, bytes) = log_with_records(3);
     let size = (bytes.len() - MAGIC.len()) / 3;
     for at in 0..bytes.len() {
-        let mut bent = bytes.clone();
-        bent[at] ^= 0x20;
-        fs::write(folder.path().join("log"), &bent).expect("written");
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x20;
+        fs::write(folder.path().join("log"), &corrupted).expect("written");
         match Log::open(folder.path()) {
             Err(Error::Foreign) => assert!(at < MAGIC.len(), "{at}"),
             Err(Error::Damaged { .. }) => {
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn two_writers_are_refused_and_compaction_keeps_what_is_said() {
-    let (folder, bytes) = written(3);
+fn a_second_writer_is_refused_and_compaction_keeps_the_records() {
+    let (folder, bytes) = log_with_records(3);
     let (mut log, _) = Log::open(folder.path()).expect("a log");
     assert!(matches!(Log::open(folder.path()), Err(Error::Taken)));
     log.compact(&[record(3)]).expect("compacted");
     log.append(&[record(4)]).expect("appended");
     drop(log);
-    // A kill in the middle of a compaction leaves a file that nobody reads.
+    // A crash in the middle of a compaction leaves a partial file, which is ignored.
     fs::write(folder.path().join("log.new"), &bytes[..20]).expect("written");
     let (_, records) = Log::open(folder.path()).expect("a log");
     assert_eq!(numbers(&records), [3, 4]);
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,5 +1,5 @@
-//! What the service writes down. Its state is what comes of applying all records in order, so that a service killed
-//! at any moment goes on from there.
+//! The records of the service's log. The state of the service is the result of applying all records in order, so that a
+//! service that is killed at any moment continues from the last record written.
 
 use ochreward_stream::wire::{Code, Fault};
 use ochreward_stream::{Digest, Kind, Version};
@@ -8,115 +8,116 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A version as it was published.
+/// A published version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Published {
     /// The version.
     pub version: Version,
-    /// Its layers.
+    /// The layers of the version: `fleet`, `zone` and `instance`.
     pub document: Arc<Value>,
-    /// The version in which each type last changed.
+    /// For each type, the version in which it last changed.
     pub types: BTreeMap<Kind, Version>,
     /// The digest of the document.
     pub digest: Digest,
-    /// When, in Unix milliseconds.
+    /// The time of publication, in Unix milliseconds.
     pub at_ms: u64,
-    /// The version whose content it brings back.
+    /// The earlier version whose content was published again, if this is a rollback.
     pub rollback_of: Option<Version>,
-    /// Its rollout, which begins with it, has no canary and no waves.
+    /// Whether its rollout, which begins with its publication, skips canary and waves.
     #[serde(default)]
     pub at_once: bool,
 }
 
-/// What an instance answered.
+/// An instance's answer to a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// It runs the version.
+    /// The instance runs the version.
     Acked,
-    /// It turned the version down.
+    /// The instance rejected the version.
     Nacked {
-        /// Why, for programs.
+        /// The machine-readable reason.
         code: Code,
-        /// Why, for people.
+        /// The human-readable reasons.
         faults: Vec<Fault>,
     },
-    /// It ran the version and gave it up.
+    /// The instance ran the version and rolled it back.
     Reverted {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// A record.
+/// A record of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "kebab-case")]
 pub enum Record {
-    /// A service began.
+    /// The service started.
     Epoch {
-        /// Its epoch.
+        /// The epoch of this start.
         epoch: u64,
         /// The id of the store.
         store: String,
     },
-    /// A version was published; its rollout begins, and that of the one before is over.
+    /// A version was published: its rollout begins, and the rollout of the previous version ends.
     Published(Published),
-    /// A wave began.
+    /// A wave of the rollout began.
     Wave {
         /// The version's number.
         number: u64,
         /// The wave, from 0.
         wave: usize,
-        /// Who is in it.
+        /// The instances in the wave.
         members: BTreeSet<String>,
     },
-    /// A wave answered in full; it is watched.
+    /// All instances of a wave have answered; the wave is under observation.
     Watching {
         /// The version's number.
         number: u64,
-        /// The wave.
+        /// The wave, from 0.
         wave: usize,
     },
     /// The rollout halted.
     Halted {
         /// The version's number.
         number: u64,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// It goes on, without those who refused.
+    /// A halted rollout was resumed without the instances that refused the version.
     Resumed {
         /// The version's number.
         number: u64,
     },
-    /// All waves have passed.
+    /// All waves are complete.
     Done {
         /// The version's number.
         number: u64,
     },
-    /// An instance was seen with these labels.
+    /// An instance connected with these labels.
     Seen {
-        /// Its name.
+        /// The instance name.
         instance: String,
-        /// Its labels.
+        /// The instance labels.
         labels: BTreeMap<String, String>,
     },
-    /// An instance answered an offer, or runs this by its own word.
+    /// An instance answered an offer, or reported in its `Hello` what it runs or has rolled back.
     Answered {
-        /// Its name.
+        /// The instance name.
         instance: String,
         /// The version.
         version: Version,
         /// The answer.
         answer: Answer,
-        /// When, in Unix milliseconds.
+        /// The time of the answer, in Unix milliseconds.
         at_ms: u64,
     },
 }
 
 impl Record {
-    /// Whether it must be on the disk before anything is done about it. What instances say, they say again.
-    pub fn must_last(&self) -> bool {
+    /// Returns whether the record must be synced to disk before it takes effect. The others need no sync:
+    /// an instance repeats its labels and its answers when it reconnects or is offered the version again.
+    pub fn must_sync(&self) -> bool {
         !matches!(self, Record::Seen { .. } | Record::Answered { .. })
     }
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,87 +1,92 @@
-//! The staged rollout of one version: a canary, then waves, each of which must answer and then stand a watch.
+//! The staged rollout of one version: a canary, then waves. All instances of a wave must answer and then pass a period of
+//! observation before the next wave begins.
 //!
-//! Told who is there and what they answered, it says what happens next. It has no clock and no disk; what it decides
-//! becomes a record before it counts, and a service that was killed goes on from its records: the wave that was under
-//! way is neither skipped nor begun again.
+//! Given the connected instances and their answers, [`Rollout::next`] returns the next transition. It uses no clock and no
+//! disk. A transition is recorded in the log before it takes effect, so that a service that was killed continues from its
+//! records and neither skips nor repeats the wave in progress.
 
 use ochreward_stream::Digest;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How versions are rolled out.
+/// The number of instance names given in the reason of a halt.
+const MAX_NAMES_SHOWN: usize = 5;
+
+/// The parameters of rollouts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The first wave: instances with this label and value.
+    /// The first wave: the instances with this label and value.
     pub canary: Option<(String, String)>,
-    /// Shares of the rest, rising to 1.
+    /// The cumulative shares of the remaining instances in each further wave, rising to 1.
     pub waves: Vec<f64>,
-    /// All of a wave must have answered within this time, in microseconds.
+    /// The time within which all instances of a wave must answer, in microseconds. It also bounds how long an instance
+    /// under observation may be silent.
     pub answer: u64,
-    /// A wave is watched for this long, in microseconds.
+    /// The time for which a wave is observed, in microseconds.
     pub watch: u64,
 }
 
 impl Default for Plan {
-    /// A quarter, then all; 10 s to answer, 15 s of watch.
+    /// Returns a plan without canary: a quarter, then all; 10 s to answer, 15 s of observation.
     fn default() -> Plan {
         Plan { canary: None, waves: vec![0.25, 1.0], answer: 10_000_000, watch: 15_000_000 }
     }
 }
 
-/// Where a rollout stands.
+/// The phase of a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
     /// No wave has begun.
-    Begun,
-    /// The wave was offered the version, counted from then.
+    Pending,
+    /// The version is being offered to the current wave.
     Offering {
-        /// Since then.
+        /// The start of the wave, in microseconds.
         since: u64,
     },
-    /// The wave runs the version and is watched until then.
+    /// The wave has answered and is under observation.
     Watching {
-        /// Until then.
+        /// The end of the observation, in microseconds.
         until: u64,
     },
-    /// It stopped.
+    /// The rollout halted until an operator resumes it or publishes another version.
     Halted {
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// All waves have passed.
+    /// All waves are complete.
     Done,
 }
 
-/// What an instance made of the version.
+/// The outcome of the version on one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Made {
-    /// It runs it.
-    Runs,
-    /// It turned it down or gave it up.
+pub enum InstanceOutcome {
+    /// The instance runs the version.
+    Running,
+    /// The instance rejected the version or rolled it back, for this reason.
     Refused(String),
 }
 
-/// What happens next.
+/// The next step of a rollout.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
-    /// A wave begins with these members.
+pub enum Transition {
+    /// Begin the wave with this index and these members.
     Wave(usize, BTreeSet<String>),
-    /// The wave is complete, and is watched.
+    /// Observe the wave with this index: all its members have answered.
     Watch(usize),
-    /// Stop.
+    /// Halt, for this reason.
     Halt(String),
-    /// All is done.
+    /// Complete the rollout.
     Done,
 }
 
-/// An instance, as the rollout sees it.
+/// What a rollout needs to know of an instance.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Its labels.
+pub struct InstanceView {
+    /// The instance labels.
     pub labels: BTreeMap<String, String>,
-    /// It is connected.
+    /// Whether the instance is connected.
     pub connected: bool,
-    /// When it was last heard, in microseconds.
-    pub heard: u64,
+    /// The time of its last message, in microseconds.
+    pub last_heard: u64,
 }
 
 /// The rollout of a version.
@@ -89,115 +94,126 @@
 pub struct Rollout {
     /// The version's number.
     pub number: u64,
-    /// All at once.
+    /// Whether all instances form a single wave, without canary.
     pub at_once: bool,
-    /// Where it stands.
+    /// The current phase.
     pub phase: Phase,
     /// The waves that have begun.
     pub waves: Vec<BTreeSet<String>>,
-    /// What instances made of it.
-    pub made: BTreeMap<String, Made>,
-    /// Refusals that a resumption leaves aside.
-    pub excused: BTreeSet<String>,
-    /// No wave begins before this time: a service that has just started has not heard from everybody yet, and a wave
-    /// made of those who are there would leave the others out.
+    /// The outcome on each instance that has answered.
+    pub outcomes: BTreeMap<String, InstanceOutcome>,
+    /// Instances whose refusal is ignored since the rollout was resumed.
+    pub excluded: BTreeSet<String>,
+    /// No wave begins before this time, in microseconds. After a restart of the service not all instances have
+    /// reconnected yet, and a wave formed from the connected ones would leave the others out.
     pub hold_until: u64,
 }
 
 impl Rollout {
-    /// A rollout that begins.
+    /// Creates a rollout in which no wave has begun.
     pub fn new(number: u64, at_once: bool) -> Rollout {
-        let (waves, made, excused) = (Vec::new(), BTreeMap::new(), BTreeSet::new());
-        Rollout { number, at_once, phase: Phase::Begun, waves, made, excused, hold_until: 0 }
+        Rollout {
+            number,
+            at_once,
+            phase: Phase::Pending,
+            waves: Vec::new(),
+            outcomes: BTreeMap::new(),
+            excluded: BTreeSet::new(),
+            hold_until: 0,
+        }
     }
 
-    /// The number of waves, the canary's among them.
-    pub fn total(&self, plan: &Plan) -> usize {
+    /// Returns the number of waves, including the canary's.
+    pub fn wave_count(&self, plan: &Plan) -> usize {
         if self.at_once { 1 } else { plan.waves.len() + usize::from(plan.canary.is_some()) }
     }
 
-    /// Whether the instance is to run the version: it is in a wave that has begun, or came after the last one had.
+    /// Returns whether the instance is to run the version: it is in a wave that has begun, or the last wave has begun.
     pub fn covers(&self, plan: &Plan, instance: &str) -> bool {
         match self.phase {
-            Phase::Begun => false,
+            Phase::Pending => false,
             Phase::Halted { .. } => false,
             Phase::Done => true,
             Phase::Offering { .. } | Phase::Watching { .. } => {
-                self.waves.len() == self.total(plan) || self.waves.iter().any(|w| w.contains(instance))
+                self.waves.len() == self.wave_count(plan)
+                    || self.waves.iter().any(|members| members.contains(instance))
             }
         }
     }
 
-    /// Who the next wave is made of: those that are there now. The same instances come to the same places of the
-    /// order for one version, and to others for the next, so that no part of the fleet always goes first.
-    fn members(&self, plan: &Plan, wave: usize, fleet: &BTreeMap<String, Seen>) -> BTreeSet<String> {
-        let there = fleet.iter().filter(|(_, s)| s.connected);
+    /// Returns the members of a wave, chosen from the connected instances. Their order is a hash of the version's number
+    /// and the instance name: it is stable for one version and differs between versions, so that no part of the fleet
+    /// always goes first.
+    fn members(&self, plan: &Plan, wave: usize, fleet: &BTreeMap<String, InstanceView>) -> BTreeSet<String> {
+        let connected = fleet.iter().filter(|(_, s)| s.connected);
         if self.at_once {
-            return there.map(|(name, _)| name.clone()).collect();
+            return connected.map(|(name, _)| name.clone()).collect();
         }
-        let canary = |seen: &Seen| {
-            plan.canary.as_ref().is_some_and(|(label, value)| seen.labels.get(label) == Some(value))
+        let is_canary = |view: &InstanceView| {
+            plan.canary.as_ref().is_some_and(|(label, value)| view.labels.get(label) == Some(value))
         };
         if plan.canary.is_some() && wave == 0 {
-            return there.filter(|(_, s)| canary(s)).map(|(name, _)| name.clone()).collect();
+            return connected.filter(|(_, view)| is_canary(view)).map(|(name, _)| name.clone()).collect();
         }
-        let mut rest: Vec<(Digest, &String)> = there
-            .filter(|(_, s)| !canary(s))
+        let mut rest: Vec<(Digest, &String)> = connected
+            .filter(|(_, view)| !is_canary(view))
             .map(|(name, _)| (Digest::of(&format!("{}/{name}", self.number)), name))
             .collect();
         rest.sort();
         let share = plan.waves.get(wave - usize::from(plan.canary.is_some())).copied().unwrap_or(1.0);
-        let upto = (rest.len() as f64 * share).ceil() as usize;
-        let before: BTreeSet<&String> = self.waves.iter().flatten().collect();
-        let names = rest.into_iter().take(upto).map(|(_, name)| name);
-        names.filter(|name| !before.contains(name)).cloned().collect()
+        let end = (rest.len() as f64 * share).ceil() as usize;
+        let earlier: BTreeSet<&String> = self.waves.iter().flatten().collect();
+        let names = rest.into_iter().take(end).map(|(_, name)| name);
+        names.filter(|name| !earlier.contains(name)).cloned().collect()
     }
 
-    /// What happens next, if anything does at this moment.
-    pub fn next(&self, now: u64, plan: &Plan, fleet: &BTreeMap<String, Seen>) -> Option<Next> {
+    /// Returns the next transition, if one is due now.
+    pub fn next(&self, now: u64, plan: &Plan, fleet: &BTreeMap<String, InstanceView>) -> Option<Transition> {
         let begun: BTreeSet<&String> = self.waves.iter().flatten().collect();
-        let refused = self.made.iter().find_map(|(name, made)| match made {
-            Made::Refused(why) if !self.excused.contains(name) => Some(format!("{name} refused: {why}")),
+        let refused = self.outcomes.iter().find_map(|(name, outcome)| match outcome {
+            InstanceOutcome::Refused(why) if !self.excluded.contains(name) => {
+                Some(format!("{name} refused: {why}"))
+            }
             _ => None,
         });
         match &self.phase {
             Phase::Halted { .. } | Phase::Done => None,
-            _ if refused.is_some() => refused.map(Next::Halt),
-            Phase::Begun if now < self.hold_until => None,
-            Phase::Begun => Some(Next::Wave(0, self.members(plan, 0, fleet))),
+            _ if refused.is_some() => refused.map(Transition::Halt),
+            Phase::Pending if now < self.hold_until => None,
+            Phase::Pending => Some(Transition::Wave(0, self.members(plan, 0, fleet))),
             Phase::Offering { since } => {
-                let last = self.waves.last()?;
+                let members = self.waves.last()?;
                 let missing: Vec<&String> =
-                    last.iter().filter(|name| !self.made.contains_key(*name)).collect();
+                    members.iter().filter(|name| !self.outcomes.contains_key(*name)).collect();
                 if missing.is_empty() {
-                    return Some(Next::Watch(self.waves.len() - 1));
+                    return Some(Transition::Watch(self.waves.len() - 1));
                 }
-                let late = now >= since + plan.answer;
-                late.then(|| Next::Halt(format!("no answer from {}", names(missing))))
+                let timed_out = now >= since + plan.answer;
+                timed_out.then(|| Transition::Halt(format!("no answer from {}", join_names(missing))))
             }
             Phase::Watching { until } => {
-                let silent = |name: &&&String| {
-                    self.made.get(**name) == Some(&Made::Runs)
+                let is_silent = |name: &&&String| {
+                    self.outcomes.get(**name) == Some(&InstanceOutcome::Running)
                         && now >= self.hold_until
-                        && fleet.get(**name).is_none_or(|s| now >= s.heard + plan.answer)
+                        && fleet.get(**name).is_none_or(|view| now >= view.last_heard + plan.answer)
                 };
-                let silent: Vec<&String> = begun.iter().filter(silent).copied().collect();
+                let silent: Vec<&String> = begun.iter().filter(is_silent).copied().collect();
                 if !silent.is_empty() {
-                    return Some(Next::Halt(format!("no sign of life from {}", names(silent))));
+                    return Some(Transition::Halt(format!("no sign of life from {}", join_names(silent))));
                 }
                 if now < (*until).max(self.hold_until) {
                     return None;
                 }
-                let next = self.waves.len();
-                if next >= self.total(plan) {
-                    return Some(Next::Done);
+                let next_wave = self.waves.len();
+                if next_wave >= self.wave_count(plan) {
+                    return Some(Transition::Done);
                 }
-                Some(Next::Wave(next, self.members(plan, next, fleet)))
+                Some(Transition::Wave(next_wave, self.members(plan, next_wave, fleet)))
             }
         }
     }
 
-    /// A record says that a wave began.
+    /// Applies the record that a wave began. A record of a wave that is already known has no effect.
     pub fn wave_began(&mut self, now: u64, wave: usize, members: BTreeSet<String>) {
         if wave == self.waves.len() {
             self.waves.push(members);
@@ -205,29 +221,31 @@
         }
     }
 
-    /// A record says that a wave is watched.
+    /// Applies the record that a wave is under observation.
     pub fn watched(&mut self, now: u64, plan: &Plan) {
         self.phase = Phase::Watching { until: now + plan.watch };
     }
 
-    /// A record says that it stopped.
+    /// Applies the record that the rollout halted.
     pub fn halted(&mut self, why: String) {
         self.phase = Phase::Halted { why };
     }
 
-    /// A record says that it goes on: those who refused are left aside, the rest of the wave is offered again.
+    /// Applies the record that the rollout was resumed: instances that refused are excluded, and the current wave is
+    /// offered the version again.
     pub fn resumed(&mut self, now: u64) {
-        let refused = self.made.iter().filter(|(_, made)| matches!(made, Made::Refused(_)));
-        self.excused.extend(refused.map(|(name, _)| name.clone()));
-        self.phase = if self.waves.is_empty() { Phase::Begun } else { Phase::Offering { since: now } };
+        let refused =
+            self.outcomes.iter().filter(|(_, outcome)| matches!(outcome, InstanceOutcome::Refused(_)));
+        self.excluded.extend(refused.map(|(name, _)| name.clone()));
+        self.phase = if self.waves.is_empty() { Phase::Pending } else { Phase::Offering { since: now } };
     }
 
-    /// A record says what an instance made of it.
-    pub fn answered(&mut self, instance: &str, made: Made) {
-        self.made.insert(instance.to_string(), made);
+    /// Applies the record of an instance's answer.
+    pub fn answered(&mut self, instance: &str, outcome: InstanceOutcome) {
+        self.outcomes.insert(instance.to_string(), outcome);
     }
 
-    /// The service starts anew: times begin again, since nobody was heard meanwhile.
+    /// Restarts the time limits after a restart of the service, during which no instance could answer.
     pub fn restarted(&mut self, now: u64, plan: &Plan) {
         self.hold_until = now + plan.answer;
         match &mut self.phase {
@@ -237,15 +255,15 @@
         }
     }
 
-    /// Who changed, who did not, and of whom that is not known.
-    pub fn report(&self, fleet: &BTreeMap<String, Seen>) -> Report {
-        let mut report = Report::default();
+    /// Reports which instances changed to the version, which did not, and for which that is unknown.
+    pub fn report(&self, fleet: &BTreeMap<String, InstanceView>) -> RolloutReport {
+        let mut report = RolloutReport::default();
         let begun: BTreeSet<&String> = self.waves.iter().flatten().collect();
-        for (name, seen) in fleet {
-            match self.made.get(name) {
-                Some(Made::Runs) => report.changed.push(name.clone()),
-                Some(Made::Refused(why)) => report.refused.push((name.clone(), why.clone())),
-                None if begun.contains(name) || !seen.connected => report.unknown.push(name.clone()),
+        for (name, view) in fleet {
+            match self.outcomes.get(name) {
+                Some(InstanceOutcome::Running) => report.changed.push(name.clone()),
+                Some(InstanceOutcome::Refused(why)) => report.refused.push((name.clone(), why.clone())),
+                None if begun.contains(name) || !view.connected => report.unknown.push(name.clone()),
                 None => report.unchanged.push(name.clone()),
             }
         }
@@ -253,22 +271,23 @@
     }
 }
 
-/// Where the instances stand in a rollout.
+/// The instances of the fleet by their state in a rollout.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
-    /// They run the version.
+pub struct RolloutReport {
+    /// Instances that run the version.
     pub changed: Vec<String>,
-    /// They turned it down or gave it up.
+    /// Instances that rejected the version or rolled it back, with the reason.
     pub refused: Vec<(String, String)>,
-    /// They were not asked, and run what they ran.
+    /// Connected instances that have not been offered the version.
     pub unchanged: Vec<String>,
-    /// They were asked and did not answer, or are away.
+    /// Instances that were offered the version and have not answered, or are disconnected.
     pub unknown: Vec<String>,
 }
 
-fn names(mut list: Vec<&String>) -> String {
-    let more = list.len().saturating_sub(5);
-    list.truncate(5);
+/// Joins names for a message; beyond a few, only their number is given.
+fn join_names(mut list: Vec<&String>) -> String {
+    let more = list.len().saturating_sub(MAX_NAMES_SHOWN);
+    list.truncate(MAX_NAMES_SHOWN);
     let shown = list.iter().map(|n| n.as_str()).collect::<Vec<_>>().join(", ");
     if more > 0 { format!("{shown} and {more} more") } else { shown }
 }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,12 +1,14 @@
-//! The service's loop: streams and questions on one listener, one thread, one epoll instance.
+//! The event loop of the control service: subscriber streams and admin requests on one listener, one thread and one epoll
+//! instance.
 //!
-//! Each connection has bounded rings. An offer is put into the outgoing ring piece by piece as room comes, all
-//! connections sharing one copy of the text, so that a thousand slow readers cost little more than a thousand rings.
+//! Each connection has bounded input and output rings. An offer is written to the output ring piece by piece as space
+//! becomes free, and all connections share one copy of the text, so that a thousand slow readers cost little more memory
+//! than a thousand rings.
 
-use crate::admin::{Answer, Ask, MOST_DOCUMENT};
+use crate::admin::{Answer, Ask, MAX_DOCUMENT_BYTES};
 use crate::log::{self, Log};
 use crate::rollout::Plan;
-use crate::service::{Act, Conn, Now, Outcome, Service};
+use crate::service::{Action, ConnectionId, PublishOutcome, Service, Timestamp};
 use ochreward_net::{
     Accepted, Callbacks, Clock, Closed, Link, Listener, Malformed, Poll, Ready, Ring, Signals, Wish,
 };
@@ -22,68 +24,69 @@
 
 const SIGNALS: u8 = 0;
 const LISTENER: u8 = 1;
-const PEERS: u8 = 2;
+const CONNECTIONS: u8 = 2;
 
-/// Room for messages in, and out.
-const IN: usize = 2 * (MOST_FRAME + 4);
-const OUT: usize = 4 * (MOST_FRAME + 4);
-/// A connection that has not said who it is after this long is closed, in microseconds.
-const UNKNOWN: u64 = 5_000_000;
-/// A stream without a word for so many heartbeats is closed.
-const SILENT_BEATS: u64 = 5;
-/// The longest wait of a turn.
-const EVERY: u64 = 250_000;
-/// Frames put out to a connection at a time, so that one that reads fast holds up no other.
-const FRAMES: usize = 16;
-/// Connections accepted in a turn.
-const ACCEPTS: usize = 64;
+/// The capacities of a connection's input and output rings, in bytes.
+const INPUT_RING_BYTES: usize = 2 * (MOST_FRAME + 4);
+const OUTPUT_RING_BYTES: usize = 4 * (MOST_FRAME + 4);
+/// A connection that is neither a subscriber's nor a watching client's after this long is closed, in microseconds.
+const IDENTIFY_TIMEOUT_US: u64 = 5_000_000;
+/// A stream without a message for this number of heartbeat intervals is closed.
+const MAX_MISSED_HEARTBEATS: u64 = 5;
+/// The longest wait for events in one iteration of the loop, in microseconds.
+const MAX_WAIT_US: u64 = 250_000;
+/// The number of frames written to a connection at a time, so that a fast reader does not delay the others.
+const MAX_FRAMES_PER_TURN: usize = 16;
+/// The number of connections accepted in one iteration of the loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Reads a document that is to be published.
+/// Parses and validates a document that is to be published.
 pub type Reader = fn(&str) -> Result<Value, Vec<Fault>>;
 
-/// What a server is told.
+/// The configuration of a server.
 pub struct Options {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Where the log is.
+    /// The folder of the log.
     pub store: PathBuf,
-    /// Connections at a time.
+    /// The maximum number of concurrent connections.
     pub streams: usize,
-    /// The time between signs of life, in microseconds.
+    /// The heartbeat interval, in microseconds.
     pub heartbeat: u64,
-    /// How versions are rolled out.
+    /// The parameters of rollouts.
     pub plan: Plan,
-    /// Reads documents.
+    /// Parses and validates documents.
     pub reader: Reader,
 }
 
-/// Why a server could not start or go on.
+/// The reason why the server could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The log.
+    /// The log can't be used.
     #[error(transparent)]
     Log(#[from] log::Error),
-    /// The network or the disk.
-    #[error("the control service can't go on, {0}: see to its address, its descriptors and its disk")]
+    /// The network or the file system returned an error.
+    #[error("the control service can't continue, {0}: check its address, its file descriptors and its disk")]
     Io(#[from] io::Error),
 }
 
-/// Takes frames off a connection.
-struct Frames {
-    /// What can't be read ends the connection.
-    spoilt: bool,
+/// Decodes the frames that a connection receives.
+struct FrameReader {
+    /// Whether further input is discarded, since the connection is being closed.
+    discard: bool,
 }
 
-enum Said {
+/// A message from a connection.
+enum Incoming {
     Stream(ToService),
-    Ask(Ask),
+    Admin(Ask),
 }
 
-impl Callbacks for Frames {
-    type Out = Vec<Said>;
+impl Callbacks for FrameReader {
+    type Out = Vec<Incoming>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Said>) -> Result<(), Malformed> {
-        if self.spoilt {
+    fn received(&mut self, input: &mut Ring, out: &mut Vec<Incoming>) -> Result<(), Malformed> {
+        if self.discard {
             input.consume(input.len());
             return Ok(());
         }
@@ -91,34 +94,38 @@
             let bytes = input.contiguous();
             let Some(body) = wire::body(bytes).map_err(|e| Malformed(e.0))? else { return Ok(()) };
             let size = body.len() + 4;
-            let said = match wire::parse(body) {
-                Ok(message) => Said::Stream(message),
-                Err(e) => Said::Ask(wire::parse(body).map_err(|_| Malformed(e.0))?),
+            let message = match wire::parse(body) {
+                Ok(message) => Incoming::Stream(message),
+                Err(e) => Incoming::Admin(wire::parse(body).map_err(|_| Malformed(e.0))?),
             };
-            out.push(said);
+            out.push(message);
             input.consume(size);
         }
     }
 }
 
-/// A text on its way out.
+/// A text that is being sent in pieces. `at` is the offset of the next piece in the current text, `kinds` lists the types
+/// that are still to be sent.
 enum Outgoing {
     Offer { nonce: u64, snapshot: Arc<Snapshot>, kinds: Vec<Kind>, at: usize },
     Answer { text: String, at: usize, ok: bool },
 }
 
-struct Peer {
-    link: Link<Frames>,
-    since: u64,
-    heard: u64,
+/// A connection of a subscriber or an admin client.
+struct Connection {
+    link: Link<FrameReader>,
+    /// The time of acceptance, or of the last piece of a document.
+    active_since: u64,
+    last_received: u64,
     outgoing: Option<Outgoing>,
+    /// The pieces of a document received so far.
     document: String,
     watches: bool,
-    /// It was answered, and ends once all has gone out.
-    ending: bool,
+    /// Whether the connection is closed once its output has been sent.
+    closing: bool,
 }
 
-/// The server.
+/// The control service with its listener, its log and its connections.
 pub struct Server {
     poll: Poll,
     clock: Clock,
@@ -127,22 +134,23 @@
     options: Options,
     service: Service,
     log: Log,
-    peers: Slab<Peer>,
-    beat_at: u64,
-    said: Vec<Said>,
-    /// Connections that took all they were given, and are to be given more.
-    hungry: Vec<usize>,
-    /// The log failed: what was decided since is not written down, and nothing more is done.
-    broken: Option<io::Error>,
+    connections: Slab<Connection>,
+    next_heartbeat_at: u64,
+    incoming: Vec<Incoming>,
+    /// Connections that have sent all their output and have more to send.
+    ready_to_send: Vec<usize>,
+    /// The error of a failed write to the log: decisions taken since are not recorded, so the server must stop.
+    log_failure: Option<io::Error>,
 }
 
-fn now(clock: &Clock) -> Now {
+/// Reads the current time.
+fn now(clock: &Clock) -> Timestamp {
     let us = clock.read();
-    Now { us, unix_ms: clock.unix_ms(us) }
+    Timestamp { us, unix_ms: clock.unix_ms(us) }
 }
 
 impl Server {
-    /// Opens the store and listens.
+    /// Opens the store, recovers the service from it, and starts to listen.
     pub fn new(options: Options) -> Result<Server, Error> {
         let (mut log, records) = Log::open(&options.store)?;
         let clock = Clock::start();
@@ -150,14 +158,12 @@
         let mut poll = Poll::new()?;
         let listener = Listener::bind(&mut poll, LISTENER, options.listen)?;
         let signals = Signals::new(&mut poll, SIGNALS)?;
-        // Two stores that were begun at one microsecond by one process number would pass for one.
-        let fresh = format!("{:x}-{:x}", time.us, std::process::id());
-        let mut service = Service::recover(options.plan.clone(), options.heartbeat, records, time, &fresh);
+        // The id of a new store is unique unless two processes with the same id create stores in the same microsecond.
+        let fresh_id = format!("{:x}-{:x}", time.us, std::process::id());
+        let mut service = Service::recover(options.plan.clone(), options.heartbeat, records, time, &fresh_id);
         let (records, _) = service.flush();
         log.append(&records)?;
-        let (peers, said) = (Slab::new(), Vec::new());
-        let beat_at = time.us + options.heartbeat;
-        let (hungry, broken) = (Vec::new(), None);
+        let next_heartbeat_at = time.us + options.heartbeat;
         Ok(Server {
             poll,
             clock,
@@ -166,190 +172,216 @@
             options,
             service,
             log,
-            peers,
-            beat_at,
-            said,
-            hungry,
-            broken,
+            connections: Slab::new(),
+            next_heartbeat_at,
+            incoming: Vec::new(),
+            ready_to_send: Vec::new(),
+            log_failure: None,
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.address()
     }
 
-    /// Its epoch.
+    /// Returns the epoch of the service.
     pub fn epoch(&self) -> u64 {
         self.service.epoch()
     }
 
     /// Serves until SIGTERM.
     pub fn run(&mut self) -> Result<(), Error> {
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         loop {
             let time = self.clock.read();
-            let due = self.beat_at.min(self.service.due(time)).saturating_sub(time).min(EVERY);
-            self.poll.wait(if self.hungry.is_empty() { due } else { 0 }, &mut happened)?;
+            let due =
+                self.next_heartbeat_at.min(self.service.due(time)).saturating_sub(time).min(MAX_WAIT_US);
+            self.poll.wait(if self.ready_to_send.is_empty() { due } else { 0 }, &mut events)?;
             let time = now(&self.clock);
-            std::mem::take(&mut self.hungry).into_iter().for_each(|slot| self.pump(slot));
-            for ready in happened.drain(..) {
+            std::mem::take(&mut self.ready_to_send).into_iter().for_each(|slot| self.send_pending(slot));
+            for ready in events.drain(..) {
                 match ready.token.owner {
                     SIGNALS => self.signals.ready(ready.token),
                     LISTENER => self.accept(time),
                     _ => self.ready(time, ready),
                 }
-                if let Some(e) = self.broken.take() {
+                if let Some(e) = self.log_failure.take() {
                     return Err(e.into());
                 }
-                self.carry()?;
+                self.commit_and_act()?;
             }
             if self.signals.asked().contains(&Wish::Stop) {
                 return Ok(());
             }
-            if time.us >= self.beat_at {
-                self.beat_at = time.us + self.options.heartbeat;
-                self.service.beat();
+            if time.us >= self.next_heartbeat_at {
+                self.next_heartbeat_at = time.us + self.options.heartbeat;
+                self.service.send_heartbeats();
                 self.close_silent(time);
             }
             self.service.advance(time);
-            self.carry()?;
-            if self.log.wants_compaction() {
-                self.log.compact(&self.service.condensed())?;
-                info!("the log was compacted");
+            self.commit_and_act()?;
+            if self.log.needs_compaction() {
+                self.log.compact(&self.service.snapshot_records())?;
+                info!("compacted the log");
             }
         }
     }
 
-    fn accept(&mut self, time: Now) {
-        for _ in 0..ACCEPTS {
+    fn accept(&mut self, time: Timestamp) {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let fd = match self.listener.accept() {
                 Accepted::One(fd) => fd,
                 Accepted::None => return,
-                Accepted::OutOfDescriptors => return warn!("no descriptors are left for streams"),
+                Accepted::OutOfDescriptors => {
+                    return warn!("out of file descriptors: new connections are not accepted");
+                }
             };
-            if self.peers.len() >= self.options.streams {
-                warn!(streams = self.peers.len(), "a connection was closed for want of room");
+            if self.connections.len() >= self.options.streams {
+                warn!(
+                    streams = self.connections.len(),
+                    "closed a new connection: the maximum number of connections is reached"
+                );
                 continue;
             }
-            let entry = self.peers.vacant_entry();
-            let token = self.poll.token(PEERS, entry.key());
-            if let Ok(link) = Link::accepted(&self.poll, fd, token, Frames { spoilt: false }, (IN, OUT)) {
-                entry.insert(Peer {
+            let entry = self.connections.vacant_entry();
+            let token = self.poll.token(CONNECTIONS, entry.key());
+            if let Ok(link) = Link::accepted(
+                &self.poll,
+                fd,
+                token,
+                FrameReader { discard: false },
+                (INPUT_RING_BYTES, OUTPUT_RING_BYTES),
+            ) {
+                entry.insert(Connection {
                     link,
-                    since: time.us,
-                    heard: time.us,
+                    active_since: time.us,
+                    last_received: time.us,
                     outgoing: None,
                     document: String::new(),
                     watches: false,
-                    ending: false,
+                    closing: false,
                 });
             }
         }
     }
 
-    fn ready(&mut self, time: Now, ready: Ready) {
+    fn ready(&mut self, time: Timestamp, ready: Ready) {
         let slot = ready.token.slot as usize;
-        let Some(peer) = self.peers.get_mut(slot).filter(|p| p.link.io.token() == ready.token) else {
+        let Some(connection) =
+            self.connections.get_mut(slot).filter(|connection| connection.link.io.token() == ready.token)
+        else {
             return;
         };
-        let mut said = std::mem::take(&mut self.said);
-        let result = peer.link.ready(&mut self.poll, ready, &mut said);
-        if !said.is_empty() {
-            peer.heard = time.us;
+        let mut incoming = std::mem::take(&mut self.incoming);
+        let result = connection.link.ready(&mut self.poll, ready, &mut incoming);
+        if !incoming.is_empty() {
+            connection.last_received = time.us;
         }
-        for said in said.drain(..) {
-            if !self.peers.contains(slot) {
+        for message in incoming.drain(..) {
+            if !self.connections.contains(slot) {
                 break;
             }
-            match said {
-                Said::Stream(message) => {
+            match message {
+                Incoming::Stream(message) => {
                     if let Err(why) = self.service.received(time, slot, message) {
-                        self.turn_away(slot, why.to_string());
+                        self.refuse(slot, why.to_string());
                     }
                 }
-                Said::Ask(ask) => self.asked(time, slot, ask),
+                Incoming::Admin(ask) => self.on_admin_request(time, slot, ask),
             }
         }
-        self.said = said;
+        self.incoming = incoming;
         match result {
             Err(why) => {
                 if let Closed::Malformed(why) = why {
-                    warn!(why, "a connection sent what can't be read");
+                    warn!(why, "closed a connection: malformed input");
                 }
                 self.close(slot);
             }
-            Ok(()) => self.pump(slot),
+            Ok(()) => self.send_pending(slot),
         }
-        if self.peers.get(slot).is_some_and(|p| p.link.io.ended) {
+        if self.connections.get(slot).is_some_and(|connection| connection.link.io.ended) {
             self.close(slot);
         }
     }
 
-    /// Tells a subscriber why it is not had, and ends its connection.
-    fn turn_away(&mut self, slot: usize, why: String) {
-        warn!(why, "a subscriber was turned away");
+    /// Sends a subscriber the reason for refusing it, and closes its connection.
+    fn refuse(&mut self, slot: usize, why: String) {
+        warn!(why, "refused a subscriber");
         self.service.lost(slot);
-        if let Some(peer) = self.peers.get_mut(slot) {
-            let _ = peer.link.io.queue(&wire::frame(&FromService::Refused { why }));
-            (peer.ending, peer.outgoing, peer.link.peer.spoilt) = (true, None, true);
+        if let Some(connection) = self.connections.get_mut(slot) {
+            let _ = connection.link.io.queue(&wire::frame(&FromService::Refused { why }));
+            (connection.closing, connection.outgoing, connection.link.peer.discard) = (true, None, true);
         }
     }
 
-    fn close(&mut self, slot: Conn) {
+    fn close(&mut self, slot: ConnectionId) {
         self.service.lost(slot);
-        self.peers.try_remove(slot);
+        self.connections.try_remove(slot);
     }
 
-    fn close_silent(&mut self, time: Now) {
-        let silence = self.options.heartbeat * SILENT_BEATS;
-        let over = |(slot, p): (usize, &Peer)| {
-            let stream = self.service.knows(slot);
-            let unknown = !stream && !p.watches && time.us >= p.since + UNKNOWN;
-            (unknown || (stream && time.us >= p.heard + silence)).then_some(slot)
+    /// Closes connections that have not identified themselves in time, and streams that miss their heartbeats.
+    fn close_silent(&mut self, time: Timestamp) {
+        let silence = self.options.heartbeat * MAX_MISSED_HEARTBEATS;
+        let timed_out = |(slot, connection): (usize, &Connection)| {
+            let is_subscriber = self.service.is_subscriber(slot);
+            let unidentified = !is_subscriber
+                && !connection.watches
+                && time.us >= connection.active_since + IDENTIFY_TIMEOUT_US;
+            let silent = is_subscriber && time.us >= connection.last_received + silence;
+            (unidentified || silent).then_some(slot)
         };
-        let over: Vec<usize> = self.peers.iter().filter_map(over).collect();
-        over.into_iter().for_each(|slot| self.close(slot));
+        let timed_out: Vec<usize> = self.connections.iter().filter_map(timed_out).collect();
+        timed_out.into_iter().for_each(|slot| self.close(slot));
     }
 
-    /// Writes down what was decided, and then does it. Danger: without its records nothing may be done; a disk that
-    /// fails ends the service, which a restart brings back to what was written.
-    fn carry(&mut self) -> io::Result<()> {
+    /// Appends the service's records to the log, then carries out its actions. An action must not take effect before its
+    /// records are written. If the log can't be written the service stops, and a restart resumes from the last record.
+    fn commit_and_act(&mut self) -> io::Result<()> {
         loop {
-            let (records, acts) = self.service.flush();
-            if records.is_empty() && acts.is_empty() {
+            let (records, actions) = self.service.flush();
+            if records.is_empty() && actions.is_empty() {
                 return Ok(());
             }
             self.log.append(&records)?;
-            for act in acts {
-                self.act(act);
+            for action in actions {
+                self.act(action);
             }
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Send(slot, message) => {
-                let Some(peer) = self.peers.get_mut(slot) else { return };
-                // Danger: a sign of life between two parts of an offer is fine, one that finds no room is not
-                // worth a connection: whoever has a full ring is being sent to.
-                let fits = peer.link.io.queue(&wire::frame(&message));
+    fn act(&mut self, action: Action) {
+        match action {
+            Action::Send(slot, message) => {
+                let Some(connection) = self.connections.get_mut(slot) else { return };
+                // A heartbeat that does not fit is dropped rather than closing the connection: a full output ring means
+                // that other data is being sent. Between two parts of an offer a heartbeat is harmless.
+                let fits = connection.link.io.queue(&wire::frame(&message));
                 if !fits && !matches!(message, FromService::Beat {}) {
                     return self.close(slot);
                 }
-                self.pump(slot);
+                self.send_pending(slot);
             }
-            Act::Offer(slot, nonce, snapshot, held) => self.offer(slot, nonce, snapshot, &held),
-            Act::Close(slot) => self.close(slot),
-            Act::Tell(event) => {
+            Action::Offer(slot, nonce, snapshot, held) => self.offer(slot, nonce, snapshot, &held),
+            Action::Close(slot) => self.close(slot),
+            Action::Notify(event) => {
                 info!(target: "ochreward_control", "{event}");
                 let frame = wire::frame(&Answer::Event { event });
-                let watching: Vec<usize> =
-                    self.peers.iter().filter(|(_, p)| p.watches).map(|(slot, _)| slot).collect();
+                let watching: Vec<usize> = self
+                    .connections
+                    .iter()
+                    .filter(|(_, connection)| connection.watches)
+                    .map(|(slot, _)| slot)
+                    .collect();
                 for slot in watching {
-                    // One that does not keep up is closed rather than told of a part.
-                    if self.peers.get_mut(slot).is_some_and(|p| p.link.io.queue(&frame)) {
-                        self.pump(slot);
+                    // A client that can't keep up is closed rather than sent an incomplete sequence of events.
+                    if self
+                        .connections
+                        .get_mut(slot)
+                        .is_some_and(|connection| connection.link.io.queue(&frame))
+                    {
+                        self.send_pending(slot);
                     } else {
                         self.close(slot);
                     }
@@ -359,7 +391,7 @@
     }
 
     fn offer(&mut self, slot: usize, nonce: u64, snapshot: Arc<Snapshot>, held: &[Kind]) {
-        let Some(peer) = self.peers.get_mut(slot) else { return };
+        let Some(connection) = self.connections.get_mut(slot) else { return };
         let entry = |(kind, r): (&Kind, &ochreward_stream::Resource)| Entry {
             kind: *kind,
             version: r.version,
@@ -370,74 +402,75 @@
         let entries: Vec<Entry> = snapshot.resources.iter().map(entry).collect();
         let kinds = entries.iter().filter(|e| e.sent).map(|e| e.kind).collect();
         let offer = FromService::Offer { nonce, version: snapshot.version, entries };
-        if !peer.link.io.queue(&wire::frame(&offer)) {
+        if !connection.link.io.queue(&wire::frame(&offer)) {
             return self.close(slot);
         }
-        peer.outgoing = Some(Outgoing::Offer { nonce, snapshot, kinds, at: 0 });
-        self.pump(slot);
+        connection.outgoing = Some(Outgoing::Offer { nonce, snapshot, kinds, at: 0 });
+        self.send_pending(slot);
     }
 
-    /// Puts out what there is room for.
-    fn pump(&mut self, slot: usize) {
-        let Some(peer) = self.peers.get_mut(slot) else { return };
-        for _ in 0..FRAMES {
-            if peer.link.io.unsent() + MOST_FRAME + 4 > OUT {
+    /// Writes to a connection as much of its outgoing text as fits the output ring.
+    fn send_pending(&mut self, slot: usize) {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        for _ in 0..MAX_FRAMES_PER_TURN {
+            if connection.link.io.unsent() + MOST_FRAME + 4 > OUTPUT_RING_BYTES {
                 break;
             }
-            let Some(outgoing) = &mut peer.outgoing else { break };
-            let (frame, over) = outgoing.next();
-            // There is room for the longest frame.
-            let _ = peer.link.io.queue(&frame);
-            if over {
-                peer.ending |= matches!(outgoing, Outgoing::Answer { .. });
-                peer.outgoing = None;
+            let Some(outgoing) = &mut connection.outgoing else { break };
+            let (frame, is_last) = outgoing.next_frame();
+            // The ring has space for the longest frame.
+            let _ = connection.link.io.queue(&frame);
+            if is_last {
+                connection.closing |= matches!(outgoing, Outgoing::Answer { .. });
+                connection.outgoing = None;
             }
-            if peer.link.flush(&self.poll).is_err() {
+            if connection.link.flush(&self.poll).is_err() {
                 return self.close(slot);
             }
         }
-        if peer.link.flush(&self.poll).is_err() {
+        if connection.link.flush(&self.poll).is_err() {
             return self.close(slot);
         }
-        if peer.outgoing.is_some() && peer.link.io.unsent() == 0 {
-            self.hungry.push(slot);
+        if connection.outgoing.is_some() && connection.link.io.unsent() == 0 {
+            self.ready_to_send.push(slot);
         }
-        if peer.ending && peer.link.io.unsent() == 0 {
-            // Only our side ends: a close with something unread could cost the last words.
-            peer.link.io.finish();
+        if connection.closing && connection.link.io.unsent() == 0 {
+            // Shut down only the sending side: closing a socket with unread input could reset it and lose the last frames.
+            connection.link.io.finish();
         }
     }
 
-    // ---- Questions ----
+    // ---- Admin requests ----
 
-    fn asked(&mut self, time: Now, slot: usize, ask: Ask) {
-        let Some(peer) = self.peers.get_mut(slot) else { return };
-        if self.service.knows(slot) || peer.outgoing.is_some() || peer.ending {
+    /// Handles an admin request. A connection may make one request, and none if it is a subscriber's.
+    fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Ask) {
+        let Some(connection) = self.connections.get_mut(slot) else { return };
+        if self.service.is_subscriber(slot) || connection.outgoing.is_some() || connection.closing {
             return self.close(slot);
         }
-        let faults = |faults: Vec<Fault>| (false, json!({"faults": faults}));
+        let rejected = |faults: Vec<Fault>| (false, json!({"faults": faults}));
         let (ok, value) = match ask {
             Ask::Piece { text } => {
-                if peer.document.len() + text.len() > MOST_DOCUMENT {
+                if connection.document.len() + text.len() > MAX_DOCUMENT_BYTES {
                     return self.close(slot);
                 }
-                peer.since = time.us;
-                peer.document += &text;
+                connection.active_since = time.us;
+                connection.document += &text;
                 return;
             }
             Ask::Watch {} => {
-                peer.watches = true;
+                connection.watches = true;
                 return;
             }
-            Ask::Validate {} => match (self.options.reader)(&peer.document) {
+            Ask::Validate {} => match (self.options.reader)(&connection.document) {
                 Ok(_) => (true, json!({"valid": true})),
-                Err(found) => faults(found),
+                Err(faults) => rejected(faults),
             },
-            Ask::Publish { at_once } => match (self.options.reader)(&peer.document) {
-                Ok(document) => outcome(self.service.publish(time, document, at_once)),
-                Err(found) => faults(found),
+            Ask::Publish { at_once } => match (self.options.reader)(&connection.document) {
+                Ok(document) => publish_reply(self.service.publish(time, document, at_once)),
+                Err(faults) => rejected(faults),
             },
-            Ask::Rollback { number, at_once } => outcome(self.service.rollback(time, number, at_once)),
+            Ask::Rollback { number, at_once } => publish_reply(self.service.rollback(time, number, at_once)),
             Ask::Resume {} => match self.service.resume(time) {
                 true => (true, json!({"resumed": true})),
                 false => (false, json!({"why": "no rollout has halted"})),
@@ -453,33 +486,34 @@
                 None => (false, json!({"why": "no such instance, or nothing that it is to run"})),
             },
         };
-        // Danger: a yes must not be told before it is written down.
-        if let Err(e) = self.carry() {
-            self.broken = Some(e);
+        // A request must not be confirmed before its records are written.
+        if let Err(e) = self.commit_and_act() {
+            self.log_failure = Some(e);
             return;
         }
-        if let Some(peer) = self.peers.get_mut(slot) {
-            peer.document = String::new();
-            peer.outgoing = Some(Outgoing::Answer { text: value.to_string(), at: 0, ok });
+        if let Some(connection) = self.connections.get_mut(slot) {
+            connection.document = String::new();
+            connection.outgoing = Some(Outgoing::Answer { text: value.to_string(), at: 0, ok });
         }
-        self.pump(slot);
+        self.send_pending(slot);
     }
 }
 
-fn outcome(outcome: Outcome) -> (bool, Value) {
+/// Returns the reply to a request to publish.
+fn publish_reply(outcome: PublishOutcome) -> (bool, Value) {
     match outcome {
-        Outcome::New(version) => (true, json!({"version": version.to_string(), "new": true})),
-        Outcome::Same(version) => (true, json!({"version": version.to_string(), "new": false})),
-        Outcome::Unknown => (false, json!({"why": "there is no such version"})),
-        Outcome::Deposed(epoch) => {
+        PublishOutcome::New(version) => (true, json!({"version": version.to_string(), "new": true})),
+        PublishOutcome::Same(version) => (true, json!({"version": version.to_string(), "new": false})),
+        PublishOutcome::Unknown => (false, json!({"why": "there is no such version"})),
+        PublishOutcome::Deposed(epoch) => {
             (false, json!({"why": format!("a service with epoch {epoch} leads; this one only answers")}))
         }
     }
 }
 
 impl Outgoing {
-    /// The next frame, and whether it is the last.
-    fn next(&mut self) -> (Vec<u8>, bool) {
+    /// Returns the next frame, and whether it is the last.
+    fn next_frame(&mut self) -> (Vec<u8>, bool) {
         match self {
             Outgoing::Offer { nonce, snapshot, kinds, at } => {
                 let nonce = *nonce;
@@ -498,9 +532,9 @@
             Outgoing::Answer { text, at, ok } => {
                 let piece = wire::piece(text, *at).to_string();
                 *at += piece.len();
-                let over = piece.is_empty();
-                let answer = if over { Answer::Done { ok: *ok } } else { Answer::Piece { text: piece } };
-                (wire::frame(&answer), over)
+                let is_last = piece.is_empty();
+                let answer = if is_last { Answer::Done { ok: *ok } } else { Answer::Piece { text: piece } };
+                (wire::frame(&answer), is_last)
             }
         }
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,111 +1,117 @@
-//! The service's decisions: who is offered what, what an answer means, and what is written down.
+//! The state machine of the control service: decides which version each instance is offered, evaluates the answers, and
+//! produces the records of the log.
 //!
-//! No socket, no disk and no clock: it is told what happens and leaves [`Act`]s. Whatever changes its state is first a
-//! [`Record`]; the host appends what [`Service::flush`] hands out, and only then carries the acts out, so that nothing
-//! is ever done that a restart would not know of.
+//! It uses no socket, no disk and no clock: its inputs are events and the time, its outputs [`Record`]s and [`Action`]s.
+//! Durable state changes only through records. The caller appends the records that [`Service::flush`] returns to the log
+//! before it carries out the actions, so that no action takes effect that a restarted service would not find in its log.
 
 use crate::catalog::Catalog;
 use crate::record::{Answer, Published, Record};
-use crate::rollout::{Made, Next, Phase, Plan, Report, Rollout, Seen};
+use crate::rollout::{InstanceOutcome, InstanceView, Phase, Plan, Rollout, RolloutReport, Transition};
 use ochreward_stream::wire::{Code, Fault, FromService, Health, Hello, PROTOCOL, ToService};
 use ochreward_stream::{Snapshot, Version};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Instances remembered; beyond it the ones longest away are forgotten.
-const MOST_INSTANCES: usize = 20_000;
-/// Refusals remembered for each instance.
-const MOST_REFUSALS: usize = 8;
+/// The number of instances remembered; beyond it the disconnected ones heard least recently are forgotten.
+const MAX_INSTANCES: usize = 20_000;
+/// The number of refused versions remembered for each instance.
+const MAX_REFUSALS_PER_INSTANCE: usize = 8;
+/// The maximum length of an instance name, in bytes.
+const MAX_NAME_BYTES: usize = 200;
+/// The maximum number of labels of an instance.
+const MAX_LABELS: usize = 64;
 
-/// Names a connection.
-pub type Conn = usize;
+/// Identifies a connection.
+pub type ConnectionId = usize;
 
-/// What a subscriber is told before its connection ends.
+/// The reason for refusing a subscriber, which is sent to it before its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// Something came before it said who it is.
+    /// A message arrived before the `Hello`.
     #[error("a hello is wanted first: start a dispatcher of this version")]
     NoHello,
-    /// It said so twice.
+    /// A second `Hello` arrived.
     #[error("a second hello came: start a dispatcher of this version")]
     SecondHello,
-    /// Its protocol is not spoken here.
+    /// The subscriber uses another protocol version.
     #[error(
         "protocol {0} came, {PROTOCOL} is spoken here: bring the dispatcher and the control service to one version"
     )]
     Protocol(u32),
-    /// Its name or labels are out of bounds.
+    /// The name is empty or too long, or there are too many labels.
     #[error(
         "the name or the labels are out of bounds: give it a name of 1 to 200 bytes and at most 64 labels"
     )]
     Name,
-    /// It answers what it was not offered.
+    /// An answer does not match the open offer.
     #[error("an answer came to no offer: nothing to do, the dispatcher connects again")]
     NoOffer,
-    /// Another service leads.
+    /// The subscriber has followed a service with a higher epoch.
     #[error("epoch {leads} leads, this service has {own}: end this control service, or the other one")]
     Deposed {
-        /// The epoch that the subscriber knows.
+        /// The higher epoch, reported by the subscriber.
         leads: u64,
-        /// The service's own.
+        /// This service's epoch.
         own: u64,
     },
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Send a message.
-    Send(Conn, FromService),
-    /// Send a version under this nonce: its types but for those held, or all of them.
-    Offer(Conn, u64, Arc<Snapshot>, Vec<ochreward_stream::Kind>),
-    /// End a connection.
-    Close(Conn),
-    /// Tell those who watch.
-    Tell(Value),
+    Send(ConnectionId, FromService),
+    /// Send a version under this nonce; the texts of the listed types are omitted, as the subscriber holds them.
+    Offer(ConnectionId, u64, Arc<Snapshot>, Vec<ochreward_stream::Kind>),
+    /// Close a connection.
+    Close(ConnectionId),
+    /// Send an event to all clients that watch.
+    Notify(Value),
 }
 
-/// What is known of an instance.
+/// The state of an instance.
 #[derive(Clone, Debug, Default)]
 pub struct Instance {
-    /// What the rollout sees of it.
-    pub seen: Seen,
-    /// What it runs by its own last word.
+    /// The part of the state that rollouts use.
+    pub view: InstanceView,
+    /// The version that it runs, as last reported by itself.
     pub running: Option<Version>,
-    /// The last version that it was offered in this service's time.
+    /// The last version offered to it since this service started.
     pub offered: Option<Version>,
-    /// The last that it acknowledged.
+    /// The last version that it acknowledged.
     pub acked: Option<Version>,
-    /// What it turned down or gave up, and why.
+    /// The versions that it rejected or rolled back, with the reasons.
     pub refused: BTreeMap<Version, String>,
-    /// When it was last heard, in Unix milliseconds.
+    /// The time of its last message, in Unix milliseconds.
     pub heard_ms: u64,
-    /// How it does.
+    /// Its counts of final answers.
     pub health: Health,
 }
 
+/// The connection of a subscriber.
 struct Stream {
     instance: String,
-    nonce: u64,
-    /// What was offered and not answered.
-    open: Option<(u64, Arc<Snapshot>)>,
-    /// What it holds.
+    last_nonce: u64,
+    /// The offer that has not been answered yet; there is at most one.
+    open_offer: Option<(u64, Arc<Snapshot>)>,
+    /// The digests of the resources that the subscriber holds.
     holds: BTreeMap<ochreward_stream::Kind, ochreward_stream::Digest>,
-    /// It said that something is missing: all types are sent.
-    whole: bool,
+    /// Whether all types are sent, since the subscriber reported a gap.
+    send_all: bool,
 }
 
-/// A time, as the host reads it.
+/// The current time, as read by the caller.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Now {
-    /// Monotonic, in microseconds.
+pub struct Timestamp {
+    /// Monotonic time, in microseconds: for all decisions.
     pub us: u64,
-    /// Unix, in milliseconds: for people.
+    /// Unix time, in milliseconds: for display only.
     pub unix_ms: u64,
 }
 
-/// The service.
+/// The control service, without I/O.
 pub struct Service {
     plan: Plan,
     heartbeat: u64,
@@ -113,35 +119,41 @@
     store: String,
     catalog: Catalog,
     rollout: Option<Rollout>,
-    /// The last version whose rollout is done.
+    /// The number of the last version whose rollout is complete.
     complete: Option<u64>,
     fleet: BTreeMap<String, Instance>,
-    streams: BTreeMap<Conn, Stream>,
+    streams: BTreeMap<ConnectionId, Stream>,
     records: Vec<Record>,
-    acts: Vec<Act>,
-    /// A subscriber has followed a service with a higher epoch: this one leads no more.
+    actions: Vec<Action>,
+    /// The higher epoch of another service that a subscriber has followed; this service publishes nothing any more.
     deposed: Option<u64>,
-    /// No wave begins before this time.
+    /// No wave begins before this time, in microseconds; see [`Rollout::hold_until`].
     hold_until: u64,
 }
 
-/// What publishing came to.
+/// The result of publishing a version.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    /// A new version.
+pub enum PublishOutcome {
+    /// A new version was published.
     New(Version),
-    /// The latest version holds this already.
+    /// The latest version already has this content.
     Same(Version),
-    /// There is no such version.
+    /// The version to roll back to does not exist.
     Unknown,
-    /// Another service leads.
+    /// Another service, with this higher epoch, has taken over.
     Deposed(u64),
 }
 
 impl Service {
-    /// Goes on from the records of its store, under the next epoch. `fresh_id` names a new store.
-    pub fn recover(plan: Plan, heartbeat: u64, records: Vec<Record>, now: Now, fresh_id: &str) -> Service {
-        let mut it = Service {
+    /// Rebuilds the state from the records of the store and starts the next epoch. A new store gets `fresh_id` as its id.
+    pub fn recover(
+        plan: Plan,
+        heartbeat: u64,
+        records: Vec<Record>,
+        now: Timestamp,
+        fresh_id: &str,
+    ) -> Service {
+        let mut service = Service {
             plan,
             heartbeat,
             epoch: 0,
@@ -152,44 +164,44 @@
             fleet: BTreeMap::new(),
             streams: BTreeMap::new(),
             records: Vec::new(),
-            acts: Vec::new(),
+            actions: Vec::new(),
             deposed: None,
             hold_until: 0,
         };
-        records.into_iter().for_each(|record| it.apply(now, record));
-        if !it.fleet.is_empty() {
-            it.hold_until = now.us + it.plan.answer;
+        records.into_iter().for_each(|record| service.apply(now, record));
+        if !service.fleet.is_empty() {
+            service.hold_until = now.us + service.plan.answer;
         }
-        if let Some(rollout) = &mut it.rollout {
-            rollout.restarted(now.us, &it.plan);
+        if let Some(rollout) = &mut service.rollout {
+            rollout.restarted(now.us, &service.plan);
         }
-        let store = if it.store.is_empty() { fresh_id.to_string() } else { it.store.clone() };
-        it.commit(now, Record::Epoch { epoch: it.epoch + 1, store });
-        it
+        let store = if service.store.is_empty() { fresh_id.to_string() } else { service.store.clone() };
+        service.commit(now, Record::Epoch { epoch: service.epoch + 1, store });
+        service
     }
 
-    /// The epoch.
+    /// Returns the epoch of this start of the service.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The published versions.
+    /// Returns the published versions.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// What is known of the instances.
+    /// Returns the instances by name.
     pub fn fleet(&self) -> &BTreeMap<String, Instance> {
         &self.fleet
     }
 
-    /// The records to append, and the acts to carry out once they are.
-    pub fn flush(&mut self) -> (Vec<Record>, Vec<Act>) {
-        (std::mem::take(&mut self.records), std::mem::take(&mut self.acts))
+    /// Returns the records to append to the log, and the actions to carry out once they are appended.
+    pub fn flush(&mut self) -> (Vec<Record>, Vec<Action>) {
+        (std::mem::take(&mut self.records), std::mem::take(&mut self.actions))
     }
 
-    /// Records that say, in few, all that is known.
-    pub fn condensed(&self) -> Vec<Record> {
+    /// Returns a small set of records that describes the current state, for the compaction of the log.
+    pub fn snapshot_records(&self) -> Vec<Record> {
         let mut out = vec![Record::Epoch { epoch: self.epoch, store: self.store.clone() }];
         out.extend(self.catalog.iter().cloned().map(Record::Published));
         out.extend(self.complete.map(|number| Record::Done { number }));
@@ -199,7 +211,7 @@
             out.extend(waves.map(|(wave, members)| Record::Wave { number, wave, members }));
         }
         for (name, instance) in &self.fleet {
-            out.push(Record::Seen { instance: name.clone(), labels: instance.seen.labels.clone() });
+            out.push(Record::Seen { instance: name.clone(), labels: instance.view.labels.clone() });
             let at_ms = instance.heard_ms;
             let answer =
                 |version, answer| Record::Answered { instance: name.clone(), version, answer, at_ms };
@@ -209,7 +221,8 @@
         }
         if let Some(r) = self.rollout.as_ref().filter(|r| r.phase != Phase::Done) {
             let number = r.number;
-            if !r.excused.is_empty() {
+            // `Resumed` excludes the instances whose refusal is already known, so it follows the answers.
+            if !r.excluded.is_empty() {
                 out.push(Record::Resumed { number });
             }
             match &r.phase {
@@ -221,15 +234,15 @@
         out
     }
 
-    /// Writes a record down and has it count.
-    fn commit(&mut self, now: Now, record: Record) {
+    /// Queues a record for the log and applies it.
+    fn commit(&mut self, now: Timestamp, record: Record) {
         self.records.push(record.clone());
         self.apply(now, record);
     }
 
-    /// The only place where records change the state; recovery and service share it.
-    fn apply(&mut self, now: Now, record: Record) {
-        let of = |rollout: &mut Option<Rollout>, number: u64, change: &mut dyn FnMut(&mut Rollout)| {
+    /// Applies a record. Recovery and normal operation share this function, so that both lead to the same state.
+    fn apply(&mut self, now: Timestamp, record: Record) {
+        let update = |rollout: &mut Option<Rollout>, number: u64, change: &mut dyn FnMut(&mut Rollout)| {
             rollout.as_mut().filter(|r| r.number == number).into_iter().for_each(change);
         };
         match record {
@@ -241,56 +254,63 @@
                 self.catalog.add(published);
             }
             Record::Wave { number, wave, members } => {
-                of(&mut self.rollout, number, &mut |r| r.wave_began(now.us, wave, members.clone()))
+                update(&mut self.rollout, number, &mut |r| r.wave_began(now.us, wave, members.clone()))
             }
             Record::Watching { number, .. } => {
-                of(&mut self.rollout, number, &mut |r| r.watched(now.us, &self.plan))
+                update(&mut self.rollout, number, &mut |r| r.watched(now.us, &self.plan))
             }
-            Record::Halted { number, why } => of(&mut self.rollout, number, &mut |r| r.halted(why.clone())),
-            Record::Resumed { number } => of(&mut self.rollout, number, &mut |r| r.resumed(now.us)),
+            Record::Halted { number, why } => {
+                update(&mut self.rollout, number, &mut |r| r.halted(why.clone()))
+            }
+            Record::Resumed { number } => update(&mut self.rollout, number, &mut |r| r.resumed(now.us)),
             Record::Done { number } => {
-                of(&mut self.rollout, number, &mut |r| r.phase = Phase::Done);
+                update(&mut self.rollout, number, &mut |r| r.phase = Phase::Done);
                 self.complete = Some(number);
             }
             Record::Seen { instance, labels } => {
-                self.fleet.entry(instance).or_default().seen.labels = labels;
+                self.fleet.entry(instance).or_default().view.labels = labels;
             }
             Record::Answered { instance, version, answer, at_ms } => {
                 let known = self.fleet.entry(instance.clone()).or_default();
                 known.heard_ms = known.heard_ms.max(at_ms);
-                let made = match answer {
+                let outcome = match answer {
                     Answer::Acked => {
                         (known.running, known.acked) = (Some(version), Some(version));
                         known.refused.remove(&version);
-                        Made::Runs
+                        InstanceOutcome::Running
                     }
                     Answer::Nacked { code, faults } => {
                         let why = faults.first().map_or_else(|| format!("{code:?}"), Fault::to_string);
                         known.refused.insert(version, why.clone());
-                        Made::Refused(why)
+                        InstanceOutcome::Refused(why)
                     }
                     Answer::Reverted { why } => {
                         known.refused.insert(version, why.clone());
-                        Made::Refused(why)
+                        InstanceOutcome::Refused(why)
                     }
                 };
-                while known.refused.len() > MOST_REFUSALS {
+                while known.refused.len() > MAX_REFUSALS_PER_INSTANCE {
                     known.refused.pop_first();
                 }
-                of(&mut self.rollout, version.number, &mut |r| r.answered(&instance, made.clone()));
+                update(&mut self.rollout, version.number, &mut |r| r.answered(&instance, outcome.clone()));
             }
         }
     }
 
     // ---- Streams ----
 
-    /// Whether the connection has said who it is.
-    pub fn knows(&self, conn: Conn) -> bool {
+    /// Returns whether the connection is a subscriber's, that is, whether its `Hello` was accepted.
+    pub fn is_subscriber(&self, conn: ConnectionId) -> bool {
         self.streams.contains_key(&conn)
     }
 
-    /// A subscriber's message. An error is what it is told before its connection ends.
-    pub fn received(&mut self, now: Now, conn: Conn, message: ToService) -> Result<(), StreamError> {
+    /// Handles a subscriber's message. The text of an error is sent to the subscriber before its connection is closed.
+    pub fn received(
+        &mut self,
+        now: Timestamp,
+        conn: ConnectionId,
+        message: ToService,
+    ) -> Result<(), StreamError> {
         let Some(stream) = self.streams.get(&conn) else {
             return match message {
                 ToService::Hello(hello) => self.hello(now, conn, hello),
@@ -299,212 +319,234 @@
         };
         let name = stream.instance.clone();
         let known = self.fleet.entry(name.clone()).or_default();
-        (known.seen.heard, known.heard_ms) = (now.us, now.unix_ms);
+        (known.view.last_heard, known.heard_ms) = (now.us, now.unix_ms);
         match message {
             ToService::Hello(_) => return Err(StreamError::SecondHello),
             ToService::Beat { running, health } => {
                 known.health = health;
                 if running != known.running {
                     known.running = running;
-                    self.told(&name);
+                    self.notify_instance(&name);
                 }
             }
             ToService::Ack { nonce, version } => {
                 let snapshot = self.close_offer(conn, nonce, version)?;
                 if let Some(stream) = self.streams.get_mut(&conn) {
-                    stream.whole = false;
+                    stream.send_all = false;
                     let held = snapshot.resources.iter().map(|(kind, r)| (*kind, r.digest.clone()));
                     stream.holds = held.collect();
                 }
-                self.answered(now, name, version, Answer::Acked);
+                self.record_answer(now, name, version, Answer::Acked);
             }
             ToService::Nack { nonce, version, code, faults } => {
                 self.close_offer(conn, nonce, version)?;
                 match (code, self.streams.get_mut(&conn)) {
-                    // No word on the content: all of it is sent.
-                    (Code::Gap, Some(stream)) if !stream.whole => stream.whole = true,
+                    // A gap says nothing about the content: the version is offered again with all types.
+                    (Code::Gap, Some(stream)) if !stream.send_all => stream.send_all = true,
                     (Code::Superseded, _) => {}
-                    _ => self.answered(now, name, version, Answer::Nacked { code, faults }),
+                    _ => self.record_answer(now, name, version, Answer::Nacked { code, faults }),
                 }
             }
             ToService::Reverted { version, running, why } => {
                 known.running = running;
                 if let Some(stream) = self.streams.get_mut(&conn) {
-                    // What it holds now was not told.
+                    // The message does not say what the subscriber holds after the rollback.
                     stream.holds.clear();
                 }
-                self.answered(now, name, version, Answer::Reverted { why });
+                self.record_answer(now, name, version, Answer::Reverted { why });
             }
         }
         self.offer(conn);
         Ok(())
     }
 
+    /// Closes the open offer of a connection if the answer matches it, and returns its snapshot.
     fn close_offer(
         &mut self,
-        conn: Conn,
+        conn: ConnectionId,
         nonce: u64,
         version: Version,
     ) -> Result<Arc<Snapshot>, StreamError> {
         let stream = self.streams.get_mut(&conn).ok_or(StreamError::NoHello)?;
-        match stream.open.take() {
-            Some((open, snapshot)) if open == nonce && snapshot.version == version => Ok(snapshot),
+        match stream.open_offer.take() {
+            Some((offered_nonce, snapshot)) if offered_nonce == nonce && snapshot.version == version => {
+                Ok(snapshot)
+            }
             _ => Err(StreamError::NoOffer),
         }
     }
 
-    fn answered(&mut self, now: Now, instance: String, version: Version, answer: Answer) {
+    /// Records an instance's answer and notifies watching clients.
+    fn record_answer(&mut self, now: Timestamp, instance: String, version: Version, answer: Answer) {
         let at_ms = now.unix_ms;
         self.commit(now, Record::Answered { instance: instance.clone(), version, answer, at_ms });
-        self.told(&instance);
+        self.notify_instance(&instance);
     }
 
-    /// Tells those who watch how an instance is.
-    fn told(&mut self, name: &str) {
+    /// Sends the state of an instance to watching clients.
+    fn notify_instance(&mut self, name: &str) {
         if let Some(known) = self.fleet.get(name) {
-            let told = json!({"event": "instance", "instance": name, "running": known.running.map(|v| v.to_string()),
+            let event = json!({"event": "instance", "instance": name, "running": known.running.map(|v| v.to_string()),
                 "refused": known.refused.keys().map(Version::to_string).collect::<Vec<_>>(), "at_ms": known.heard_ms});
-            self.acts.push(Act::Tell(told));
+            self.actions.push(Action::Notify(event));
         }
     }
 
-    fn hello(&mut self, now: Now, conn: Conn, hello: Hello) -> Result<(), StreamError> {
+    /// Handles the first message of a subscriber: registers its connection, and makes up for lost answers.
+    fn hello(&mut self, now: Timestamp, conn: ConnectionId, hello: Hello) -> Result<(), StreamError> {
         if hello.protocol != PROTOCOL {
             return Err(StreamError::Protocol(hello.protocol));
         }
-        if hello.instance.is_empty() || hello.instance.len() > 200 || hello.labels.len() > 64 {
+        if hello.instance.is_empty()
+            || hello.instance.len() > MAX_NAME_BYTES
+            || hello.labels.len() > MAX_LABELS
+        {
             return Err(StreamError::Name);
         }
         if hello.epoch > self.epoch {
-            // Another service leads, with a newer store or a later start.
+            // Another service has taken over: its epoch is higher, since its store is newer or it started later.
             self.deposed = Some(hello.epoch);
             return Err(StreamError::Deposed { leads: hello.epoch, own: self.epoch });
         }
         let name = hello.instance;
-        // A later connection of an instance takes the place of an earlier one, which may be half open.
-        let older: Vec<Conn> =
+        // A new connection of an instance replaces an earlier one, which may be half-open.
+        let older: Vec<ConnectionId> =
             self.streams.iter().filter(|(_, s)| s.instance == name).map(|(conn, _)| *conn).collect();
         for old in older {
             self.streams.remove(&old);
-            self.acts.push(Act::Close(old));
+            self.actions.push(Action::Close(old));
         }
         let known = self.fleet.entry(name.clone()).or_default();
-        let (labels_changed, unheard) =
-            (known.seen.labels != hello.labels || known.heard_ms == 0, hello.running != known.acked);
-        known.seen = Seen { labels: hello.labels.clone(), connected: true, heard: now.us };
+        let (labels_changed, unrecorded) =
+            (known.view.labels != hello.labels || known.heard_ms == 0, hello.running != known.acked);
+        known.view = InstanceView { labels: hello.labels.clone(), connected: true, last_heard: now.us };
         (known.heard_ms, known.running) = (now.unix_ms, hello.running);
-        let forgotten: Vec<Version> =
+        let unrecorded_refusals: Vec<Version> =
             hello.refused.iter().filter(|v| !known.refused.contains_key(v)).copied().collect();
         if labels_changed {
             self.commit(now, Record::Seen { instance: name.clone(), labels: hello.labels });
         }
-        // An answer that was lost with its connection is made up for here.
-        if let Some(version) = hello.running.filter(|_| unheard) {
-            self.answered(now, name.clone(), version, Answer::Acked);
+        // The answer to an earlier offer may have been lost with its connection; the `Hello` makes up for it.
+        if let Some(version) = hello.running.filter(|_| unrecorded) {
+            self.record_answer(now, name.clone(), version, Answer::Acked);
         }
-        for version in forgotten {
+        for version in unrecorded_refusals {
             let why = "given up while away".to_string();
-            self.answered(now, name.clone(), version, Answer::Reverted { why });
+            self.record_answer(now, name.clone(), version, Answer::Reverted { why });
         }
         let holds = hello.holds.into_iter().map(|(kind, holding)| (kind, holding.digest)).collect();
-        self.streams.insert(conn, Stream { instance: name, nonce: 0, open: None, holds, whole: false });
+        self.streams
+            .insert(conn, Stream { instance: name, last_nonce: 0, open_offer: None, holds, send_all: false });
         let (store, epoch) = (self.store.clone(), self.epoch);
         let welcome = FromService::Welcome { protocol: PROTOCOL, store, epoch, heartbeat_us: self.heartbeat };
-        self.acts.push(Act::Send(conn, welcome));
+        self.actions.push(Action::Send(conn, welcome));
         self.offer(conn);
-        self.trim();
+        self.forget_oldest_instances();
         Ok(())
     }
 
-    /// A connection has ended.
-    pub fn lost(&mut self, conn: Conn) {
+    /// Handles the end of a connection.
+    pub fn lost(&mut self, conn: ConnectionId) {
         if let Some(stream) = self.streams.remove(&conn)
             && let Some(known) = self.fleet.get_mut(&stream.instance)
         {
-            known.seen.connected = false;
+            known.view.connected = false;
         }
     }
 
-    fn trim(&mut self) {
-        while self.fleet.len() > MOST_INSTANCES {
-            let away = self.fleet.iter().filter(|(_, i)| !i.seen.connected);
-            let Some(oldest) = away.min_by_key(|(_, i)| i.heard_ms).map(|(name, _)| name.clone()) else {
+    /// Forgets the disconnected instances heard least recently, beyond the maximum number.
+    fn forget_oldest_instances(&mut self) {
+        while self.fleet.len() > MAX_INSTANCES {
+            let disconnected = self.fleet.iter().filter(|(_, i)| !i.view.connected);
+            let Some(oldest) = disconnected.min_by_key(|(_, i)| i.heard_ms).map(|(name, _)| name.clone())
+            else {
                 return;
             };
             self.fleet.remove(&oldest);
         }
     }
 
-    /// The number of the version that an instance is to run.
+    /// Returns the number of the version that an instance is to run: the one being rolled out if its wave has begun, or
+    /// else the last complete one.
     pub fn target(&self, instance: &str) -> Option<u64> {
-        let rolling = self.rollout.as_ref().filter(|r| r.covers(&self.plan, instance)).map(|r| r.number);
-        rolling.or(self.complete)
+        let rolling_out = self.rollout.as_ref().filter(|r| r.covers(&self.plan, instance)).map(|r| r.number);
+        rolling_out.or(self.complete)
     }
 
-    /// Offers an instance what it is to run, if it runs something lower and has not turned it down.
-    fn offer(&mut self, conn: Conn) {
-        let Some(stream) = self.streams.get(&conn).filter(|s| s.open.is_none()) else { return };
+    /// Offers an instance its target version, if it runs a lower one and has not refused the target.
+    fn offer(&mut self, conn: ConnectionId) {
+        let Some(stream) = self.streams.get(&conn).filter(|s| s.open_offer.is_none()) else { return };
         let name = stream.instance.clone();
         let Some(number) = self.target(&name) else { return };
         let Some(known) = self.fleet.get_mut(&name) else { return };
-        let Some(snapshot) = self.catalog.snapshot(number, &name, &known.seen.labels) else { return };
+        let Some(snapshot) = self.catalog.snapshot(number, &name, &known.view.labels) else { return };
         let wanted = known.running.is_none_or(|r| r < snapshot.version);
         if !wanted || known.refused.contains_key(&snapshot.version) {
             return;
         }
         known.offered = Some(snapshot.version);
         let Some(stream) = self.streams.get_mut(&conn) else { return };
-        stream.nonce += 1;
-        stream.open = Some((stream.nonce, snapshot.clone()));
+        stream.last_nonce += 1;
+        stream.open_offer = Some((stream.last_nonce, snapshot.clone()));
         let held = snapshot.resources.iter().filter(|(kind, r)| stream.holds.get(kind) == Some(&r.digest));
-        let held = if stream.whole { Vec::new() } else { held.map(|(kind, _)| *kind).collect() };
-        self.acts.push(Act::Offer(conn, stream.nonce, snapshot, held));
+        let held = if stream.send_all { Vec::new() } else { held.map(|(kind, _)| *kind).collect() };
+        self.actions.push(Action::Offer(conn, stream.last_nonce, snapshot, held));
     }
 
     fn offer_all(&mut self) {
-        let conns: Vec<Conn> = self.streams.keys().copied().collect();
+        let conns: Vec<ConnectionId> = self.streams.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.offer(conn));
     }
 
-    /// Sends a sign of life to everybody.
-    pub fn beat(&mut self) {
-        self.acts.extend(self.streams.keys().map(|conn| Act::Send(*conn, FromService::Beat {})));
+    /// Sends a heartbeat to all subscribers.
+    pub fn send_heartbeats(&mut self) {
+        self.actions.extend(self.streams.keys().map(|conn| Action::Send(*conn, FromService::Beat {})));
     }
 
     // ---- Versions ----
 
-    /// Publishes a document that was checked.
-    pub fn publish(&mut self, now: Now, document: Value, at_once: bool) -> Outcome {
-        self.release(now, document, at_once, None)
+    /// Publishes a document, which the caller has validated.
+    pub fn publish(&mut self, now: Timestamp, document: Value, at_once: bool) -> PublishOutcome {
+        self.publish_document(now, document, at_once, None)
     }
 
-    /// Publishes the content of an earlier version again, under a new number, so that numbers only go up.
-    pub fn rollback(&mut self, now: Now, number: u64, at_once: bool) -> Outcome {
-        let Some(old) = self.catalog.get(number) else { return Outcome::Unknown };
+    /// Publishes the content of an earlier version again under a new number, so that numbers only increase.
+    pub fn rollback(&mut self, now: Timestamp, number: u64, at_once: bool) -> PublishOutcome {
+        let Some(old) = self.catalog.get(number) else { return PublishOutcome::Unknown };
         let (document, version) = ((*old.document).clone(), old.version);
-        self.release(now, document, at_once, Some(version))
+        self.publish_document(now, document, at_once, Some(version))
     }
 
-    fn release(&mut self, now: Now, document: Value, at_once: bool, of: Option<Version>) -> Outcome {
+    fn publish_document(
+        &mut self,
+        now: Timestamp,
+        document: Value,
+        at_once: bool,
+        rollback_of: Option<Version>,
+    ) -> PublishOutcome {
         if let Some(epoch) = self.deposed {
-            return Outcome::Deposed(epoch);
+            return PublishOutcome::Deposed(epoch);
         }
-        let Some(mut next) = self.catalog.next(self.epoch, document, of, now.unix_ms) else {
-            return self.catalog.latest().map_or(Outcome::Unknown, |l| Outcome::Same(l.version));
+        let Some(mut next) = self.catalog.next(self.epoch, document, rollback_of, now.unix_ms) else {
+            return self
+                .catalog
+                .latest()
+                .map_or(PublishOutcome::Unknown, |l| PublishOutcome::Same(l.version));
         };
-        (next.at_once, next.rollback_of) = (at_once, of);
+        (next.at_once, next.rollback_of) = (at_once, rollback_of);
         let version = next.version;
-        // One record: a version whose rollout had not begun would never run anywhere.
+        // One record both publishes the version and begins its rollout: if the service were killed between two records,
+        // the version would exist without a rollout and never run anywhere.
         self.commit(now, Record::Published(next));
-        self.acts.push(Act::Tell(json!({"event": "published", "version": version.to_string()})));
+        self.actions.push(Action::Notify(json!({"event": "published", "version": version.to_string()})));
         let used: Vec<u64> = self.complete.into_iter().chain([version.number]).collect();
         self.catalog.trim(&used);
         self.advance(now);
-        Outcome::New(version)
+        PublishOutcome::New(version)
     }
 
-    /// Goes on with a rollout that halted; false if there is none.
-    pub fn resume(&mut self, now: Now) -> bool {
+    /// Resumes a halted rollout; returns false if there is none.
+    pub fn resume(&mut self, now: Timestamp) -> bool {
         let halted = self.rollout.as_ref().filter(|r| matches!(r.phase, Phase::Halted { .. }));
         let Some(number) = halted.map(|r| r.number) else { return false };
         self.commit(now, Record::Resumed { number });
@@ -513,61 +555,61 @@
         true
     }
 
-    /// Moves the rollout on, as far as it goes at this moment.
-    pub fn advance(&mut self, now: Now) {
+    /// Advances the rollout by all transitions that are due now.
+    pub fn advance(&mut self, now: Timestamp) {
         if self.rollout.as_ref().is_none_or(|r| matches!(r.phase, Phase::Done | Phase::Halted { .. })) {
             return;
         }
-        let seen: BTreeMap<String, Seen> =
-            self.fleet.iter().map(|(name, i)| (name.clone(), i.seen.clone())).collect();
+        let views: BTreeMap<String, InstanceView> =
+            self.fleet.iter().map(|(name, i)| (name.clone(), i.view.clone())).collect();
         loop {
             let Some(rollout) = &self.rollout else { return };
             let number = rollout.number;
-            let Some(next) = rollout.next(now.us, &self.plan, &seen) else { return };
-            let told = json!({"event": "rollout", "number": number, "next": match &next {
-                Next::Wave(wave, members) => format!("wave {wave} of {} instances", members.len()),
-                Next::Watch(wave) => format!("wave {wave} runs it and is watched"),
-                Next::Halt(why) => format!("halted: {why}"),
-                Next::Done => "done".to_string(),
+            let Some(next) = rollout.next(now.us, &self.plan, &views) else { return };
+            let event = json!({"event": "rollout", "number": number, "next": match &next {
+                Transition::Wave(wave, members) => format!("wave {wave} of {} instances", members.len()),
+                Transition::Watch(wave) => format!("wave {wave} runs it and is watched"),
+                Transition::Halt(why) => format!("halted: {why}"),
+                Transition::Done => "done".to_string(),
             }, "at_ms": now.unix_ms});
             let record = match next {
-                Next::Wave(wave, members) => Record::Wave { number, wave, members },
-                Next::Watch(wave) => Record::Watching { number, wave },
-                Next::Halt(why) => Record::Halted { number, why },
-                Next::Done => Record::Done { number },
+                Transition::Wave(wave, members) => Record::Wave { number, wave, members },
+                Transition::Watch(wave) => Record::Watching { number, wave },
+                Transition::Halt(why) => Record::Halted { number, why },
+                Transition::Done => Record::Done { number },
             };
             self.commit(now, record);
-            self.acts.push(Act::Tell(told));
+            self.actions.push(Action::Notify(event));
             self.offer_all();
         }
     }
 
-    /// When something is next to be done without a message, in microseconds; later than `now`.
+    /// Returns the next time, after `now`, at which `advance` may have something to do, in microseconds.
     pub fn due(&self, now: u64) -> u64 {
-        let times = match self.rollout.as_ref().map(|r| (&r.phase, r.hold_until)) {
+        let deadlines = match self.rollout.as_ref().map(|r| (&r.phase, r.hold_until)) {
             Some((Phase::Offering { since }, _)) => [since + self.plan.answer, u64::MAX],
             Some((Phase::Watching { until }, hold)) => [*until, hold],
-            Some((Phase::Begun, hold)) => [hold, u64::MAX],
+            Some((Phase::Pending, hold)) => [hold, u64::MAX],
             _ => [u64::MAX; 2],
         };
-        times.into_iter().filter(|at| *at > now).min().unwrap_or(u64::MAX)
+        deadlines.into_iter().filter(|at| *at > now).min().unwrap_or(u64::MAX)
     }
 
-    // ---- What people ask ----
+    // ---- Queries ----
 
-    /// How an instance stands.
+    /// Returns an instance's standing, as shown in the status.
     fn standing(&self, name: &str, instance: &Instance) -> &'static str {
         let target = self.target(name).and_then(|n| self.catalog.get(n)).map(|p| p.version);
         match target {
-            _ if !instance.seen.connected => "away",
+            _ if !instance.view.connected => "away",
             Some(target) if instance.refused.contains_key(&target) => "refused",
             Some(target) if instance.running.is_none_or(|r| r < target) => "lagging",
             _ => "current",
         }
     }
 
-    /// All that is known, for programs.
-    pub fn status(&self, now: Now) -> Value {
+    /// Returns the whole state as JSON.
+    pub fn status(&self, now: Timestamp) -> Value {
         let text = |v: Option<Version>| v.map(|v| v.to_string());
         let instances: Vec<Value> = self
             .fleet
@@ -575,7 +617,7 @@
             .map(|(name, i)| {
                 let refused = i.refused.iter().map(|(v, why)| json!({"version": v.to_string(), "why": why}));
                 let target = self.target(name).and_then(|n| self.catalog.get(n)).map(|p| p.version);
-                json!({"instance": name, "labels": i.seen.labels, "standing": self.standing(name, i),
+                json!({"instance": name, "labels": i.view.labels, "standing": self.standing(name, i),
                     "running": text(i.running), "target": text(target), "offered": text(i.offered),
                     "acked": text(i.acked), "refused": refused.collect::<Vec<_>>(),
                     "heard_ms_ago": now.unix_ms.saturating_sub(i.heard_ms),
@@ -583,10 +625,10 @@
             })
             .collect();
         let rollout = self.rollout.as_ref().map(|r| {
-            let seen = self.fleet.iter().map(|(name, i)| (name.clone(), i.seen.clone())).collect();
-            let Report { changed, refused, unchanged, unknown } = r.report(&seen);
+            let views = self.fleet.iter().map(|(name, i)| (name.clone(), i.view.clone())).collect();
+            let RolloutReport { changed, refused, unchanged, unknown } = r.report(&views);
             let (phase, why) = match &r.phase {
-                Phase::Begun => ("begun", None),
+                Phase::Pending => ("begun", None),
                 Phase::Offering { .. } => ("offering", None),
                 Phase::Watching { .. } => ("watching", None),
                 Phase::Halted { why } => ("halted", Some(why)),
@@ -595,7 +637,7 @@
             let refused: Vec<Value> =
                 refused.into_iter().map(|(n, why)| json!({"instance": n, "why": why})).collect();
             json!({"version": text(self.catalog.get(r.number).map(|p| p.version)), "phase": phase, "why": why,
-                "waves_begun": r.waves.len(), "waves": r.total(&self.plan), "changed": changed,
+                "waves_begun": r.waves.len(), "waves": r.wave_count(&self.plan), "changed": changed,
                 "refused": refused, "unchanged": unchanged, "unknown": unknown})
         });
         let complete = self.complete.and_then(|n| self.catalog.get(n)).map(|p| p.version);
@@ -604,7 +646,7 @@
             "rollout": rollout, "instances": instances})
     }
 
-    /// The published versions, oldest first.
+    /// Returns the published versions as JSON, oldest first.
     pub fn history(&self) -> Value {
         let entry = |p: &Published| {
             let types: BTreeMap<&str, String> =
@@ -616,16 +658,16 @@
         Value::Array(self.catalog.iter().map(entry).collect())
     }
 
-    /// Where each key of what an instance is to run comes from.
+    /// Returns as JSON, for each key of an instance's target version, the value and the layer that sets it.
     pub fn explain(&self, instance: &str) -> Option<Value> {
         let known = self.fleet.get(instance)?;
         let number = self.target(instance)?;
-        let keys = self.catalog.explain(number, instance, &known.seen.labels)?;
+        let keys = self.catalog.explain(number, instance, &known.view.labels)?;
         let keys: Vec<Value> = keys
             .into_iter()
             .map(|(key, (value, layer))| json!({"key": key, "value": value, "layer": layer}))
             .collect();
         let version = self.catalog.get(number).map(|p| p.version.to_string());
-        Some(json!({"instance": instance, "version": version, "labels": known.seen.labels, "keys": keys}))
+        Some(json!({"instance": instance, "version": version, "labels": known.view.labels, "keys": keys}))
     }
 }
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -1,8 +1,8 @@
-//! The service against a fleet of small models: killed after every record that it writes, with answers lost, with
-//! refusals; and what each written outcome looks like.
+//! The service against a fleet of model instances: killed after each record that it writes, with lost answers and with
+//! refusals; and each documented outcome on its own.
 
 use ochreward_control::record::Record;
-use ochreward_control::{Act, Conn, Now, Outcome, Plan, Service};
+use ochreward_control::{Action, ConnectionId, Plan, PublishOutcome, Service, Timestamp};
 use ochreward_stream::wire::{Code, Fault, Health, Hello, PROTOCOL, ToService};
 use ochreward_stream::{Kind, Snapshot, Version};
 use serde_json::{Value, json};
@@ -19,36 +19,38 @@
            "zone": {"b": {"limits": {"sockets": 64}}}})
 }
 
-/// An instance: takes what it is offered, or turns one number down.
+/// A model of an instance: accepts every offer, or rejects one version number.
 #[derive(Clone, Default)]
 struct Model {
     running: Option<Arc<Snapshot>>,
     refuses: Option<u64>,
-    /// Every version that it was ever offered, in order.
+    /// All versions that it was offered, in order.
     offers: Vec<Version>,
 }
 
+/// The service with its log, its instances and their connections.
 struct World {
     service: Service,
-    now: Now,
+    now: Timestamp,
     log: Vec<Record>,
     models: BTreeMap<String, Model>,
-    names: BTreeMap<Conn, String>,
-    next_conn: Conn,
-    /// Records are taken up to this many; what is done after the last one is lost with the service.
-    dies_after: Option<usize>,
-    dead: bool,
+    names: BTreeMap<ConnectionId, String>,
+    next_conn: ConnectionId,
+    /// The service is killed once the log holds this many records; its further records and actions are lost.
+    killed_after: Option<usize>,
+    killed: bool,
 }
 
 impl World {
     fn new(count: usize) -> World {
-        let now = Now { us: 1, unix_ms: 1_000 };
+        let now = Timestamp { us: 1, unix_ms: 1_000 };
         let service = Service::recover(plan(), 100, Vec::new(), now, "s");
         let models = (0..count).map(|i| (format!("n{i:02}"), Model::default())).collect();
         let (log, names) = (Vec::new(), BTreeMap::new());
-        let mut it = World { service, now, log, models, names, next_conn: 0, dies_after: None, dead: false };
-        it.settle();
-        it
+        let mut world =
+            World { service, now, log, models, names, next_conn: 0, killed_after: None, killed: false };
+        world.settle();
+        world
     }
 
     fn connect_all(&mut self) {
@@ -77,39 +79,42 @@
         self.settle();
     }
 
-    /// Carries records and acts, as the server does, until nothing is left, or until it is killed.
+    /// Appends records and carries out actions, as the server does, until none are left or the service is killed.
     fn settle(&mut self) {
         loop {
-            let (records, acts) = self.service.flush();
-            if self.dead || (records.is_empty() && acts.is_empty()) {
+            let (records, actions) = self.service.flush();
+            if self.killed || (records.is_empty() && actions.is_empty()) {
                 return;
             }
             for record in records {
-                if self.dies_after.is_some_and(|most| self.log.len() >= most) {
-                    self.dead = true;
+                if self.killed_after.is_some_and(|most| self.log.len() >= most) {
+                    self.killed = true;
                     return;
                 }
                 self.log.push(record);
             }
-            for act in acts {
-                if let Act::Offer(conn, nonce, snapshot, held) = act {
+            for action in actions {
+                if let Action::Offer(conn, nonce, snapshot, held) = action {
                     self.offered(conn, nonce, snapshot, &held);
                 }
             }
         }
     }
 
-    fn offered(&mut self, conn: Conn, nonce: u64, snapshot: Arc<Snapshot>, held: &[Kind]) {
+    fn offered(&mut self, conn: ConnectionId, nonce: u64, snapshot: Arc<Snapshot>, held: &[Kind]) {
         let Some(model) = self.models.get_mut(&self.names[&conn]) else { return };
         let version = snapshot.version;
-        // Only what it holds is left out.
-        let has = |k: &Kind| {
+        // Only types that the instance holds may be omitted from an offer.
+        let holds = |k: &Kind| {
             model.running.as_ref().is_some_and(|r| {
                 r.resources.get(k).map(|r| &r.digest) == snapshot.resources.get(k).map(|r| &r.digest)
             })
         };
-        assert!(held.iter().all(has));
-        assert!(model.running.as_ref().is_none_or(|r| r.version < version), "offered what it runs");
+        assert!(held.iter().all(holds));
+        assert!(
+            model.running.as_ref().is_none_or(|r| r.version < version),
+            "offered a version that it already runs"
+        );
         model.offers.push(version);
         let answer = if model.refuses == Some(version.number) {
             let faults = vec![Fault { key: "settings".into(), why: "no".into() }];
@@ -121,15 +126,16 @@
         assert_eq!(self.service.received(self.now, conn, answer), Ok(()));
     }
 
-    /// Time passes in small steps, everybody giving signs of life.
-    fn pass(&mut self, steps: u64) {
+    /// Advances the time in small steps, with a heartbeat from each instance at each step.
+    fn advance_steps(&mut self, steps: u64) {
         for _ in 0..steps {
-            if self.dead {
+            if self.killed {
                 return;
             }
             self.now.us += 50;
             self.now.unix_ms += 1;
-            let conns: Vec<(Conn, String)> = self.names.iter().map(|(c, n)| (*c, n.clone())).collect();
+            let conns: Vec<(ConnectionId, String)> =
+                self.names.iter().map(|(c, n)| (*c, n.clone())).collect();
             for (conn, name) in conns {
                 let running = self.models[&name].running.as_ref().map(|r| r.version);
                 let beat = ToService::Beat { running, health: Health::default() };
@@ -140,14 +146,14 @@
         }
     }
 
-    /// Killed, and started again on what was written.
+    /// Starts the service again from the records written before it was killed.
     fn restart(&mut self) {
         self.service = Service::recover(plan(), 100, self.log.clone(), self.now, "other");
-        (self.dies_after, self.dead) = (None, false);
+        (self.killed_after, self.killed) = (None, false);
         self.names.clear();
         self.settle();
-        // Nobody has come back yet: no wave may begin without them.
-        self.pass(2);
+        // No instance has reconnected yet: no wave may begin without them.
+        self.advance_steps(2);
         self.connect_all();
     }
 
@@ -165,40 +171,40 @@
 }
 
 #[test]
-fn killed_after_any_record_a_rollout_goes_on_without_skipping_or_repeating_a_wave() {
-    let play = |dies_after: Option<usize>| {
+fn a_rollout_survives_a_kill_after_any_record_without_skipping_or_repeating_a_wave() {
+    let run = |killed_after: Option<usize>| {
         let mut world = World::new(9);
-        world.dies_after = dies_after;
+        world.killed_after = killed_after;
         world.connect_all();
-        if !world.dead {
+        if !world.killed {
             world.service.publish(world.now, document(1), false);
             world.settle();
         }
-        world.pass(60);
-        if dies_after.is_some() {
-            assert!(world.dead, "{dies_after:?}");
+        world.advance_steps(60);
+        if killed_after.is_some() {
+            assert!(world.killed, "{killed_after:?}");
             world.restart();
-            // Whoever publishes and hears nothing publishes again; the same twice is one version.
+            // A client without a reply publishes again; publishing the same document twice creates one version.
             if world.service.catalog().latest().is_none() {
                 world.service.publish(world.now, document(1), false);
                 world.settle();
             }
-            world.pass(120);
+            world.advance_steps(120);
         }
         world
     };
-    let whole = play(None);
-    assert_eq!(whole.phase(), "done");
-    let records = whole.log.len();
+    let uninterrupted = run(None);
+    assert_eq!(uninterrupted.phase(), "done");
+    let records = uninterrupted.log.len();
     assert!(records > 20, "{records}");
-    for dies_after in 1..records {
-        let world = play(Some(dies_after));
-        assert_eq!(world.phase(), "done", "killed after {dies_after}: {}", world.service.status(world.now));
+    for killed_after in 1..records {
+        let world = run(Some(killed_after));
+        assert_eq!(world.phase(), "done", "killed after {killed_after}: {}", world.service.status(world.now));
         let waves = world.waves(1);
-        assert_eq!(waves.iter().map(|(w, _)| *w).collect::<Vec<_>>(), [0, 1, 2], "{dies_after}");
+        assert_eq!(waves.iter().map(|(w, _)| *w).collect::<Vec<_>>(), [0, 1, 2], "{killed_after}");
         let members: Vec<&String> = waves.iter().flat_map(|(_, m)| m).collect();
-        assert_eq!(members.len(), 9, "{dies_after}");
-        assert_eq!(members.iter().collect::<BTreeSet<_>>().len(), 9, "{dies_after}");
+        assert_eq!(members.len(), 9, "{killed_after}");
+        assert_eq!(members.iter().collect::<BTreeSet<_>>().len(), 9, "{killed_after}");
         for (name, model) in &world.models {
             assert_eq!(model.running.as_ref().map(|r| r.version.number), Some(1), "{name}");
         }
@@ -206,17 +212,17 @@
 }
 
 #[test]
-fn what_condensed_records_say_is_what_all_of_them_said() {
+fn compacted_records_restore_the_same_state_as_all_records() {
     let mut world = World::new(6);
     world.connect_all();
     for n in 1..4 {
         world.service.publish(world.now, document(n), n == 1);
         world.settle();
-        world.pass(if n == 3 { 1 } else { 60 });
+        world.advance_steps(if n == 3 { 1 } else { 60 });
     }
     let status = |records: Vec<Record>| {
         let mut status = Service::recover(plan(), 100, records, world.now, "x").status(world.now);
-        // Only what a stream told is gone.
+        // The time of the last message on a stream is not recorded.
         status["instances"]
             .as_array_mut()
             .expect("instances")
@@ -224,17 +230,17 @@
             .for_each(|i| i["heard_ms_ago"] = json!(0));
         status
     };
-    assert_eq!(status(world.log.clone()), status(world.service.condensed()));
+    assert_eq!(status(world.log.clone()), status(world.service.snapshot_records()));
 }
 
 #[test]
-fn a_refusal_halts_it_says_who_changed_and_resume_leaves_it_aside() {
+fn a_refusal_halts_the_rollout_and_resuming_excludes_the_instance() {
     let mut world = World::new(8);
     world.connect_all();
     world.models.get_mut("n05").expect("one").refuses = Some(1);
     world.service.publish(world.now, document(1), false);
     world.settle();
-    world.pass(60);
+    world.advance_steps(60);
     let status = world.service.status(world.now);
     let rollout = &status["rollout"];
     assert_eq!(rollout["phase"], "halted");
@@ -246,26 +252,26 @@
     assert_eq!(count("changed"), running);
     assert!(world.service.resume(world.now));
     world.settle();
-    world.pass(60);
+    world.advance_steps(60);
     assert_eq!(world.phase(), "done");
-    assert_eq!(world.models["n05"].offers.len(), 1, "what was refused is not offered again");
+    assert_eq!(world.models["n05"].offers.len(), 1, "a refused version is not offered again");
     assert_eq!(world.models.values().filter(|m| m.running.is_some()).count(), 7);
 }
 
 #[test]
-fn a_rollback_is_a_new_number_with_the_old_content_and_only_what_differs_is_sent() {
+fn a_rollback_publishes_the_old_content_under_a_new_number() {
     let mut world = World::new(3);
     world.connect_all();
     for n in 1..=2 {
         world.service.publish(world.now, document(n), true);
         world.settle();
-        world.pass(20);
+        world.advance_steps(20);
     }
-    assert_eq!(world.service.publish(world.now, document(2), true), Outcome::Same(Version::new(1, 2)));
-    assert_eq!(world.service.rollback(world.now, 9, true), Outcome::Unknown);
-    assert_eq!(world.service.rollback(world.now, 1, true), Outcome::New(Version::new(1, 3)));
+    assert_eq!(world.service.publish(world.now, document(2), true), PublishOutcome::Same(Version::new(1, 2)));
+    assert_eq!(world.service.rollback(world.now, 9, true), PublishOutcome::Unknown);
+    assert_eq!(world.service.rollback(world.now, 1, true), PublishOutcome::New(Version::new(1, 3)));
     world.settle();
-    world.pass(20);
+    world.advance_steps(20);
     for model in world.models.values() {
         let text = model.running.as_ref().map(|r| r.resources[&Kind::Settings].text.to_string());
         assert_eq!(text.as_deref(), Some("{\"limits\":{\"max_open\":1}}"));
@@ -276,15 +282,15 @@
 }
 
 #[test]
-fn an_answer_that_was_lost_with_its_connection_is_made_up_for_by_the_next_hello() {
+fn an_answer_lost_with_its_connection_is_recovered_from_the_next_hello() {
     let mut world = World::new(2);
     world.connect_all();
     world.service.publish(world.now, document(1), true);
-    // The offers reach the instances, their answers nobody.
-    let (records, acts) = world.service.flush();
+    // The offers reach the instances, but their answers are lost.
+    let (records, actions) = world.service.flush();
     world.log.extend(records);
-    for act in acts {
-        if let Act::Offer(conn, _, snapshot, _) = act {
+    for action in actions {
+        if let Action::Offer(conn, _, snapshot, _) = action {
             let name = world.names[&conn].clone();
             world.models.get_mut(&name).expect("one").running = Some(snapshot);
             world.service.lost(conn);
@@ -293,13 +299,13 @@
     assert_eq!(world.phase(), "offering");
     world.names.clear();
     world.connect_all();
-    world.pass(20);
+    world.advance_steps(20);
     assert_eq!(world.phase(), "done");
     assert!(world.models.values().all(|m| m.offers.is_empty()));
 }
 
 #[test]
-fn a_subscriber_that_followed_a_higher_epoch_deposes_this_service() {
+fn a_subscriber_that_followed_a_higher_epoch_deposes_the_service() {
     let mut world = World::new(0);
     let hello = Hello {
         protocol: PROTOCOL,
@@ -312,7 +318,7 @@
         refused: Vec::new(),
     };
     assert!(world.service.received(world.now, 1, ToService::Hello(hello.clone())).is_err());
-    assert_eq!(world.service.publish(world.now, document(1), true), Outcome::Deposed(7));
+    assert_eq!(world.service.publish(world.now, document(1), true), PublishOutcome::Deposed(7));
     let other = Hello { protocol: PROTOCOL + 1, epoch: 0, ..hello };
     assert!(world.service.received(world.now, 2, ToService::Hello(other)).is_err());
     assert!(
@@ -324,33 +330,38 @@
 }
 
 #[test]
-fn a_later_connection_of_an_instance_takes_the_place_of_a_half_open_one() {
+fn a_new_connection_of_an_instance_replaces_a_half_open_one() {
     let mut world = World::new(1);
     world.connect("n00");
     let first = world.next_conn;
     world.connect("n00");
-    assert!(!world.service.knows(first) && world.service.knows(world.next_conn));
-    // The end of the first changes nothing for the second.
+    assert!(!world.service.is_subscriber(first) && world.service.is_subscriber(world.next_conn));
+    // The end of the first connection does not affect the second.
     world.service.lost(first);
     assert_eq!(world.service.status(world.now)["instances"][0]["standing"], "current");
 }
 
 #[test]
-fn a_gap_is_answered_with_everything_and_no_refusal() {
+fn a_gap_is_answered_with_all_types_and_not_recorded_as_a_refusal() {
     let mut world = World::new(1);
     world.connect("n00");
     world.service.publish(world.now, document(1), true);
-    let (_, acts) = world.service.flush();
-    let offer = |acts: Vec<Act>| {
-        acts.into_iter()
-            .find_map(|a| if let Act::Offer(c, n, s, held) = a { Some((c, n, s, held)) } else { None })
+    let (_, actions) = world.service.flush();
+    let offer = |actions: Vec<Action>| {
+        actions.into_iter().find_map(|action| {
+            if let Action::Offer(conn, nonce, snapshot, held) = action {
+                Some((conn, nonce, snapshot, held))
+            } else {
+                None
+            }
+        })
     };
-    let (conn, nonce, snapshot, _) = offer(acts).expect("an offer");
+    let (conn, nonce, snapshot, _) = offer(actions).expect("an offer");
     let nack = ToService::Nack { nonce, version: snapshot.version, code: Code::Gap, faults: Vec::new() };
     assert_eq!(world.service.received(world.now, conn, nack.clone()), Ok(()));
-    let (records, acts) = world.service.flush();
+    let (records, actions) = world.service.flush();
     assert!(!records.iter().any(|r| matches!(r, Record::Answered { .. })));
-    let (_, again, _, held) = offer(acts).expect("a second offer");
+    let (_, again, _, held) = offer(actions).expect("a second offer");
     assert!(again > nonce && held.is_empty());
     assert!(world.service.received(world.now, conn, nack).is_err(), "an answer to no offer");
 }
