--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -1,7 +1,8 @@
-//! The exchange over TCP: one member asks another for all that it knows of executors, at the address at which it is heard.
+//! State exchange over TCP: a member requests another member's state snapshot at its membership address.
 //!
-//! One line each way, then the connection ends. Few connections, each bounded in bytes and time; what is asked for is made
-//! once a second at the most, whoever asks, so that no peer can take the loop's time.
+//! A connection carries one line each way and is then closed. Connections are few and bounded in bytes and time. The
+//! snapshot is built at most once a second regardless of the number of requests, so that peers cannot use up the loop's
+//! time.
 
 use crate::net::{Accepted, Callbacks, Link, Listener, Malformed, Poll, Ready, Ring, Token};
 use slab::Slab;
@@ -9,27 +10,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The largest word, in bytes.
-pub const MOST_WORD: usize = 4 << 20;
-/// The longest question.
-const MOST_QUESTION: usize = 256;
-/// Connections at a time: those that ask here, and those asked.
-const MOST_CALLERS: usize = 8;
-/// A whole exchange takes this long at the most.
-const PATIENCE: u64 = 2_000_000;
-/// A word is used for all that ask within this time.
-const KEPT: u64 = 1_000_000;
-const GREETING: &str = "ochreward exchange 1";
-
-/// Reads one line.
+/// Maximum size of a reply.
+const MAX_REPLY_BYTES: usize = 4 << 20;
+/// Maximum size of a request line.
+const MAX_REQUEST_BYTES: usize = 256;
+/// Maximum concurrent incoming connections.
+const MAX_INCOMING: usize = 8;
+/// Time limit for a whole exchange.
+const EXCHANGE_TIMEOUT_US: u64 = 2_000_000;
+/// Time for which a reply is reused for further requests.
+const REPLY_REUSE_US: u64 = 1_000_000;
+/// Start of each request line; the group and the sender's name follow.
+const REQUEST_PREFIX: &str = "ochreward exchange 1";
+
+/// Reads one line and discards everything after it.
 #[derive(Default)]
-struct Line {
+struct LineReader {
     done: bool,
-    /// Bytes that were looked through for its end.
+    /// Number of buffered bytes already searched for the line end.
     scanned: usize,
 }
 
-impl Callbacks for Line {
+impl Callbacks for LineReader {
     type Out = Vec<Vec<u8>>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
@@ -51,159 +53,166 @@
 }
 
 enum Role {
-    /// It asks here; whether it has been answered.
-    Caller { answered: bool },
-    /// It was asked: this member.
-    Asked(Arc<str>),
+    /// A member requests a snapshot from this one.
+    Incoming { answered: bool },
+    /// This member requests a snapshot from the named one.
+    Outgoing(Arc<str>),
 }
 
 struct Connection {
-    link: Link<Line>,
+    link: Link<LineReader>,
     role: Role,
-    since: u64,
+    opened_at: u64,
 }
 
-/// What came of an exchange that was begun here.
+/// The result of an outgoing request: the member asked and its reply, if one arrived.
 pub type Outcome = (Arc<str>, Option<Vec<u8>>);
 
-/// The connections.
+/// The listener, the open exchanges and the reply shared by incoming requests.
 pub struct Exchange {
     owner: u8,
     group: String,
     listener: Listener,
     connections: Slab<Connection>,
-    /// Callers that wait for the word.
+    /// Incoming connections that wait for the reply.
     waiting: Vec<Token>,
-    word: Option<(u64, Vec<u8>)>,
-    /// What came of those begun here.
+    /// The last reply and the time at which it was made.
+    cached_reply: Option<(u64, Vec<u8>)>,
+    /// Results of outgoing requests that the host has not taken yet.
     pub outcomes: Vec<Outcome>,
 }
 
 impl Exchange {
-    /// Listens on the address.
+    /// Starts to listen on the address.
     pub fn new(poll: &mut Poll, owner: u8, address: SocketAddr, group: &str) -> io::Result<Exchange> {
         let listener = Listener::bind(poll, owner, address)?;
         let (connections, waiting, outcomes) = (Slab::new(), Vec::new(), Vec::new());
         let group = group.replace(char::is_whitespace, "_");
-        Ok(Exchange { owner, group, listener, connections, waiting, word: None, outcomes })
+        Ok(Exchange { owner, group, listener, connections, waiting, cached_reply: None, outcomes })
     }
 
-    /// Asks a member, at its address; what comes of it is told in `outcomes`.
-    pub fn ask(&mut self, poll: &mut Poll, now: u64, own: &str, member: &Arc<str>, to: SocketAddr) {
+    /// Requests a snapshot from a member; the result is added to `outcomes`.
+    pub fn request(&mut self, poll: &mut Poll, now: u64, own: &str, member: &Arc<str>, to: SocketAddr) {
         let entry = self.connections.vacant_entry();
         let token = poll.token(self.owner, entry.key());
-        let question = format!("{GREETING} {} {own}\n", self.group);
-        let link = Link::connect(poll, to, token, Line::default(), (MOST_WORD, MOST_QUESTION));
-        let asked = link.ok().and_then(|mut link| link.io.queue(question.as_bytes()).then_some(link));
-        if let Some(link) = asked {
-            entry.insert(Connection { link, role: Role::Asked(member.clone()), since: now });
+        let request = format!("{REQUEST_PREFIX} {} {own}\n", self.group);
+        let link =
+            Link::connect(poll, to, token, LineReader::default(), (MAX_REPLY_BYTES, MAX_REQUEST_BYTES));
+        let connected = link.ok().and_then(|mut link| link.io.queue(request.as_bytes()).then_some(link));
+        if let Some(link) = connected {
+            entry.insert(Connection { link, role: Role::Outgoing(member.clone()), opened_at: now });
         } else {
             self.outcomes.push((member.clone(), None));
         }
     }
 
-    /// Handles what happened to a descriptor.
+    /// Handles a readiness event of the listener or a connection.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         if self.listener.is(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
-        let Some(c) = self.connections.get_mut(slot).filter(|c| c.link.io.token() == ready.token) else {
+        let Some(connection) = self.connections.get_mut(slot).filter(|c| c.link.io.token() == ready.token)
+        else {
             return;
         };
         let mut lines = Vec::new();
-        let result = c.link.ready(poll, ready, &mut lines);
+        let result = connection.link.ready(poll, ready, &mut lines);
         let line = lines.pop();
-        let (ended, sent) = (c.link.io.ended, c.link.io.unsent() == 0);
-        match c.role {
-            Role::Asked(_) => {
+        let (ended, sent) = (connection.link.io.ended, connection.link.io.unsent() == 0);
+        match connection.role {
+            Role::Outgoing(_) => {
                 if line.is_some() || result.is_err() || ended {
                     self.close(slot, line);
                 }
             }
-            Role::Caller { answered } => {
-                let greeted = line.as_deref().is_some_and(|l| self.greets(l));
-                let over = result.is_err() || (ended && (sent || !answered));
-                if greeted && result.is_ok() {
+            Role::Incoming { answered } => {
+                let valid = line.as_deref().is_some_and(|l| self.is_valid_request(l));
+                let finished = result.is_err() || (ended && (sent || !answered));
+                if valid && result.is_ok() {
                     self.waiting.push(ready.token);
-                } else if over || line.is_some() {
+                } else if finished || line.is_some() {
                     self.close(slot, None);
                 }
             }
         }
     }
 
-    /// Whether a question is one of this group.
-    fn greets(&self, line: &[u8]) -> bool {
+    /// Returns whether a line is a request from a named member of this group.
+    fn is_valid_request(&self, line: &[u8]) -> bool {
         let text = std::str::from_utf8(line).unwrap_or_default();
-        let rest = text.strip_prefix(GREETING).and_then(|r| r.strip_prefix(' '));
+        let rest = text.strip_prefix(REQUEST_PREFIX).and_then(|r| r.strip_prefix(' '));
         rest.and_then(|r| r.split_once(' '))
             .is_some_and(|(group, name)| group == self.group && !name.is_empty())
     }
 
     fn accept(&mut self, poll: &mut Poll, now: u64) {
         while let Accepted::One(fd) = self.listener.accept() {
-            let callers =
-                self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Caller { .. })).count();
-            // One too many is closed at once, and asks another.
-            if callers >= MOST_CALLERS {
+            let incoming =
+                self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Incoming { .. })).count();
+            // A connection over the limit is closed at once; its sender then asks another member.
+            if incoming >= MAX_INCOMING {
                 continue;
             }
             let entry = self.connections.vacant_entry();
             let token = poll.token(self.owner, entry.key());
-            if let Ok(link) = Link::accepted(poll, fd, token, Line::default(), (MOST_QUESTION, MOST_WORD)) {
-                entry.insert(Connection { link, role: Role::Caller { answered: false }, since: now });
+            let limits = (MAX_REQUEST_BYTES, MAX_REPLY_BYTES);
+            if let Ok(link) = Link::accepted(poll, fd, token, LineReader::default(), limits) {
+                entry.insert(Connection { link, role: Role::Incoming { answered: false }, opened_at: now });
             }
         }
     }
 
-    /// Whether somebody waits for the word, and it has to be made.
-    pub fn wants_word(&mut self, poll: &Poll, now: u64) -> bool {
-        let kept = self.word.take_if(|(at, _)| now >= *at + KEPT).is_none() && self.word.is_some();
-        if kept && !self.waiting.is_empty() {
-            self.answer(poll);
+    /// Returns whether a request waits and a new reply has to be made. Requests that a recent reply can answer are
+    /// answered at once.
+    pub fn wants_reply(&mut self, poll: &Poll, now: u64) -> bool {
+        let expired = self.cached_reply.take_if(|(at, _)| now >= *at + REPLY_REUSE_US).is_some();
+        let reusable = !expired && self.cached_reply.is_some();
+        if reusable && !self.waiting.is_empty() {
+            self.send_reply(poll);
         }
         !self.waiting.is_empty()
     }
 
-    /// The word, for all that wait.
-    pub fn give(&mut self, poll: &Poll, now: u64, mut word: Vec<u8>) {
-        word.push(b'\n');
-        self.word = Some((now, word));
-        self.answer(poll);
+    /// Sends a new reply to all waiting requests and keeps it for further ones.
+    pub fn reply(&mut self, poll: &Poll, now: u64, mut reply: Vec<u8>) {
+        reply.push(b'\n');
+        self.cached_reply = Some((now, reply));
+        self.send_reply(poll);
     }
 
-    fn answer(&mut self, poll: &Poll) {
-        let Some((_, word)) = &self.word else { return };
+    fn send_reply(&mut self, poll: &Poll) {
+        let Some((_, reply)) = &self.cached_reply else { return };
         for token in std::mem::take(&mut self.waiting) {
             let slot = token.slot as usize;
-            let Some(c) = self.connections.get_mut(slot).filter(|c| c.link.io.token() == token) else {
+            let Some(connection) = self.connections.get_mut(slot).filter(|c| c.link.io.token() == token)
+            else {
                 continue;
             };
-            c.role = Role::Caller { answered: true };
-            if !c.link.io.queue(word) || c.link.flush(poll).is_err() {
+            connection.role = Role::Incoming { answered: true };
+            if !connection.link.io.queue(reply) || connection.link.flush(poll).is_err() {
                 self.connections.remove(slot);
             }
         }
     }
 
-    /// Ends what takes too long.
+    /// Closes connections that have exceeded the time limit.
     pub fn advance(&mut self, now: u64) {
-        let late = |c: &Connection| now >= c.since + PATIENCE;
-        let over: Vec<usize> =
-            self.connections.iter().filter(|(_, c)| late(c)).map(|(slot, _)| slot).collect();
-        over.into_iter().for_each(|slot| self.close(slot, None));
+        let timed_out = |c: &Connection| now >= c.opened_at + EXCHANGE_TIMEOUT_US;
+        let slots: Vec<usize> =
+            self.connections.iter().filter(|(_, c)| timed_out(c)).map(|(slot, _)| slot).collect();
+        slots.into_iter().for_each(|slot| self.close(slot, None));
     }
 
-    /// When `advance` next has something to do.
+    /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> u64 {
-        self.connections.iter().map(|(_, c)| c.since + PATIENCE).min().unwrap_or(u64::MAX)
+        self.connections.iter().map(|(_, c)| c.opened_at + EXCHANGE_TIMEOUT_US).min().unwrap_or(u64::MAX)
     }
 
-    fn close(&mut self, slot: usize, word: Option<Vec<u8>>) {
-        let Some(gone) = self.connections.try_remove(slot) else { return };
-        if let Role::Asked(member) = gone.role {
-            self.outcomes.push((member, word));
+    fn close(&mut self, slot: usize, reply: Option<Vec<u8>>) {
+        let Some(connection) = self.connections.try_remove(slot) else { return };
+        if let Role::Outgoing(member) = connection.role {
+            self.outcomes.push((member, reply));
         }
     }
 }
--- a/src/peers/hints.rs
+++ b/src/peers/hints.rs
@@ -1,169 +1,178 @@
-//! What one dispatcher sees of an executor on its own sockets, told to the others as a hint: it makes them look, and bans
-//! nobody. Decisions and state, without I/O, the clock passed in.
+//! Hints of executor failures that a dispatcher observes on its own sockets and gossips to its peers. A hint makes the
+//! receiver probe the executor; it never bans one. The module makes decisions and keeps state without I/O; the clock is
+//! passed in. Tables, note sizes and the rate of probes are bounded.
 //!
-//! Spread as a rumour that dies out (Demers and others: "Epidemic Algorithms for Replicated Database Maintenance", PODC
-//! 1987, section 1.4): whoever hears one passes it on for some rounds, each time to a few others drawn anew.
+//! Hints spread by rumour mongering (Demers and others: "Epidemic Algorithms for Replicated Database Maintenance", PODC
+//! 1987, section 1.4): each receiver passes a rumour on for a number of rounds, each time to a few randomly drawn peers.
 
 use crate::api::{Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The channel of the membership's notes.
+/// Channel of hints among the membership's notes.
 pub const CHANNEL: u8 = 1;
-/// Others that a hint is passed on to in a round.
+/// Number of peers to which a hint is passed on in a round.
 pub const FANOUT: usize = 3;
 
-/// A round takes this long.
-const ROUND: Micros = 50_000;
-/// What is seen of one executor within this time is one event.
-const SAME: Micros = 1_000_000;
-/// What is older is told and heard no more.
-const STALE: Micros = 10_000_000;
-/// Executors of which something is kept.
-const MOST: usize = 1_024;
-/// The longest id that is told.
-const MOST_ID: usize = 128;
-/// Bytes of one note.
-const MOST_BYTES: usize = 800;
-/// Looks that may be made at once, and how long one takes to be allowed again. Danger: a peer that lies would have every
-/// dispatcher connect to every executor.
-const LOOKS: u32 = 16;
-const LOOK_EVERY: Micros = 100_000;
-/// One executor is looked at no more often than this, but for the second look.
-const LOOK_AGAIN: Micros = 5_000_000;
-/// A refused look is made once more after this: one refusal may be a full queue.
-const AGAIN: Micros = 300_000;
-
-/// A hint on its way.
+/// Interval between two rounds of gossip.
+const ROUND_US: Micros = 50_000;
+/// Failures of one executor within this time count as one event.
+const SAME_EVENT_US: Micros = 1_000_000;
+/// Age from which a hint is neither sent nor accepted.
+const MAX_HINT_AGE_US: Micros = 10_000_000;
+/// Maximum number of executors for which a rumour is kept.
+const MAX_RUMOURS: usize = 1_024;
+/// Maximum length of an executor id in a hint.
+const MAX_ID_BYTES: usize = 128;
+/// Maximum size of one note.
+const MAX_NOTE_BYTES: usize = 800;
+/// Burst size of the limit on probes. Without the limit, a peer that sends false hints could make every dispatcher connect
+/// to every executor.
+const PROBE_BURST: u32 = 16;
+/// Time after which the limit on probes allows one more.
+const PROBE_REFILL_US: Micros = 100_000;
+/// Minimum interval between two probes of one executor, except for the retry of a refused one.
+const PROBE_INTERVAL_US: Micros = 5_000_000;
+/// Delay before the one retry of a refused probe; a single refusal may be due to a full accept queue.
+const PROBE_RETRY_US: Micros = 300_000;
+
+/// One hint as sent in a note.
 #[derive(Debug, Serialize, Deserialize)]
-struct Told {
+struct HintEntry {
     worker: WorkerId,
     age_ms: u32,
 }
 
+/// A failure of one executor that is being gossiped.
 struct Rumour {
-    at: Micros,
-    /// Rounds in which it is still passed on.
-    left: u32,
-    /// When it was last looked at, and how often for that.
-    looked: Option<Micros>,
-    looks: u8,
+    /// Time at which the failure was observed.
+    observed_at: Micros,
+    /// Number of rounds in which it is still passed on.
+    rounds_left: u32,
+    /// Time of the last probe that was not a retry.
+    probed_at: Option<Micros>,
+    /// Number of probes since then, including that one and its retry.
+    probes: u8,
 }
 
-/// Hints that were seen or heard, and the looks that come of them.
+/// Rumours observed here or received from peers, and the limits on the probes that they cause.
 #[derive(Default)]
 pub struct Hints {
     rumours: BTreeMap<WorkerId, Rumour>,
     next_round: Micros,
-    /// Looks in hand, and since when they come back.
-    looks: u32,
-    looks_at: Micros,
-    /// Looks to be made again.
-    again: VecDeque<(Micros, WorkerId)>,
+    /// Probes that may be made now, and the time up to which the allowance has been refilled.
+    probe_tokens: u32,
+    refilled_at: Micros,
+    /// Refused probes to be retried, by time.
+    retries: VecDeque<(Micros, WorkerId)>,
 }
 
 impl Hints {
-    /// None yet.
+    /// Creates an empty state with a full allowance of probes.
     pub fn new(now: Micros) -> Hints {
-        Hints { looks: LOOKS, looks_at: now, ..Hints::default() }
+        Hints { probe_tokens: PROBE_BURST, refilled_at: now, ..Hints::default() }
     }
 
-    /// Something was seen here that tells of a death; true if it is news, and will be told.
-    pub fn seen(&mut self, now: Micros, worker: &WorkerId, others: usize) -> bool {
-        self.learn(now, now, worker, others)
+    /// Records a failure observed here. Returns whether it is a new event, which is then gossiped.
+    pub fn observe(&mut self, now: Micros, worker: &WorkerId, others: usize) -> bool {
+        self.record(now, now, worker, others)
     }
 
-    /// Takes what another tells; the executors of which that is news.
-    pub fn heard(&mut self, now: Micros, bytes: &[u8], others: usize) -> Vec<WorkerId> {
-        let told: Vec<Told> = postcard::from_bytes(bytes).unwrap_or_default();
-        let at = |age_ms: u32| now.saturating_sub(u64::from(age_ms) * 1_000);
-        told.into_iter()
-            .filter(|t| self.learn(now, at(t.age_ms), &t.worker, others))
-            .map(|t| t.worker)
+    /// Takes a note from a peer. Returns the executors of which it reports a new event.
+    pub fn receive(&mut self, now: Micros, bytes: &[u8], others: usize) -> Vec<WorkerId> {
+        let entries: Vec<HintEntry> = postcard::from_bytes(bytes).unwrap_or_default();
+        let observed_at = |age_ms: u32| now.saturating_sub(u64::from(age_ms) * 1_000);
+        entries
+            .into_iter()
+            .filter(|e| self.record(now, observed_at(e.age_ms), &e.worker, others))
+            .map(|e| e.worker)
             .collect()
     }
 
-    fn learn(&mut self, now: Micros, at: Micros, worker: &WorkerId, others: usize) -> bool {
-        let known = self.rumours.get(worker).is_some_and(|r| at < r.at + SAME);
-        if known || at + STALE <= now || worker.is_empty() || worker.len() > MOST_ID {
+    fn record(&mut self, now: Micros, observed_at: Micros, worker: &WorkerId, others: usize) -> bool {
+        let known = self.rumours.get(worker).is_some_and(|r| observed_at < r.observed_at + SAME_EVENT_US);
+        let stale = observed_at + MAX_HINT_AGE_US <= now;
+        if known || stale || worker.is_empty() || worker.len() > MAX_ID_BYTES {
             return false;
         }
-        if self.rumours.len() >= MOST && !self.rumours.contains_key(worker) {
-            let oldest = self.rumours.iter().min_by_key(|(_, r)| r.at).map(|(w, _)| w.clone());
+        if self.rumours.len() >= MAX_RUMOURS && !self.rumours.contains_key(worker) {
+            let oldest = self.rumours.iter().min_by_key(|(_, r)| r.observed_at).map(|(w, _)| w.clone());
             if let Some(worker) = oldest {
                 self.rumours.remove(&worker);
             }
         }
-        // Reaches all but surely: each round multiplies those that know by up to one more than the fan-out.
-        let left = (others + 1).ilog2() + 2;
-        if self.rumours.values().all(|r| r.left == 0) {
+        // Almost always enough to reach all members: a round multiplies the number of informed members by up to one more
+        // than the fan-out.
+        let rounds_left = (others + 1).ilog2() + 2;
+        if self.rumours.values().all(|r| r.rounds_left == 0) {
             self.next_round = now;
         }
-        let (looked, looks) = self.rumours.get(worker).map_or((None, 0), |r| (r.looked, r.looks));
-        self.rumours.insert(worker.clone(), Rumour { at, left, looked, looks });
+        let (probed_at, probes) = self.rumours.get(worker).map_or((None, 0), |r| (r.probed_at, r.probes));
+        self.rumours.insert(worker.clone(), Rumour { observed_at, rounds_left, probed_at, probes });
         true
     }
 
-    /// Whether a look at an executor may be made now; it is counted. Danger: each look at one that stays dead would be seen, told,
-    /// and looked at again by all, without end.
-    pub fn may_look(&mut self, now: Micros, worker: &WorkerId) -> bool {
+    /// Returns whether an executor may be probed now, and counts the probe. Without the interval per executor, each probe of
+    /// one that stays down would be observed, gossiped and repeated by all members without end.
+    pub fn may_probe(&mut self, now: Micros, worker: &WorkerId) -> bool {
         if let Some(rumour) = self.rumours.get_mut(worker) {
-            if rumour.looked.is_some_and(|at| now < at + LOOK_AGAIN) {
+            if rumour.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL_US) {
                 return false;
             }
-            (rumour.looked, rumour.looks) = (Some(now), 1);
+            (rumour.probed_at, rumour.probes) = (Some(now), 1);
         }
-        let back = now.saturating_sub(self.looks_at) / LOOK_EVERY;
-        self.looks = (u64::from(self.looks) + back).min(u64::from(LOOKS)) as u32;
-        self.looks_at = if self.looks == LOOKS { now } else { self.looks_at + back * LOOK_EVERY };
-        let may = self.looks > 0;
-        self.looks -= u32::from(may);
-        may
+        let refill = now.saturating_sub(self.refilled_at) / PROBE_REFILL_US;
+        self.probe_tokens = (u64::from(self.probe_tokens) + refill).min(u64::from(PROBE_BURST)) as u32;
+        let full = self.probe_tokens == PROBE_BURST;
+        self.refilled_at = if full { now } else { self.refilled_at + refill * PROBE_REFILL_US };
+        let allowed = self.probe_tokens > 0;
+        self.probe_tokens -= u32::from(allowed);
+        allowed
     }
 
-    /// A look was refused: it is made again, once.
-    pub fn refused(&mut self, now: Micros, worker: &WorkerId) {
-        if let Some(rumour) = self.rumours.get_mut(worker).filter(|r| r.looks == 1)
-            && self.again.len() < MOST
+    /// Records that a probe was refused, and schedules its one retry.
+    pub fn probe_refused(&mut self, now: Micros, worker: &WorkerId) {
+        if let Some(rumour) = self.rumours.get_mut(worker).filter(|r| r.probes == 1)
+            && self.retries.len() < MAX_RUMOURS
         {
-            rumour.looks = 2;
-            self.again.push_back((now + AGAIN, worker.clone()));
+            rumour.probes = 2;
+            self.retries.push_back((now + PROBE_RETRY_US, worker.clone()));
         }
     }
 
-    /// An executor that is to be looked at again now.
-    pub fn look_again(&mut self, now: Micros) -> Option<WorkerId> {
-        self.again.pop_front_if(|(at, _)| *at <= now).map(|(_, worker)| worker)
+    /// Returns an executor whose refused probe is to be retried now.
+    pub fn next_retry(&mut self, now: Micros) -> Option<WorkerId> {
+        self.retries.pop_front_if(|(at, _)| *at <= now).map(|(_, worker)| worker)
     }
 
-    /// When something is next to be done.
+    /// Returns the time of the next round or retry.
     pub fn due(&self) -> Micros {
-        let round = self.rumours.values().any(|r| r.left > 0).then_some(self.next_round);
-        round.into_iter().chain(self.again.front().map(|(at, _)| *at)).min().unwrap_or(Micros::MAX)
+        let round = self.rumours.values().any(|r| r.rounds_left > 0).then_some(self.next_round);
+        round.into_iter().chain(self.retries.front().map(|(at, _)| *at)).min().unwrap_or(Micros::MAX)
     }
 
-    /// What is to be told to [`FANOUT`] others now, if anything.
-    pub fn round(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if now < self.next_round || self.rumours.values().all(|r| r.left == 0) {
+    /// Returns the note to be sent to [`FANOUT`] peers now, if a round is due and there are rumours to pass on.
+    pub fn next_note(&mut self, now: Micros) -> Option<Vec<u8>> {
+        if now < self.next_round || self.rumours.values().all(|r| r.rounds_left == 0) {
             return None;
         }
-        self.next_round = now + ROUND;
-        self.rumours.retain(|_, r| r.at + STALE > now);
-        let mut fresh: Vec<(&WorkerId, &mut Rumour)> =
-            self.rumours.iter_mut().filter(|(_, r)| r.left > 0).collect();
-        // The least told goes first.
-        fresh.sort_by_key(|(_, r)| u32::MAX - r.left);
-        let (mut told, mut bytes) = (Vec::new(), 2);
-        for (worker, rumour) in fresh {
+        self.next_round = now + ROUND_US;
+        self.rumours.retain(|_, r| r.observed_at + MAX_HINT_AGE_US > now);
+        let mut active: Vec<(&WorkerId, &mut Rumour)> =
+            self.rumours.iter_mut().filter(|(_, r)| r.rounds_left > 0).collect();
+        // Rumours with the most rounds left, hence the least widely spread, go first.
+        active.sort_by_key(|(_, r)| u32::MAX - r.rounds_left);
+        let (mut entries, mut bytes) = (Vec::new(), 2);
+        for (worker, rumour) in active {
             bytes += worker.len() + 7;
-            if bytes > MOST_BYTES {
+            if bytes > MAX_NOTE_BYTES {
                 break;
             }
-            rumour.left -= 1;
-            let age_ms = (now.saturating_sub(rumour.at) / 1_000) as u32;
-            told.push(Told { worker: worker.clone(), age_ms });
+            rumour.rounds_left -= 1;
+            let age_ms = (now.saturating_sub(rumour.observed_at) / 1_000) as u32;
+            entries.push(HintEntry { worker: worker.clone(), age_ms });
         }
-        postcard::to_stdvec(&told).ok().filter(|_| !told.is_empty())
+        postcard::to_stdvec(&entries).ok().filter(|_| !entries.is_empty())
     }
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,8 +1,9 @@
-//! The other dispatchers of a group: the membership's packets over UDP, and what it says to the rest of the program.
+//! Communication with the other dispatchers of a group: runs the membership protocol over UDP, gossips hints of executor
+//! failures, and hands state to late starters over TCP.
 //!
-//! Off without `[peers]` in an operator's file, and on the platform, which allows no talk among instances. Nothing that
-//! serves a request waits for anything here: a turn of the loop reads a bounded number of packets, and with all peers
-//! gone the program does what it does without them.
+//! Disabled without `[peers]` in an operator's file, and on the platform, which does not allow instances to communicate.
+//! Requests never wait for this module: a turn of the loop reads a bounded number of packets, and a dispatcher that has
+//! lost all its peers behaves as it does without any.
 
 mod exchange;
 mod hints;
@@ -23,7 +24,7 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
-use starting::{Offer, Starting, Step};
+use starting::{ListSearch, Offer, Step};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -32,66 +33,66 @@
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// Packets read in one turn of the loop; what is left makes the next turn come at once.
-const MOST_READ: usize = 64;
-/// Tries to find a port that is free for both UDP and TCP, where the system chooses.
-const PORTS: usize = 16;
-/// Notes that the host has not taken, at the most.
-const MOST_NOTES: usize = 256;
-/// Words of peers that are kept while further ones are waited for.
-const MOST_WORDS: usize = 4;
+/// Maximum packets read in one turn of the loop; unread packets make the next turn start at once.
+const MAX_PACKETS_PER_TURN: usize = 64;
+/// Attempts to find a port that is free for both UDP and TCP where the system chooses the port.
+const PORT_BIND_ATTEMPTS: usize = 16;
+/// Maximum received notes that are held until the host takes them.
+const MAX_PENDING_NOTES: usize = 256;
+/// Maximum state snapshots of peers that are held while further ones are awaited.
+const MAX_HELD_SNAPSHOTS: usize = 4;
 
-/// How a common budget is divided: among so many that serve, into so many parts, and which part is ours.
+/// The division of a shared budget among the dispatchers of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Division {
-    /// Dispatchers that serve, this one among them, as far as is known.
+    /// Number of dispatchers known to be alive, including this one.
     pub alive: usize,
-    /// Parts of the budget; each member takes one at the most.
+    /// Number of parts; each member uses at most one.
     pub parts: usize,
-    /// Our part, from 0.
+    /// Index of this dispatcher's part, from 0.
     pub place: usize,
 }
 
-/// What a dispatcher is at the time it begins to speak.
+/// The identity and initial state with which a dispatcher joins its group.
 pub struct Start<'a> {
-    /// Its name.
+    /// Name of this dispatcher.
     pub name: &'a str,
-    /// Instances that the platform's settings tell.
+    /// Number of instances according to the platform's settings.
     pub expected: usize,
-    /// The version of the configuration in use; 0 for none.
+    /// Version of the configuration in use; 0 for none.
     pub configuration: u64,
-    /// The Unix time, in milliseconds.
+    /// Unix time in milliseconds.
     pub unix_ms: u64,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// The sockets and the machines.
+/// The peer sockets and the protocol state machines that run on them.
 pub struct Peers {
     fd: OwnedFd,
     token: Token,
     address: SocketAddr,
-    machine: Membership,
+    membership: Membership,
     exchange: Exchange,
     hints: Hints,
-    /// What other dispatchers said on channels that are not ours: the channel, who, and what.
+    /// Received notes for other modules: channel, sender and content.
     pub notes: Vec<(u8, Arc<str>, Vec<u8>)>,
-    /// Executors that others have told of, to be looked at.
-    looks: Vec<WorkerId>,
-    /// The search for a list while the name service is silent, and the words that came.
-    starting: Starting,
-    words: BTreeMap<Arc<str>, Word>,
+    /// Executors reported by peers that are still to be probed.
+    reported: Vec<WorkerId>,
+    /// The search for an executor list while the name service is silent, and the snapshots received for it.
+    list_search: ListSearch,
+    snapshots: BTreeMap<Arc<str>, Word>,
     rng: Pcg32,
     division: Option<Division>,
-    /// The machine has taken or done something since the division was last looked at.
-    touched: bool,
+    /// Whether the membership may have changed since the division was last computed.
+    division_stale: bool,
     name: String,
     record: Record,
     counters: Rc<Counters>,
 }
 
 impl Peers {
-    /// Binds the socket and begins to look for others.
+    /// Binds the sockets and starts contacting the seeds.
     pub fn new(
         poll: &mut Poll,
         owner: u8,
@@ -101,13 +102,14 @@
         counters: Rc<Counters>,
     ) -> io::Result<Peers> {
         let listen = options.address(start.name);
-        let (mut tries, group) = (if listen.port() == 0 { PORTS } else { 1 }, &options.settings.group);
+        let (mut attempts, group) =
+            (if listen.port() == 0 { PORT_BIND_ATTEMPTS } else { 1 }, &options.settings.group);
         let (fd, address, exchange) = loop {
-            tries -= 1;
-            let (fd, address) = datagrams(listen)?;
+            attempts -= 1;
+            let (fd, address) = bind_udp(listen)?;
             match Exchange::new(poll, owner, address, group) {
                 Ok(exchange) => break (fd, address, exchange),
-                Err(_) if tries > 0 => {}
+                Err(_) if attempts > 0 => {}
                 Err(e) => return Err(e),
             }
         };
@@ -128,49 +130,50 @@
         };
         let mut settings = options.settings.clone();
         settings.expected = start.expected;
-        let machine = Membership::new(own, settings, options.seeds.clone(), start.seed, now);
+        let membership = Membership::new(own, settings, options.seeds.clone(), start.seed, now);
         Ok(Peers {
             fd,
             token,
             address,
-            machine,
+            membership,
             exchange,
             hints: Hints::new(now),
             notes: Vec::new(),
-            looks: Vec::new(),
-            starting: Starting::default(),
-            words: BTreeMap::new(),
+            reported: Vec::new(),
+            list_search: ListSearch::default(),
+            snapshots: BTreeMap::new(),
             rng: Pcg32::seed_from_u64(start.seed),
             division: None,
-            touched: true,
+            division_stale: true,
             name: start.name.to_string(),
             record,
             counters,
         })
     }
 
-    /// Where it is heard.
+    /// Returns the address at which this dispatcher receives packets.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Handles what happened to a descriptor.
+    /// Handles a readiness event of one of the sockets.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         if ready.token == self.token {
-            self.read(now);
+            self.read_packets(now);
         } else {
             self.exchange.ready(poll, now, ready);
         }
     }
 
-    /// Reads packets, a bounded number of them.
-    fn read(&mut self, now: u64) {
-        // Danger: after a pause, what waited in the socket is older than it looks; the clock is looked at first.
-        if self.machine.due() <= now {
-            self.machine.advance(now);
+    /// Reads a bounded number of packets.
+    fn read_packets(&mut self, now: u64) {
+        // After a pause of the process, packets that waited in the socket are older than their time of reading. Advancing
+        // first lets the membership detect the stall before it takes them.
+        if self.membership.due() <= now {
+            self.membership.advance(now);
         }
         let mut buffer = [0; ochreward_membership::wire::MOST_PACKET + 1];
-        for _ in 0..MOST_READ {
+        for _ in 0..MAX_PACKETS_PER_TURN {
             let (size, from) = match rustix::net::recvfrom(&self.fd, &mut buffer, RecvFlags::empty()) {
                 Ok((_, size, from)) => (size, from),
                 Err(rustix::io::Errno::INTR | rustix::io::Errno::CONNREFUSED) => continue,
@@ -180,264 +183,273 @@
             if let (Some(from), Some(packet)) = (from, buffer.get(..size)) {
                 count(&self.counters.peers_received);
                 add(&self.counters.peers_received_bytes, size);
-                self.machine.received(now, from, packet);
+                self.membership.received(now, from, packet);
             }
         }
-        self.hear(now);
-        self.carry();
+        self.take_notes(now);
+        self.flush();
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due: membership, hints and exchange.
     pub fn advance(&mut self, now: u64) {
-        let due = self.machine.due() <= now;
+        let due = self.membership.due() <= now;
         if due {
-            self.machine.advance(now);
+            self.membership.advance(now);
         }
-        let told = self.hints.round(now);
-        told.iter().for_each(|bytes| self.spread(now, hints::CHANNEL, hints::FANOUT, bytes));
-        if due || told.is_some() {
-            self.carry();
+        let hint_note = self.hints.next_note(now);
+        hint_note.iter().for_each(|bytes| self.gossip(now, hints::CHANNEL, hints::FANOUT, bytes));
+        if due || hint_note.is_some() {
+            self.flush();
         }
         self.exchange.advance(now);
     }
 
-    /// When `advance` next has something to do.
+    /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> u64 {
-        self.machine.due().min(self.hints.due()).min(self.exchange.due())
+        self.membership.due().min(self.hints.due()).min(self.exchange.due())
     }
 
-    /// Takes what other parts of the program said elsewhere.
-    fn hear(&mut self, now: u64) {
-        let others = self.machine.alive().saturating_sub(1);
-        while let Some(note) = self.machine.notes.pop_front() {
+    /// Takes the received notes: hints are handled here, the others are kept for the host.
+    fn take_notes(&mut self, now: u64) {
+        let others = self.membership.alive().saturating_sub(1);
+        while let Some(note) = self.membership.notes.pop_front() {
             if note.channel == hints::CHANNEL {
-                let news = self.hints.heard(now, &note.bytes, others);
-                self.counters.hints_heard.set(self.counters.hints_heard.get() + news.len() as u64);
-                self.looks.extend(news);
-            } else if self.notes.len() < MOST_NOTES {
+                let new_workers = self.hints.receive(now, &note.bytes, others);
+                self.counters.hints_heard.set(self.counters.hints_heard.get() + new_workers.len() as u64);
+                self.reported.extend(new_workers);
+            } else if self.notes.len() < MAX_PENDING_NOTES {
                 self.notes.push((note.channel, note.from, note.bytes));
             }
         }
     }
 
-    /// Tells one other, if it is up.
+    /// Sends a note to one peer, if it is up.
     pub fn tell_one(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
-        self.note(now, to, channel, bytes);
-        self.carry();
+        self.queue_note(now, to, channel, bytes);
+        self.flush();
     }
 
-    /// Hands the machine a note, and counts it with the part of the program that it is from.
-    fn note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
+    /// Queues a note in the membership protocol and counts it for the module that sends on the channel.
+    fn queue_note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
         let size = bytes.len();
-        if !self.machine.note(now, to, channel, bytes) {
+        if !self.membership.note(now, to, channel, bytes) {
             return;
         }
-        let c = &self.counters;
+        let counters = &self.counters;
         let (packets, sent_bytes) = match channel {
-            hints::CHANNEL => (&c.hints_sent, &c.hints_sent_bytes),
-            crate::overload::CHANNEL => (&c.overload_sent, &c.overload_sent_bytes),
-            crate::zones::CHANNEL => (&c.zones_sent, &c.zones_sent_bytes),
+            hints::CHANNEL => (&counters.hints_sent, &counters.hints_sent_bytes),
+            crate::overload::CHANNEL => (&counters.overload_sent, &counters.overload_sent_bytes),
+            crate::zones::CHANNEL => (&counters.zones_sent, &counters.zones_sent_bytes),
             _ => return,
         };
         count(packets);
         add(sent_bytes, size);
     }
 
-    /// The others that are up and have been heard.
+    /// Returns the peers that are up and from which at least one packet has arrived.
     pub fn up(&self) -> Vec<Arc<str>> {
-        self.machine.members().filter(|m| m.is_up() && m.heard.is_some()).map(|m| m.name.clone()).collect()
+        self.membership.members().filter(|m| m.is_up() && m.heard.is_some()).map(|m| m.name.clone()).collect()
     }
 
-    /// The others that are up and have been heard, with their zones.
+    /// Returns the same peers as [`Peers::up`], with their zones.
     pub fn up_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
-        let up = self.machine.members().filter(|m| m.is_up() && m.heard.is_some());
+        let up = self.membership.members().filter(|m| m.is_up() && m.heard.is_some());
         up.map(|m| (m.name.clone(), m.record.zone.clone())).collect()
     }
 
-    /// The zone that this one says it stands in.
-    pub fn home(&self) -> Arc<str> {
+    /// Returns the zone that this dispatcher announces as its own.
+    pub fn own_zone(&self) -> Arc<str> {
         self.record.zone.clone()
     }
 
-    /// Tells so many others, drawn anew each time.
-    fn spread(&mut self, now: u64, channel: u8, most: usize, bytes: &[u8]) {
+    /// Sends a note to `fanout` peers, drawn at random on each call.
+    fn gossip(&mut self, now: u64, channel: u8, fanout: usize, bytes: &[u8]) {
         let up = self.up();
-        for name in draw(&mut self.rng, up, most) {
-            self.note(now, &name, channel, bytes.to_vec());
+        for name in draw(&mut self.rng, up, fanout) {
+            self.queue_note(now, &name, channel, bytes.to_vec());
         }
     }
 
-    // ---- Hints of executors' deaths ----
+    // ---- Hints of executor failures ----
 
-    /// An executor's connection broke here, or none came up: the others are told.
+    /// Records that a connection to an executor broke or could not be established here, and gossips it to the peers.
     pub fn sighted(&mut self, now: u64, worker: &WorkerId) {
-        if self.hints.seen(now, worker, self.machine.alive().saturating_sub(1)) {
+        if self.hints.observe(now, worker, self.membership.alive().saturating_sub(1)) {
             count(&self.counters.hints_told);
         }
     }
 
-    /// An executor that is to be looked at now.
+    /// Returns an executor that is to be probed now.
     pub fn look(&mut self, now: u64) -> Option<WorkerId> {
-        if let Some(worker) = self.hints.look_again(now) {
+        if let Some(worker) = self.hints.next_retry(now) {
             return Some(worker);
         }
-        while let Some(worker) = self.looks.pop() {
-            if self.hints.may_look(now, &worker) {
+        while let Some(worker) = self.reported.pop() {
+            if self.hints.may_probe(now, &worker) {
                 return Some(worker);
             }
         }
         None
     }
 
-    /// A look was refused.
+    /// Records that the probe of an executor was refused.
     pub fn refused(&mut self, now: u64, worker: &WorkerId) {
         count(&self.counters.hints_refused);
-        self.hints.refused(now, worker);
+        self.hints.probe_refused(now, worker);
     }
 
     // ---- The list of executors from a peer ----
 
-    /// Looks for a list among peers, the name service having been silent; a word that is to be taken.
+    /// Asks peers for their list of executors while the name service is silent. Returns the sender and the snapshot that
+    /// is to be used, once one has been chosen.
     pub fn seek_list(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, Word)> {
         for (from, line) in std::mem::take(&mut self.exchange.outcomes) {
-            let Some(word) = line.and_then(|l| Word::read(&l)) else {
-                self.starting.failed(&from);
+            let Some(snapshot) = line.and_then(|l| Word::read(&l)) else {
+                self.list_search.failed(&from);
                 continue;
             };
-            let (serial, age, executors) = (word.serial, word.age, word.executors.clone());
-            // Danger: words are large. One that finds no place is as good as not told.
-            let room = self.words.len() < MOST_WORDS || self.words.contains_key(&from);
-            if !room {
-                self.starting.failed(&from);
-            } else if self.starting.offered(now, Offer { from: from.clone(), serial, age, executors }) {
-                self.words.insert(from, word);
+            let (serial, age, executors) = (snapshot.serial, snapshot.age, snapshot.executors.clone());
+            // Snapshots are large, so their number is bounded; one beyond the bound counts as a failed request.
+            let has_room = self.snapshots.len() < MAX_HELD_SNAPSHOTS || self.snapshots.contains_key(&from);
+            if !has_room {
+                self.list_search.failed(&from);
+            } else if self.list_search.add_offer(now, Offer { from: from.clone(), serial, age, executors }) {
+                self.snapshots.insert(from, snapshot);
             }
         }
         let serves = |m: &&ochreward_membership::Member| {
             m.is_up() && m.heard.is_some() && m.record.serving == Serving::Serves
         };
-        let mut up: Vec<Arc<str>> = self.machine.members().filter(serves).map(|m| m.name.clone()).collect();
+        let mut up: Vec<Arc<str>> =
+            self.membership.members().filter(serves).map(|m| m.name.clone()).collect();
         if !up.is_empty() {
-            // Not all of those that start at once ask the same.
-            let first = self.machine.own().instance as usize % up.len();
+            // Dispatchers that start at the same time begin with different peers, to spread the load.
+            let first = self.membership.own().instance as usize % up.len();
             up.rotate_left(first);
         }
-        let taken = loop {
-            match self.starting.step(now, &up) {
+        let accepted = loop {
+            match self.list_search.step(now, &up) {
                 Step::Wait => break None,
-                Step::Take(from) => break self.words.remove_entry(&from),
+                Step::Accept(from) => break self.snapshots.remove_entry(&from),
                 Step::Ask(member) => {
-                    let Some(to) = self.machine.members().find(|m| m.name == member).map(|m| m.address)
+                    let Some(to) = self.membership.members().find(|m| m.name == member).map(|m| m.address)
                     else {
-                        self.starting.failed(&member);
+                        self.list_search.failed(&member);
                         continue;
                     };
-                    self.exchange.ask(poll, now, &self.name, &member, to);
+                    self.exchange.request(poll, now, &self.name, &member, to);
                 }
             }
         };
-        self.counters.peers_lists_refused.set(self.starting.refused);
-        if taken.is_some() {
+        self.counters.peers_lists_refused.set(self.list_search.rejected);
+        if accepted.is_some() {
             count(&self.counters.peers_lists_taken);
         }
-        if taken.is_some() || self.starting.is_empty() {
-            self.words.clear();
+        if accepted.is_some() || self.list_search.is_empty() {
+            self.snapshots.clear();
         }
-        taken
+        accepted
     }
 
-    /// When a silent name service makes peers be asked for the list, after the start.
+    /// Returns how long after the start the name service may be silent before peers are asked for the list.
     pub fn patience() -> u64 {
-        starting::SILENT
+        starting::NAME_SERVICE_SILENCE_US
     }
 
-    /// Whether a peer waits for what this dispatcher knows.
+    /// Returns whether a peer waits for a snapshot of this dispatcher's state and a new one has to be made.
     pub fn wants_word(&mut self, poll: &Poll, now: u64) -> bool {
-        self.exchange.wants_word(poll, now)
+        self.exchange.wants_reply(poll, now)
     }
 
-    /// What this dispatcher knows, for all that wait.
+    /// Sends a snapshot of this dispatcher's state to all peers that wait for one.
     pub fn give_word(&mut self, poll: &Poll, now: u64, word: Vec<u8>) {
         count(&self.counters.peers_words_given);
-        self.exchange.give(poll, now, word);
+        self.exchange.reply(poll, now, word);
     }
 
-    /// How a common budget is divided, if that has changed.
+    /// Returns the division of a shared budget if it has changed since the last call.
     pub fn news(&mut self, now: u64) -> Option<Division> {
-        // It looks at all members; most turns of the loop are for requests and change nothing here.
-        if !std::mem::take(&mut self.touched) {
+        // Computing the division visits all members; most turns of the loop serve requests and leave it unchanged.
+        if !std::mem::take(&mut self.division_stale) {
             return None;
         }
-        let parts = self.machine.divisor(now);
-        let alive = self.machine.alive();
-        let division = Division { alive, parts, place: self.machine.place().min(parts.saturating_sub(1)) };
+        let parts = self.membership.divisor(now);
+        let alive = self.membership.alive();
+        let division = Division { alive, parts, place: self.membership.place().min(parts.saturating_sub(1)) };
         let changed = self.division != Some(division);
         self.division = Some(division);
         changed.then_some(division)
     }
 
-    /// How it is divided, as last told.
+    /// Returns the division of a shared budget as last computed.
     pub fn division(&self) -> Option<Division> {
         self.division
     }
 
-    /// Tells the others what this dispatcher does, and how loaded it is.
+    /// Sets the serving state, configuration version and load that are announced to the peers.
     pub fn tell(&mut self, serving: Serving, configuration: u64, load: u16) {
         self.record.serving = serving;
         self.record.configuration = configuration;
-        self.machine.tell(self.record.clone(), load);
+        self.membership.tell(self.record.clone(), load);
     }
 
-    /// Leaves on purpose.
+    /// Announces to the peers that this dispatcher leaves the group.
     pub fn leave(&mut self, now: u64) {
-        self.machine.leave(now);
-        self.carry();
+        self.membership.leave(now);
+        self.flush();
     }
 
-    /// The machine, to report on it.
-    pub fn machine(&self) -> &Membership {
-        &self.machine
+    /// Returns the membership state, for reports.
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
 
-    /// Sends what is to be sent, tells what has become known.
-    fn carry(&mut self) {
-        self.touched = true;
-        while let Some((to, packet)) = self.machine.packets.pop_front() {
-            // A packet that does not go out is one that got lost.
+    /// Sends the queued packets, logs the membership events and updates the counters.
+    fn flush(&mut self) {
+        self.division_stale = true;
+        while let Some((to, packet)) = self.membership.packets.pop_front() {
+            // The protocol tolerates packet loss, so a failed send is treated as a lost packet.
             let _ = rustix::net::sendto(&self.fd, &packet, SendFlags::NOSIGNAL, &to);
         }
-        while let Some(event) = self.machine.events.pop_front() {
+        while let Some(event) = self.membership.events.pop_front() {
             let instance = self.name.as_str();
             match event {
                 Event::Changed(peer, was, state, source) => {
                     info!(instance, peer = &*peer, ?was, ?state, ?source, "a peer's state changed");
                 }
-                Event::Denied => info!(instance, "denied that it is gone"),
-                Event::Stalled(us) => warn!(instance, us, "stood still, and accuses nobody"),
+                Event::Denied => {
+                    info!(instance, "refuted a report that this dispatcher is suspect or failed")
+                }
+                Event::Stalled(us) => warn!(
+                    instance,
+                    us, "process stalled; pending probes dropped, no peer is suspected for them"
+                ),
                 Event::Conflict(peer, one, other) => {
                     warn!(instance, peer = &*peer, %one, %other, "two processes have one name");
                 }
-                Event::Yielded => warn!(instance, "its name is another's that began earlier: it stays quiet"),
-                Event::Stands(part) => info!(instance, ?part, "stands otherwise to its group"),
+                Event::Yielded => {
+                    warn!(instance, "another process with this name started earlier; this one stays silent")
+                }
+                Event::Stands(part) => info!(instance, ?part, "reachability within the group changed"),
             }
         }
-        let (stats, c) = (self.machine.stats(), &self.counters);
-        c.peers_sent.set(stats.sent);
-        c.peers_sent_bytes.set(stats.sent_bytes);
-        c.peers_taken.set(stats.taken);
-        c.peers_garbage.set(stats.garbage + stats.other_version + stats.other_group);
-        c.peers_replayed.set(stats.replayed);
-        c.peers_absurd.set(stats.absurd + stats.crowded);
-        c.peers_accusations.set(stats.accusations);
-        c.peers_denials.set(stats.denials);
-        c.peers_stalls.set(stats.stalls);
-        c.peers_conflicts.set(stats.conflicts);
-        c.peers_alive.set(self.machine.alive() as u64);
+        let (stats, counters) = (self.membership.stats(), &self.counters);
+        counters.peers_sent.set(stats.sent);
+        counters.peers_sent_bytes.set(stats.sent_bytes);
+        counters.peers_taken.set(stats.taken);
+        counters.peers_garbage.set(stats.garbage + stats.other_version + stats.other_group);
+        counters.peers_replayed.set(stats.replayed);
+        counters.peers_absurd.set(stats.absurd + stats.crowded);
+        counters.peers_accusations.set(stats.accusations);
+        counters.peers_denials.set(stats.denials);
+        counters.peers_stalls.set(stats.stalls);
+        counters.peers_conflicts.set(stats.conflicts);
+        counters.peers_alive.set(self.membership.alive() as u64);
     }
 }
 
-/// A socket for datagrams, and its address.
-fn datagrams(listen: SocketAddr) -> io::Result<(OwnedFd, SocketAddr)> {
+/// Binds a non-blocking UDP socket and returns it with its address.
+fn bind_udp(listen: SocketAddr) -> io::Result<(OwnedFd, SocketAddr)> {
     let family = if listen.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let fd = rustix::net::socket_with(family, SocketType::DGRAM, flags, None)?;
--- a/src/peers/options.rs
+++ b/src/peers/options.rs
@@ -1,36 +1,36 @@
-//! How a dispatcher finds its peers: `[peers]` of an operator's file.
+//! Settings for finding and talking to peers: `[peers]` of an operator's file.
 
 use ochreward_membership::Settings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Seeds at the most.
+/// Maximum number of seed addresses.
 pub const MOST_SEEDS: usize = 64;
 
-/// What the operator says.
+/// The peer settings of one dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Where this dispatcher is heard, if `at` does not name it.
+    /// Address on which this dispatcher listens if `at` has no entry for it.
     pub listen: SocketAddr,
-    /// Where each instance is heard that shares this file.
+    /// Listen address of each instance that shares this file, by instance name.
     pub at: BTreeMap<String, SocketAddr>,
-    /// Where others reach each instance, if that is another address than it listens on.
+    /// Address at which peers reach an instance, where it differs from its listen address.
     pub reach: BTreeMap<String, SocketAddr>,
-    /// Addresses at which some member is usually found.
+    /// Addresses that are contacted to join the group; usually at least one belongs to a member.
     pub seeds: Vec<SocketAddr>,
-    /// The zone of this dispatcher.
+    /// Zone of this dispatcher.
     pub zone: String,
-    /// Times and bounds.
+    /// Timing and limits of the membership protocol.
     pub settings: Settings,
 }
 
 impl Options {
-    /// Where the instance listens.
+    /// Returns the address on which the named instance listens.
     pub fn address(&self, name: &str) -> SocketAddr {
         self.at.get(name).copied().unwrap_or(self.listen)
     }
 
-    /// Where others reach it, if it says so.
+    /// Returns the address at which peers reach the named instance, if one is set.
     pub fn advertise(&self, name: &str) -> Option<SocketAddr> {
         self.reach.get(name).copied()
     }
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -1,63 +1,65 @@
-//! What is known of peers, for operators: as JSON from the door, and as lines of the command line.
+//! Reports on the peers for operators: as JSON from the operators' endpoint, and as text lines for the command line.
 
 use super::Peers;
 use serde_json::{Value, json};
 
-/// Members that a report lists; of more only the number is told.
-const MOST_LISTED: usize = 256;
+/// Maximum members listed in a report; for a larger group only the total count is complete.
+const MAX_LISTED_MEMBERS: usize = 256;
 
-/// All that is known, as JSON.
+/// Returns the membership state as JSON.
 pub fn report(peers: &Peers, now: u64) -> Value {
-    let machine = peers.machine();
-    let agreement = machine.agreement();
-    let ago = |at: Option<u64>| at.map(|at| now.saturating_sub(at) / 1_000);
-    let word = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
-    let members: Vec<Value> = (machine.members().take(MOST_LISTED))
-        .map(|m| {
+    let membership = peers.membership();
+    let agreement = membership.agreement();
+    let ms_since = |at: Option<u64>| at.map(|at| now.saturating_sub(at) / 1_000);
+    let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
+    let members: Vec<Value> = (membership.members().take(MAX_LISTED_MEMBERS))
+        .map(|member| {
             json!({
-                "name": &*m.name, "address": m.address.to_string(), "state": word(&m.state), "known": word(&m.source),
-                "since_ms": ago(Some(m.since)), "heard_ms": ago(m.heard), "answered_ms": ago(m.answered),
-                "incarnation": m.incarnation, "zone": &*m.record.zone, "program": &*m.record.program,
-                "configuration": m.record.configuration, "serving": word(&m.record.serving), "load": m.load,
-                "same_view": m.digest == agreement.digest,
+                "name": &*member.name, "address": member.address.to_string(),
+                "state": lower_case(&member.state), "known": lower_case(&member.source),
+                "since_ms": ms_since(Some(member.since)), "heard_ms": ms_since(member.heard),
+                "answered_ms": ms_since(member.answered), "incarnation": member.incarnation,
+                "zone": &*member.record.zone, "program": &*member.record.program,
+                "configuration": member.record.configuration, "serving": lower_case(&member.record.serving),
+                "load": member.load, "same_view": member.digest == agreement.digest,
             })
         })
         .collect();
     json!({
-        "name": &*machine.own().name, "address": peers.address().to_string(), "part": word(&agreement.part),
-        "alive": agreement.alive, "silent": agreement.silent, "same": agreement.same, "agreed": agreement.agreed(),
-        "digest": format!("{:016x}", agreement.digest), "incarnation": machine.own().incarnation,
-        "health": machine.health(), "waiting": machine.waiting(),
+        "name": &*membership.own().name, "address": peers.address().to_string(),
+        "part": lower_case(&agreement.part), "alive": agreement.alive, "silent": agreement.silent, "same": agreement.same,
+        "agreed": agreement.agreed(), "digest": format!("{:016x}", agreement.digest), "incarnation": membership.own().incarnation,
+        "health": membership.health(), "waiting": membership.waiting(),
         "parts": peers.division().map(|d| d.parts), "place": peers.division().map(|d| d.place),
-        "known": machine.members().count(), "members": members,
+        "known": membership.members().count(), "members": members,
     })
 }
 
-/// The same for people, a line each.
+/// Formats a report as text lines: a summary, then one line for each member.
 pub fn lines(report: &Value) -> Vec<String> {
-    let text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
+    let plain_text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
     let mut lines = vec![format!(
-        "{} is in part '{}': {} alive, {} silent, {} others see the same; takes one part of {}; own health {}",
-        text(&report["name"]),
-        text(&report["part"]),
+        "{} has reachability '{}': {} alive, {} silent, {} peers with the same view; uses one of {} budget parts; own health {}",
+        plain_text(&report["name"]),
+        plain_text(&report["part"]),
         report["alive"],
         report["silent"],
         report["same"],
         report["parts"],
         report["health"]
     )];
-    for m in report["members"].as_array().into_iter().flatten() {
+    for member in report["members"].as_array().into_iter().flatten() {
         lines.push(format!(
-            "{:<20} {:<8} {:>8} ms  known: {:<7} heard: {:>8} ms ago  {} {} {} config {}",
-            text(&m["name"]),
-            text(&m["state"]),
-            m["since_ms"],
-            text(&m["known"]),
-            m["heard_ms"],
-            text(&m["address"]),
-            text(&m["serving"]),
-            text(&m["program"]),
-            m["configuration"]
+            "{:<20} {:<8} {:>8} ms  source: {:<7} last packet: {:>8} ms ago  {} {} {} config {}",
+            plain_text(&member["name"]),
+            plain_text(&member["state"]),
+            member["since_ms"],
+            plain_text(&member["known"]),
+            member["heard_ms"],
+            plain_text(&member["address"]),
+            plain_text(&member["serving"]),
+            plain_text(&member["program"]),
+            member["configuration"]
         ));
     }
     lines
--- a/src/peers/starting/tests.rs
+++ b/src/peers/starting/tests.rs
@@ -18,67 +18,67 @@
     names.iter().map(|n| Arc::from(*n)).collect()
 }
 
-/// Asks all that it wants to ask.
-fn asks(starting: &mut Starting, now: Micros, up: &[Arc<str>]) -> Vec<String> {
+/// Returns the peers that are asked until no further request is made.
+fn ask_all(search: &mut ListSearch, now: Micros, up: &[Arc<str>]) -> Vec<String> {
     let mut asked = Vec::new();
-    while let Step::Ask(peer) = starting.step(now, up) {
+    while let Step::Ask(peer) = search.step(now, up) {
         asked.push(peer.to_string());
     }
     asked
 }
 
 #[test]
-fn two_are_asked_and_the_newest_list_is_taken() {
-    let (mut starting, up) = (Starting::default(), peers(&["a", "b", "c"]));
-    assert_eq!(asks(&mut starting, 0, &up), ["a", "b"]);
-    assert!(starting.offered(1, offer("a", 3, &[1, 2])));
-    assert_eq!(asks(&mut starting, 1, &up), ["c"], "one place is free");
-    assert!(starting.offered(2, offer("b", 4, &[1])));
-    assert_eq!(starting.step(2, &up), Step::Take("b".into()));
+fn asks_two_peers_and_accepts_the_newest_list() {
+    let (mut search, up) = (ListSearch::default(), peers(&["a", "b", "c"]));
+    assert_eq!(ask_all(&mut search, 0, &up), ["a", "b"]);
+    assert!(search.add_offer(1, offer("a", 3, &[1, 2])));
+    assert_eq!(ask_all(&mut search, 1, &up), ["c"], "one request slot is free");
+    assert!(search.add_offer(2, offer("b", 4, &[1])));
+    assert_eq!(search.step(2, &up), Step::Accept("b".into()));
 }
 
 #[test]
-fn one_that_never_answers_is_waited_for_no_longer_than_that() {
-    let (mut starting, up) = (Starting::default(), peers(&["a", "b"]));
-    asks(&mut starting, 0, &up);
-    assert!(starting.offered(5, offer("b", 4, &[1])));
-    assert_eq!(starting.step(6, &up), Step::Wait);
-    assert_eq!(starting.step(5 + PATIENCE, &up), Step::Take("b".into()));
+fn waits_a_bounded_time_for_a_peer_that_never_answers() {
+    let (mut search, up) = (ListSearch::default(), peers(&["a", "b"]));
+    ask_all(&mut search, 0, &up);
+    assert!(search.add_offer(5, offer("b", 4, &[1])));
+    assert_eq!(search.step(6, &up), Step::Wait);
+    assert_eq!(search.step(5 + FURTHER_OFFERS_WAIT_US, &up), Step::Accept("b".into()));
 }
 
 #[test]
-fn lists_that_contradict_each_other_are_settled_by_a_third_or_not_taken() {
-    let (mut starting, up) = (Starting::default(), peers(&["a", "b", "c"]));
-    asks(&mut starting, 0, &up);
-    starting.offered(1, offer("a", 4, &[1, 2]));
-    starting.offered(1, offer("b", 4, &[1, 3]));
-    assert_eq!(asks(&mut starting, 2, &up), ["c"]);
-    starting.offered(3, offer("c", 4, &[1, 3]));
-    assert!(matches!(starting.step(3, &up), Step::Take(from) if &*from != "a"));
-    let (mut starting, up) = (Starting::default(), peers(&["a", "b"]));
-    asks(&mut starting, 0, &up);
-    starting.offered(1, offer("a", 4, &[1, 2]));
-    starting.offered(1, offer("b", 4, &[1, 3]));
-    assert_eq!(starting.step(2, &up), Step::Wait);
-    assert_eq!(starting.refused, 2);
-    assert_eq!(asks(&mut starting, 3, &up), ["a", "b"], "all are asked again");
+fn contradicting_lists_are_decided_by_a_third_peer_or_rejected() {
+    let (mut search, up) = (ListSearch::default(), peers(&["a", "b", "c"]));
+    ask_all(&mut search, 0, &up);
+    search.add_offer(1, offer("a", 4, &[1, 2]));
+    search.add_offer(1, offer("b", 4, &[1, 3]));
+    assert_eq!(ask_all(&mut search, 2, &up), ["c"]);
+    search.add_offer(3, offer("c", 4, &[1, 3]));
+    assert!(matches!(search.step(3, &up), Step::Accept(from) if &*from != "a"));
+    let (mut search, up) = (ListSearch::default(), peers(&["a", "b"]));
+    ask_all(&mut search, 0, &up);
+    search.add_offer(1, offer("a", 4, &[1, 2]));
+    search.add_offer(1, offer("b", 4, &[1, 3]));
+    assert_eq!(search.step(2, &up), Step::Wait);
+    assert_eq!(search.rejected, 2);
+    assert_eq!(ask_all(&mut search, 3, &up), ["a", "b"], "all peers are asked again");
 }
 
 #[test]
-fn old_empty_and_doubled_lists_are_none() {
-    let mut starting = Starting::default();
-    assert!(!starting.offered(1, offer("a", 4, &[])));
-    assert!(!starting.offered(1, offer("a", 4, &[1, 1])));
-    assert!(!starting.offered(1, Offer { age: OLD + 1, ..offer("a", 4, &[1]) }));
-    assert_eq!(starting.refused, 3);
+fn rejects_old_and_empty_lists_and_duplicate_ids() {
+    let mut search = ListSearch::default();
+    assert!(!search.add_offer(1, offer("a", 4, &[])));
+    assert!(!search.add_offer(1, offer("a", 4, &[1, 1])));
+    assert!(!search.add_offer(1, Offer { age: MAX_LIST_AGE_US + 1, ..offer("a", 4, &[1]) }));
+    assert_eq!(search.rejected, 3);
 }
 
 #[test]
-fn all_that_fail_are_asked_again_after_a_while() {
-    let (mut starting, up) = (Starting::default(), peers(&["a"]));
-    assert_eq!(asks(&mut starting, 0, &up), ["a"]);
-    starting.failed(&up[0]);
-    assert_eq!(starting.step(1, &up), Step::Wait);
-    assert_eq!(starting.step(ANEW, &up), Step::Wait);
-    assert_eq!(asks(&mut starting, ANEW + 1, &up), ["a"]);
+fn failed_peers_are_asked_again_after_the_retry_delay() {
+    let (mut search, up) = (ListSearch::default(), peers(&["a"]));
+    assert_eq!(ask_all(&mut search, 0, &up), ["a"]);
+    search.failed(&up[0]);
+    assert_eq!(search.step(1, &up), Step::Wait);
+    assert_eq!(search.step(RETRY_DELAY_US, &up), Step::Wait);
+    assert_eq!(ask_all(&mut search, RETRY_DELAY_US + 1, &up), ["a"]);
 }
