--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -1,8 +1,10 @@
-//! Overload as the fleet handles it: budgets of resends and of load orders, shared by lease, and the level of admission.
+//! Fleet-wide overload control: budgets of resends and of load orders that dispatchers lend each other by lease, the
+//! admission level for load shedding, and circuit breakers for executors that fail.
 //!
-//! The machines are `crates/budget`; here is when they are asked, whom they ask, and what the module is told. No I/O, the
-//! clock passed in: words go out and come in by the host. Without peers a dispatcher goes by its own part and its own
-//! evidence.
+//! The state machines are in `crates/budget`. This module decides when they run and which peers they contact, and passes
+//! their results to the decision module. It does no I/O: the clock is passed in, and the host carries messages to and from
+//! peers. Without peers a dispatcher uses its own part of the budgets and its own observations. Rates of messages and the
+//! number of their receivers are bounded.
 
 mod options;
 mod report;
@@ -20,102 +22,111 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The channel of the membership's notes.
+/// Channel of overload messages among the membership's notes.
 pub const CHANNEL: u8 = 2;
-/// Tokens are saved up for this long at the most.
-const BURST: Micros = 100_000;
-/// Others are asked for leases this often, and so many at a time.
-const ASK_EVERY: Micros = 100_000;
-const ASKS: usize = 3;
-/// Demand is a mean over about this long, and a lease is asked for a fifth more.
-const DEMAND: f64 = 1_000_000.0;
-const AHEAD: f64 = 1.2;
-/// Wishes are told to so many others: while there is a level, and while all is calm.
-const TOLD: usize = 8;
-const TOLD_CALM: usize = 3;
-const CALM_EVERY: Micros = 700_000;
-/// Gates are looked at this often while there are any.
-const GATES_EVERY: Micros = 20_000;
-/// Others that are told at once that an executor answers again; the rest find out by trials of their own.
-const MOST_TOLD: usize = 64;
-/// A worker that turns a request away has a queue that counts as so many times the one that raises the level.
-const FULL: u64 = 2;
+/// Time for which unused tokens accumulate.
+const BURST_US: Micros = 100_000;
+/// Interval between two rounds of lease requests.
+const ASK_INTERVAL_US: Micros = 100_000;
+/// Number of peers asked for a lease in one round.
+const ASK_FANOUT: usize = 3;
+/// Averaging time of the demand estimate.
+const DEMAND_WINDOW_US: f64 = 1_000_000.0;
+/// Factor by which leases are requested for more than the demand.
+const DEMAND_HEADROOM: f64 = 1.2;
+/// Number of peers to which the proposed level is sent while requests are shed or shedding is proposed.
+const PROPOSAL_FANOUT: usize = 8;
+/// Number of peers to which it is sent while both levels are zero.
+const IDLE_PROPOSAL_FANOUT: usize = 3;
+/// Mean interval between proposals while both levels are zero; a fourth of it otherwise.
+const IDLE_PROPOSAL_INTERVAL_US: Micros = 700_000;
+/// Interval at which gates are updated while any circuit is not closed.
+const GATE_INTERVAL_US: Micros = 20_000;
+/// Maximum peers that are notified at once of a trial's result; the others find out by trials of their own.
+const TRIAL_RESULT_FANOUT: usize = 64;
+/// Smallest shortage for which a lease is requested, in thousandths of a token per second.
+const MIN_SHORTAGE_MILLITOKENS_PER_S: u64 = 500;
+/// Queueing time attributed to a worker that rejects a request, as a multiple of the one that raises the level.
+const FULL_QUEUE_FACTOR: u64 = 2;
 
-/// The resources, by their numbers on the wire.
+/// Names of the resources, indexed by their number on the wire.
 pub const RESOURCES: [&str; 2] = ["resends", "orders"];
 
-/// One shared budget.
-struct Shared {
+/// One budget that the dispatchers of a fleet share.
+struct SharedBudget {
     ledger: Ledger,
     bucket: Bucket,
-    /// Pieces wanted a second, the mean of late.
+    /// Moving average of the tokens wanted per second.
     demand: f64,
+    /// Tokens wanted since the last round of lease requests.
     wanted: u64,
+    /// Highest worth of what they were wanted for.
     worth: u32,
 }
 
-/// What the host sees of the group.
+/// The group as the host sees it.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Our own name.
+    /// Name of this dispatcher.
     pub own: Arc<str>,
-    /// The whole goes into so many parts, of which one is ours.
+    /// Number of parts into which a budget is divided, of which this dispatcher has one.
     pub parts: usize,
-    /// The others that are up, by name.
+    /// Names of the peers that are up.
     pub others: Vec<Arc<str>>,
 }
 
-/// Counts since the start.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Resends wanted, and those there were tokens for.
+    /// Resends wanted.
     pub wanted: u64,
-    /// See `wanted`.
+    /// Resends made, those for which there was a token.
     pub resent: u64,
-    /// Requests that the level turned away.
+    /// Requests shed because of the admission level.
     pub shed: u64,
-    /// The highest standing among those, of 64.
+    /// Highest standing among the shed requests, out of 64.
     pub shed_up_to: u8,
-    /// Leases given and had.
+    /// Leases granted to peers.
     pub lent: u64,
-    /// See `lent`.
+    /// Leases obtained from peers.
     pub borrowed: u64,
-    /// Trials of executors whose circuits are open.
+    /// Trial requests to executors whose circuits are open.
     pub trials: u64,
 }
 
-/// The budgets and the level of one dispatcher.
+/// The shared budgets, the admission level and the circuits of one dispatcher.
 pub struct Overload {
     options: Options,
-    shared: [Option<Shared>; 2],
+    budgets: [Option<SharedBudget>; 2],
     admission: Admission,
     queueing: Queueing,
     circuits: Option<Circuits>,
-    /// Executors listed, and those that have begun to answer again, of which the others are to hear.
+    /// Number of listed executors.
     workers: usize,
-    back: Vec<WorkerId>,
-    /// Trials of ours that were refused, likewise.
-    tried: Vec<WorkerId>,
-    /// The group as it was last seen.
+    /// Executors that have started to answer again, to be announced to the peers.
+    recovered: Vec<WorkerId>,
+    /// Executors that refused a trial of this dispatcher, to be announced to the peers.
+    failed_trials: Vec<WorkerId>,
+    /// The group as of the last `advance`.
     view: View,
     next_gate: Micros,
     next_interval: Micros,
     next_ask: Micros,
-    next_tell: Micros,
+    next_proposal: Micros,
     rng: Pcg32,
     stats: Stats,
 }
 
 impl Overload {
-    /// That of a process that begins now; `instance` tells it from earlier ones of its name.
+    /// Creates the state of a process that starts now; `instance` distinguishes it from earlier processes of the same name.
     pub fn new(options: Options, instance: u64, now: Micros) -> Overload {
-        let shared = |whole: u64| {
+        let shared_budget = |whole: u64| {
             let whole = whole.saturating_mul(1_000);
             let terms = Terms { whole, floor: options.floor, lease: options.lease, ..Terms::default() };
             let ledger = Ledger::new(terms, instance, now);
-            (whole > 0).then(|| Shared {
+            (whole > 0).then(|| SharedBudget {
                 ledger,
-                bucket: Bucket::new(BURST, now),
+                bucket: Bucket::new(BURST_US, now),
                 demand: 0.0,
                 wanted: 0,
                 worth: 1,
@@ -124,86 +135,87 @@
         let terms =
             admission::Terms { queue: options.queue, stay: options.stay, ..admission::Terms::default() };
         Overload {
-            shared: [shared(options.resends), shared(options.orders)],
+            budgets: [shared_budget(options.resends), shared_budget(options.orders)],
             admission: Admission::new(terms),
             queueing: Queueing::default(),
             circuits: (options.ramp > 0)
                 .then(|| Circuits::new(circuit::Terms { trial: options.trial, ramp: options.ramp })),
             workers: 0,
-            back: Vec::new(),
-            tried: Vec::new(),
+            recovered: Vec::new(),
+            failed_trials: Vec::new(),
             view: View::default(),
             next_gate: now,
             next_interval: now,
             next_ask: now,
-            next_tell: now,
+            next_proposal: now,
             rng: Pcg32::seed_from_u64(instance),
             stats: Stats::default(),
             options,
         }
     }
 
-    /// Counts since the start.
+    /// Returns the totals since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// The level in force.
+    /// Returns the admission level in force.
     pub fn level(&self) -> u8 {
         self.admission.level()
     }
 
-    /// What may be spent of a resource now, by its number, in thousandths a second.
+    /// Returns the rate at which a resource, given by its number, may be spent now, in thousandths per second.
     pub fn spendable(&self, place: usize, now: Micros) -> u64 {
-        self.shared.get(place).and_then(Option::as_ref).map_or(0, |s| s.ledger.spendable(now))
+        self.budgets.get(place).and_then(Option::as_ref).map_or(0, |b| b.ledger.spendable(now))
     }
 
-    /// Executors whose circuits are open, and those on a ramp.
+    /// Returns the number of executors whose circuits are open, and of those on a slow-start ramp.
     pub fn circuits(&self) -> (usize, usize) {
         self.circuits.as_ref().map_or((0, 0), Circuits::count)
     }
 
-    /// The list is this now.
+    /// Takes a new list of executors, and drops the circuits of those that are no longer listed.
     pub fn listed(&mut self, workers: BTreeSet<WorkerId>) {
         self.workers = workers.len();
         self.circuits.iter_mut().for_each(|c| c.retain(|worker| workers.contains(worker)));
     }
 
-    /// No connection to an executor came up.
+    /// Records that no connection to an executor could be established.
     pub fn refused(&mut self, now: Micros, worker: &WorkerId) {
         if self.circuits.as_mut().is_some_and(|c| c.refused(now, worker)) {
-            self.tried.push(worker.clone());
+            self.failed_trials.push(worker.clone());
         }
         self.next_gate = self.next_gate.min(now);
     }
 
-    /// An answer of this kind came from an executor after this long; or it turned it away.
+    /// Records an executor's answer to a request of this kind and the time it took; `None` if it rejected the request.
     pub fn answered(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
         if self.circuits.as_mut().is_some_and(|c| c.answered(now, worker)) {
-            self.back.push(worker.clone());
+            self.recovered.push(worker.clone());
             self.next_gate = now;
         }
         if self.options.queue > 0 {
             match took {
                 Some(took) => self.queueing.answered(now, kind, took),
-                None => self.queueing.turned_away(self.options.queue * FULL),
+                None => self.queueing.turned_away(self.options.queue * FULL_QUEUE_FACTOR),
             }
         }
     }
 
-    /// When something is next to be done.
+    /// Returns the time at which `advance` or `budget` next has work to do.
     pub fn due(&self, now: Micros) -> Micros {
-        let ends = self.shared.iter().flatten().map(|s| s.ledger.due(now)).min().unwrap_or(Micros::MAX);
-        let asks = if self.shared.iter().any(Option::is_some) { self.next_ask } else { Micros::MAX };
-        let level = if self.options.queue > 0 { self.next_interval.min(self.next_tell) } else { Micros::MAX };
+        let lease_end = self.budgets.iter().flatten().map(|b| b.ledger.due(now)).min().unwrap_or(Micros::MAX);
+        let ask = if self.budgets.iter().any(Option::is_some) { self.next_ask } else { Micros::MAX };
+        let has_level = self.options.queue > 0;
+        let level = if has_level { self.next_interval.min(self.next_proposal) } else { Micros::MAX };
         let gates = if self.circuits() == (0, 0) { Micros::MAX } else { self.next_gate };
-        ends.min(asks).min(level).min(gates)
+        lease_end.min(ask).min(level).min(gates)
     }
 
-    /// What the module may spend from now on, with what it spent before.
+    /// Returns what the decision module may spend from now on; `last` is what it has spent of the previous budget.
     pub fn budget(&mut self, now: Micros, last: &Budget) -> Budget {
-        let tokens = [last.resends, last.orders];
-        for (shared, tokens) in self.shared.iter_mut().zip(tokens) {
+        let last_tokens = [last.resends, last.orders];
+        for (shared, tokens) in self.budgets.iter_mut().zip(last_tokens) {
             if let (Some(shared), Some(tokens)) = (shared, tokens) {
                 shared.bucket.take(tokens.spent);
                 shared.wanted += tokens.wanted;
@@ -214,19 +226,19 @@
             self.stats.wanted += tokens.wanted;
             self.stats.resent += tokens.spent;
         }
-        for (worker, (_, got)) in last.gates.iter().filter(|(_, (_, got))| *got > 0) {
+        for (worker, (_, sent)) in last.gates.iter().filter(|(_, (_, sent))| *sent > 0) {
             self.stats.trials += u64::from(self.circuits.as_ref().is_some_and(|c| c.is_open(worker)));
-            self.circuits.iter_mut().for_each(|c| c.entered(now, worker, *got));
+            self.circuits.iter_mut().for_each(|c| c.entered(now, worker, *sent));
         }
         self.stats.shed += last.shed;
         self.stats.shed_up_to = self.stats.shed_up_to.max(last.shed_up_to);
-        let mut left = |place: usize| {
-            let shared = self.shared[place].as_mut()?;
-            // Danger: what was lent ends by the clock of now, whatever was in hand before a stall.
+        let mut tokens = |place: usize| {
+            let shared = self.budgets[place].as_mut()?;
+            // The rate is read at the present time, so that a lease that ended while the process was stalled adds nothing.
             let rate = shared.ledger.spendable(now);
             Some(Tokens { left: shared.bucket.refill(now, rate), ..Tokens::default() })
         };
-        let (resends, orders) = (left(0), left(1));
+        let (resends, orders) = (tokens(0), tokens(1));
         let (level, back) = (self.admission.level(), self.admission.back());
         let view = &self.view;
         let circuits = self.circuits.as_mut().filter(|c| c.count() != (0, 0));
@@ -235,22 +247,22 @@
         Budget { gates, resends, orders, level, back, ..Budget::default() }
     }
 
-    /// Does what is due; words to others.
+    /// Runs the timers that are due. Returns the messages to be sent, each with its receiver.
     pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Vec<u8>)> {
-        let mut words = Vec::new();
-        for shared in self.shared.iter_mut().flatten() {
+        let mut messages = Vec::new();
+        for shared in self.budgets.iter_mut().flatten() {
             shared.ledger.divide(view.parts);
         }
         self.view = view.clone();
         if now >= self.next_gate {
-            self.next_gate = now + GATES_EVERY;
+            self.next_gate = now + GATE_INTERVAL_US;
         }
-        let back = std::mem::take(&mut self.back).into_iter().map(|worker| Word::Back(worker, 0));
-        let tried = std::mem::take(&mut self.tried).into_iter().map(Word::Tried);
-        for word in back.chain(tried) {
-            let word = word.written();
-            let to = draw(&mut self.rng, view.others.clone(), MOST_TOLD);
-            words.extend(to.into_iter().map(|name| (name, word.clone())));
+        let recovered = std::mem::take(&mut self.recovered).into_iter().map(|worker| Word::Back(worker, 0));
+        let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Word::Tried);
+        for word in recovered.chain(failed_trials) {
+            let message = word.written();
+            let to = draw(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
+            messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         if now >= self.next_interval {
             self.next_interval = now + admission::Terms::default().interval;
@@ -258,67 +270,74 @@
             self.admission.measured(now, queue);
         }
         if now >= self.next_ask {
-            let passed = ASK_EVERY + now.saturating_sub(self.next_ask);
-            self.next_ask = now + ASK_EVERY;
-            for place in 0..self.shared.len() {
-                self.ask(now, place, passed, view, &mut words);
+            let elapsed = ASK_INTERVAL_US + now.saturating_sub(self.next_ask);
+            self.next_ask = now + ASK_INTERVAL_US;
+            for place in 0..self.budgets.len() {
+                self.request_leases(now, place, elapsed, view, &mut messages);
             }
         }
-        if self.options.queue > 0 && now >= self.next_tell {
-            let calm = self.admission.level() == 0 && self.admission.wish() == 0;
-            let (every, most) = if calm { (CALM_EVERY, TOLD_CALM) } else { (CALM_EVERY / 4, TOLD) };
-            // Each its own time, so that not all speak at once.
-            self.next_tell = now + every - every / 10 + u64::from(self.rng.next_u32()) % (every / 5);
-            let word = Word::Wish(self.admission.wish()).written();
-            let to = draw(&mut self.rng, view.others.clone(), most);
-            words.extend(to.into_iter().map(|name| (name, word.clone())));
+        if self.options.queue > 0 && now >= self.next_proposal {
+            let idle = self.admission.level() == 0 && self.admission.wish() == 0;
+            let (interval, fanout) = if idle {
+                (IDLE_PROPOSAL_INTERVAL_US, IDLE_PROPOSAL_FANOUT)
+            } else {
+                (IDLE_PROPOSAL_INTERVAL_US / 4, PROPOSAL_FANOUT)
+            };
+            // The jitter of 10 % either way keeps the dispatchers from sending at the same time.
+            let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
+            self.next_proposal = now + interval - interval / 10 + jitter;
+            let message = Word::Wish(self.admission.wish()).written();
+            let to = draw(&mut self.rng, view.others.clone(), fanout);
+            messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
-        words
+        messages
     }
 
-    /// Asks others for what is wanted and not there.
-    fn ask(
+    /// Requests leases from peers for the part of the demand that cannot be met.
+    fn request_leases(
         &mut self,
         now: Micros,
         place: usize,
-        passed: Micros,
+        elapsed: Micros,
         view: &View,
-        words: &mut Vec<(Arc<str>, Vec<u8>)>,
+        messages: &mut Vec<(Arc<str>, Vec<u8>)>,
     ) {
-        let Some(shared) = self.shared[place].as_mut() else { return };
-        let weight = (passed as f64 / DEMAND).min(1.0);
-        let rate = std::mem::take(&mut shared.wanted) as f64 * 1e6 / passed as f64;
+        let Some(shared) = self.budgets[place].as_mut() else { return };
+        let weight = (elapsed as f64 / DEMAND_WINDOW_US).min(1.0);
+        let rate = std::mem::take(&mut shared.wanted) as f64 * 1e6 / elapsed as f64;
         shared.demand += (rate - shared.demand) * weight;
-        let wants = (shared.demand * AHEAD * 1_000.0) as u64;
-        let (worth, has) = (std::mem::replace(&mut shared.worth, 1).max(1), shared.ledger.spendable(now));
-        shared.ledger.need(wants, worth);
-        // Less than a piece in a lease's time is not worth a word.
-        if wants <= has || wants - has < 500 {
+        let wanted = (shared.demand * DEMAND_HEADROOM * 1_000.0) as u64;
+        let (worth, available) =
+            (std::mem::replace(&mut shared.worth, 1).max(1), shared.ledger.spendable(now));
+        shared.ledger.need(wanted, worth);
+        // A shortage of less than about one token within the time of a lease does not justify a message.
+        if wanted <= available || wanted - available < MIN_SHORTAGE_MILLITOKENS_PER_S {
             return;
         }
-        let (missing, free) = (wants - has, |n: &&Arc<str>| !shared.ledger.deals_with(now, n));
-        let open: Vec<Arc<str>> = view.others.iter().filter(free).cloned().collect();
-        let to = draw(&mut self.rng, open, ASKS);
-        let Some(shared) = self.shared[place].as_mut() else { return };
+        let missing = wanted - available;
+        let has_no_dealings = |name: &&Arc<str>| !shared.ledger.deals_with(now, name);
+        let eligible: Vec<Arc<str>> = view.others.iter().filter(has_no_dealings).cloned().collect();
+        let to = draw(&mut self.rng, eligible, ASK_FANOUT);
+        let Some(shared) = self.budgets[place].as_mut() else { return };
         for name in &to {
             let part = missing.div_ceil(to.len() as u64);
             if let Some(ask) = shared.ledger.ask(now, name, part, worth) {
-                words.push((name.clone(), Word::Ask(place as u8, ask).written()));
+                messages.push((name.clone(), Word::Ask(place as u8, ask).written()));
             }
         }
     }
 
-    /// Takes another's word; what it is answered. Danger: it may say anything.
+    /// Takes a message from a peer and returns the reply, if there is one. The content is untrusted: it may be any bytes.
     pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
         match Word::read(bytes)? {
             Word::Ask(place, ask) => {
-                let shared = self.shared.get_mut(usize::from(place))?.as_mut()?;
+                let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
                 let grant = shared.ledger.asked(now, from, &ask);
                 self.stats.lent += u64::from(grant.amount > 0);
                 Some(Word::Grant(place, grant).written())
             }
             Word::Grant(place, grant) => {
-                let shared = self.shared.get_mut(usize::from(place))?.as_mut()?;
+                let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
                 self.stats.borrowed += u64::from(shared.ledger.granted(now, from, &grant));
                 None
             }
--- a/src/overload/options.rs
+++ b/src/overload/options.rs
@@ -1,24 +1,24 @@
-//! What the operator says of budgets and the level: `[overload]` of an operator's file.
+//! Settings of overload control: `[overload]` of an operator's file.
 
 use crate::api::Micros;
 
-/// Figures of `[overload]`; those of a whole fleet must be alike at all its dispatchers.
+/// Settings of `[overload]`; they must be the same at all dispatchers of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Second and later tries at workers that the whole fleet may make in a second; 0: no such budget.
+    /// Second and later attempts at workers that the whole fleet may make per second; 0 disables the budget.
     pub resends: u64,
-    /// Orders to load that it may give in a second; 0: no such budget.
+    /// Load orders that the whole fleet may give per second; 0 disables the budget.
     pub orders: u64,
-    /// Of each dispatcher's part so many thousandths are never lent.
+    /// Fraction of each dispatcher's part that is never lent, in thousandths.
     pub floor: u64,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Micros,
-    /// A queue at workers that stands longer than this raises the level; 0: there is no level.
+    /// Standing queueing time at workers above which the admission level rises; 0 disables admission control.
     pub queue: Micros,
-    /// How long a level stays before it falls.
+    /// Time for which a level is held before it falls.
     pub stay: Micros,
-    /// How long an executor that failed is let in by a ramp once it answers again; 0: there are no circuits.
+    /// Duration of the slow start of an executor that answers again after a failure; 0 disables circuits.
     pub ramp: Micros,
-    /// The time between two trials of one that fails, at first.
+    /// Initial interval between two trials of a failed executor.
     pub trial: Micros,
 }
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -1,19 +1,19 @@
-//! Budgets, leases and the level for operators: as JSON, and as lines of the command line.
+//! Reports on budgets, leases and the admission level for operators: as JSON, and as text lines for the command line.
 
 use super::{Overload, RESOURCES};
 use serde_json::{Value, json};
 
-/// Leases that a report lists; of more only the sums are told.
-const MOST_LISTED: usize = 64;
+/// Maximum leases listed for each budget; further ones appear in the sums only.
+const MAX_LISTED_LEASES: usize = 64;
 
-/// All that is known, as JSON.
+/// Returns the overload state as JSON.
 pub fn report(overload: &Overload, now: u64) -> Value {
     let budget = |(place, name): (usize, &&str)| {
-        let shared = overload.shared[place].as_ref()?;
+        let shared = overload.budgets[place].as_ref()?;
         let ledger = &shared.ledger;
-        let leases: Vec<Value> = (ledger.leases(now).take(MOST_LISTED))
-            .map(|(lent, who, amount, left)| {
-                json!({"lent": lent, "with": who, "per_s": per_s(amount), "left_ms": left / 1_000})
+        let leases: Vec<Value> = (ledger.leases(now).take(MAX_LISTED_LEASES))
+            .map(|(lent, peer, amount, left)| {
+                json!({"lent": lent, "with": peer, "per_s": per_s(amount), "left_ms": left / 1_000})
             })
             .collect();
         Some(json!({
@@ -34,11 +34,11 @@
     thousandths as f64 / 1_000.0
 }
 
-/// The same for people, a line each.
+/// Formats a report as text lines: the admission level, then each budget with its leases.
 pub fn lines(report: &Value) -> Vec<String> {
-    let text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
+    let plain_text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
     let mut lines = vec![format!(
-        "level {} (own wish {}, {} others heard), {} requests turned away by it, up to standing {}; resends {} of {} wanted",
+        "level {} (own proposal {}, proposals of {} peers), {} requests shed, up to standing {}; resends {} of {} wanted",
         report["level"],
         report["wish"],
         report["heard"],
@@ -47,25 +47,25 @@
         report["resends"],
         report["resends_wanted"]
     )];
-    for b in report["budgets"].as_array().into_iter().flatten() {
+    for budget in report["budgets"].as_array().into_iter().flatten() {
         lines.push(format!(
-            "{:<8} may spend {} a second: owns {} (never lends {}), lent {}, borrowed {}; wants {:.1}",
-            text(&b["name"]),
-            b["spendable_per_s"],
-            b["own_per_s"],
-            b["floor_per_s"],
-            b["lent_per_s"],
-            b["borrowed_per_s"],
-            b["wanted_per_s"].as_f64().unwrap_or_default()
+            "{:<8} may spend {} per second: owns {} (never lends {}), lent {}, borrowed {}; wants {:.1}",
+            plain_text(&budget["name"]),
+            budget["spendable_per_s"],
+            budget["own_per_s"],
+            budget["floor_per_s"],
+            budget["lent_per_s"],
+            budget["borrowed_per_s"],
+            budget["wanted_per_s"].as_f64().unwrap_or_default()
         ));
-        for l in b["leases"].as_array().into_iter().flatten() {
-            let way = if l["lent"] == true { "lent to" } else { "borrowed from" };
+        for lease in budget["leases"].as_array().into_iter().flatten() {
+            let direction = if lease["lent"] == true { "lent to" } else { "borrowed from" };
             lines.push(format!(
-                "  {} {:<20} {} a second, {} ms left",
-                way,
-                text(&l["with"]),
-                l["per_s"],
-                l["left_ms"]
+                "  {} {:<20} {} per second, {} ms left",
+                direction,
+                plain_text(&lease["with"]),
+                lease["per_s"],
+                lease["left_ms"]
             ));
         }
     }
