--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -1,7 +1,9 @@
-//! Zones as one fleet: when the machine of `crates/zones` is told and asked, and what an operator reads of it.
+//! Applies the fleet's decisions to leave a failing zone and to return to it: feeds attempts and reports to the state
+//! machine in `crates/zones`, limits the requests to each zone accordingly, and reports the state to operators.
 //!
-//! No I/O, the clock passed in: reports go out and come in by the host as notes between members. Off without `[zones]`; then no
-//! decision changes. Without peers a dispatcher goes by its own evidence.
+//! This module does no I/O: the clock is passed in, and the host carries reports between members as notes. Disabled without
+//! `[zones]`; then no decision changes. Without peers a dispatcher uses its own observations. The tables are bounded by
+//! `crates/zones`.
 
 mod options;
 mod report;
@@ -18,51 +20,52 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The channel of the membership's notes.
+/// Channel of zone reports among the membership's notes.
 pub const CHANNEL: u8 = 3;
-/// The longest time for which an operator's word stands.
+/// Maximum duration of an operator's order.
 pub const MOST_ORDER: Micros = 24 * 3_600 * 1_000_000;
 
-/// A word at the door that can't be obeyed.
+/// The reason why an operator's order is not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ZoneError {
-    /// No executor stands in such a zone.
+    /// No executor is listed in the zone.
     #[error("no executor is listed in zone '{0}': `GET /_zones` names those that are")]
     Unknown(String),
-    /// The feature is off.
-    #[error("zones are off: put [zones] into this dispatcher's operator's file and start it again")]
+    /// Zone handling is disabled.
+    #[error("zone handling is disabled: add [zones] to this dispatcher's operator's file and restart it")]
     Off,
 }
 
-/// The zones as one dispatcher knows them.
+/// The state of the zones at one dispatcher.
 pub struct Zones {
-    machine: ochreward_zones::Zones,
-    /// Places of zones in the settings, by name.
-    places: BTreeMap<Arc<str>, usize>,
+    fleet_state: ochreward_zones::Zones,
+    /// Index of each zone in the settings, by name.
+    indices: BTreeMap<Arc<str>, usize>,
     home: Arc<str>,
-    moves: u64,
+    /// Number of times that the steps of the zones have changed.
+    step_changes: u64,
 }
 
 impl Zones {
-    /// One that begins now; `home` is the zone that it stands in.
+    /// Creates the state of a dispatcher that starts now in the zone `home`.
     pub fn new(options: &Options, settings: &Settings, home: &str, now: Micros) -> Zones {
-        let machine = ochreward_zones::Zones::new(options.terms(settings), now);
-        Zones { machine, places: BTreeMap::new(), home: home.into(), moves: 0 }
+        let fleet_state = ochreward_zones::Zones::new(options.terms(settings), now);
+        Zones { fleet_state, indices: BTreeMap::new(), home: home.into(), step_changes: 0 }
     }
 
-    /// The list of executors, and the settings' names of zones.
+    /// Takes a new list of executors; `names` are the zones of the settings in order.
     pub fn listed(&mut self, executors: &[Executor], names: &[String]) {
-        let place = |e: &Executor| names.iter().position(|n| *n == e.zone).unwrap_or(names.len());
-        self.places = executors.iter().map(|e| (Arc::from(e.zone.as_str()), place(e))).collect();
+        let index = |e: &Executor| names.iter().position(|n| *n == e.zone).unwrap_or(names.len());
+        self.indices = executors.iter().map(|e| (Arc::from(e.zone.as_str()), index(e))).collect();
         let list: Vec<(WorkerId, Arc<str>)> =
             executors.iter().map(|e| (e.id.clone(), e.zone.as_str().into())).collect();
-        self.machine.listed(&list);
+        self.fleet_state.listed(&list);
     }
 
-    /// Takes what became of attempts.
+    /// Records the start or the end of an attempt.
     pub fn seen(&mut self, now: Micros, trace: Trace) {
         let Trace { worker, sent, end } = trace;
-        let Some((outcome, kind, took)) = end else { return self.machine.sent(now, &worker) };
+        let Some((outcome, kind, took)) = end else { return self.fleet_state.sent(now, &worker) };
         let end = match outcome {
             Outcome::ConnectFailed => End::Refused,
             Outcome::Reset => End::Reset,
@@ -70,62 +73,65 @@
             Outcome::Ok => End::Answered(kind, took),
             Outcome::Full | Outcome::Error | Outcome::Miss | Outcome::Unknown => End::Answered(kind, None),
         };
-        self.machine.ended(now, &worker, sent, end);
+        self.fleet_state.ended(now, &worker, sent, end);
     }
 
-    /// Another's words. Danger: they may be any bytes.
+    /// Takes a report from a peer. The content is untrusted: it may be any bytes.
     pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) {
         if let Some(report) = Report::read(bytes) {
-            self.machine.told(now, from, report);
+            self.fleet_state.told(now, from, report);
         }
     }
 
-    /// Does what is due; what is to be said, and to whom.
+    /// Runs the timers that are due. Returns the reports to be sent, each with its receiver.
     pub fn advance(&mut self, now: Micros, view: View) -> Vec<(Arc<str>, Vec<u8>)> {
-        if now < self.machine.due() {
+        if now < self.fleet_state.due() {
             return Vec::new();
         }
-        let steps = |h: &Zones| -> Vec<u8> {
-            h.machine.names().filter_map(|(zone, _)| h.machine.place(zone)).map(|p| p.step).collect()
+        let steps = |zones: &Zones| -> Vec<u8> {
+            let state = &zones.fleet_state;
+            state.names().filter_map(|(zone, _)| state.place(zone)).map(|p| p.step).collect()
         };
         let before = steps(self);
-        let words = self.machine.advance(now, &View { home: self.home.clone(), ..view });
-        self.moves += u64::from(steps(self) != before);
-        words.into_iter().map(|(to, report)| (to, report.written())).collect()
+        let reports = self.fleet_state.advance(now, &View { home: self.home.clone(), ..view });
+        self.step_changes += u64::from(steps(self) != before);
+        reports.into_iter().map(|(to, report)| (to, report.written())).collect()
     }
 
-    /// When `advance` next has something to do.
+    /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> Micros {
-        self.machine.due()
+        self.fleet_state.due()
     }
 
-    /// Requests that may go to each zone now, by its place in the settings, where something is held back; `last` is what the module
-    /// sent through the gates that it was given before.
+    /// Returns the number of requests that may go to each restricted zone now, by the zone's index in the settings;
+    /// `last` is what the decision module sent through the previous gates.
     pub fn gates(&mut self, now: Micros, last: &BTreeMap<usize, ZoneGate>) -> BTreeMap<usize, ZoneGate> {
         let mut gates = BTreeMap::new();
-        for (zone, place) in &self.places {
-            if let Some(gate) = last.get(place).filter(|g| g.got > 0) {
-                self.machine.entered(zone, gate.got);
+        for (zone, index) in &self.indices {
+            if let Some(gate) = last.get(index).filter(|g| g.got > 0) {
+                self.fleet_state.entered(zone, gate.got);
             }
-            if let Some(left) = self.machine.gate(now, zone) {
-                gates.insert(*place, ZoneGate { left, got: 0, wanted: self.machine.wants(zone) });
+            if let Some(left) = self.fleet_state.gate(now, zone) {
+                gates.insert(*index, ZoneGate { left, got: 0, wanted: self.fleet_state.wants(zone) });
             }
         }
         gates
     }
 
-    /// An operator's word for so long; none ends the one before.
+    /// Applies an operator's order to a zone for a limited time; `None` cancels the order in force.
     pub fn say(&mut self, now: Micros, zone: &str, order: Option<(Order, Micros)>) -> Result<(), ZoneError> {
-        let until = order.map(|(order, time)| (order, now + time.min(MOST_ORDER)));
-        let known = self.machine.say(zone, until);
+        let until = order.map(|(order, duration)| (order, now + duration.min(MOST_ORDER)));
+        let known = self.fleet_state.say(zone, until);
         known.then_some(()).ok_or_else(|| ZoneError::Unknown(zone.to_string()))
     }
 
-    /// Zones of which less than the usual is used, and changes of step that were seen.
+    /// Returns the number of zones that receive less than their usual traffic, and the number of step changes.
     pub fn counts(&self) -> (u64, u64) {
-        let held =
-            |(zone, held): (&Arc<str>, bool)| held || self.machine.place(zone).is_some_and(|p| p.step < TOP);
-        (self.machine.names().filter(|n| held(*n)).count() as u64, self.moves)
+        let is_restricted = |(zone, restricted): (&Arc<str>, bool)| {
+            restricted || self.fleet_state.place(zone).is_some_and(|p| p.step < TOP)
+        };
+        let restricted = self.fleet_state.names().filter(|zone| is_restricted(*zone)).count();
+        (restricted as u64, self.step_changes)
     }
 }
 
--- a/src/zones/options.rs
+++ b/src/zones/options.rs
@@ -1,24 +1,25 @@
-//! What the operator says of zones: `[zones]` of an operator's file.
+//! Settings of zone handling: `[zones]` of an operator's file.
 
 use crate::api::{Micros, Settings};
 use ochreward_zones::Terms;
 
-/// The share of what a cold worker may be sent at the most that is used, in thousandths: messages and clocks are late.
-const USED: f64 = 600.0;
+/// Fraction of the maximum load of a cold worker that is used, in thousandths; the rest is a margin for late messages and
+/// clocks.
+const COLD_LOAD_PER_MILLE: f64 = 600.0;
 
-/// Figures of `[zones]`, which must be alike at all dispatchers of a fleet.
+/// Settings of `[zones]`; they must be the same at all dispatchers of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// A worker that was sent something and says nothing for so long is silent.
+    /// Time without an answer to something sent after which a worker counts as silent.
     pub silent: Micros,
-    /// A zone that was left is left alone for so long at first.
+    /// Initial time for which a zone that was left receives no trials.
     pub stay: Micros,
-    /// The time between two steps of the way back at the least.
+    /// Minimum time between two steps of the return to a zone.
     pub dwell: Micros,
 }
 
 impl Options {
-    /// Times and bounds; what cold workers bear is the platform's to tell.
+    /// Returns the terms of the zone state machine; the load that cold workers can take comes from the platform's settings.
     pub fn terms(&self, settings: &Settings) -> Terms {
         Terms {
             silent: self.silent,
@@ -26,7 +27,7 @@
             dwell: self.dwell,
             cold: (settings.cold_share * 1_000.0) as u64,
             warm: settings.warm_after.max(1),
-            bears: (settings.fall_multiple * USED) as u64,
+            bears: (settings.fall_multiple * COLD_LOAD_PER_MILLE) as u64,
             ..Terms::default()
         }
     }
--- a/src/zones/report.rs
+++ b/src/zones/report.rs
@@ -1,52 +1,55 @@
-//! Zones for operators: as JSON, and as lines of the command line.
+//! Reports on zones for operators: as JSON, and as text lines for the command line.
 
 use super::Zones;
 use ochreward_zones::SHARES;
 use serde_json::{Value, json};
 
-/// All that is known, as JSON.
+/// Returns the state of all zones as JSON.
 pub fn report(zones: &mut Zones, now: u64) -> Value {
-    let word = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
-    let (heard, stalls) = (zones.machine.heard(), zones.machine.stalls());
-    let standings = zones.machine.standings(now).into_iter().map(|s| {
-        let left = |until: u64| until.saturating_sub(now) / 1_000;
+    let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
+    let (heard, stalls) = (zones.fleet_state.heard(), zones.fleet_state.stalls());
+    let standings = zones.fleet_state.standings(now).into_iter().map(|standing| {
+        let ms_left = |until: u64| until.saturating_sub(now) / 1_000;
         json!({
-            "zone": &*s.zone, "inside": s.inside, "epoch": s.place.epoch, "step": s.place.step,
-            "share": SHARES[usize::from(s.place.step.min(4))], "reason": word(&s.place.reason),
-            "since_ms": s.place.age_ms(now), "not_higher_for_ms": left(s.place.until), "sees": word(&s.opinion),
-            "order": s.order.map(|(order, _)| word(&order)), "order_ms": s.order.map(|(_, until)| left(until)),
-            "peak_per_s": s.peak as f64 / 1_000.0,
+            "zone": &*standing.zone, "inside": standing.inside,
+            "epoch": standing.place.epoch, "step": standing.place.step,
+            "share": SHARES[usize::from(standing.place.step.min(4))], "reason": lower_case(&standing.place.reason),
+            "since_ms": standing.place.age_ms(now), "not_higher_for_ms": ms_left(standing.place.until),
+            "sees": lower_case(&standing.opinion),
+            "order": standing.order.map(|(order, _)| lower_case(&order)),
+            "order_ms": standing.order.map(|(_, until)| ms_left(until)),
+            "peak_per_s": standing.peak as f64 / 1_000.0,
         })
     });
     let list: Vec<Value> = standings.collect();
-    json!({"home": &*zones.home, "heard": heard, "stood_still": stalls, "moves": zones.moves, "zones": list})
+    json!({"home": &*zones.home, "heard": heard, "stood_still": stalls, "moves": zones.step_changes, "zones": list})
 }
 
-/// The same for people, a line each.
+/// Formats a report as text lines: a summary, then one line for each zone.
 pub fn lines(report: &Value) -> Vec<String> {
-    let text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
+    let plain_text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
     let mut lines = vec![format!(
-        "stands in '{}', hears {} others of zones; {} changes of step, stood still {} times",
-        text(&report["home"]),
+        "in zone '{}', receives reports from {} peers; {} step changes, {} process stalls",
+        plain_text(&report["home"]),
         report["heard"],
         report["moves"],
         report["stood_still"]
     )];
-    for h in report["zones"].as_array().into_iter().flatten() {
-        let order = match &h["order"] {
+    for zone in report["zones"].as_array().into_iter().flatten() {
+        let order = match &zone["order"] {
             Value::Null => String::new(),
-            order => format!("; an operator says {} for {} ms", text(order), h["order_ms"]),
+            order => format!("; operator's order: {} for {} ms", plain_text(order), zone["order_ms"]),
         };
         lines.push(format!(
-            "{:<16} {} of 1000, step {} in epoch {} ({}) for {} ms; sees it {}; best {} a second{}",
-            text(&h["zone"]),
-            h["share"],
-            h["step"],
-            h["epoch"],
-            text(&h["reason"]),
-            h["since_ms"],
-            text(&h["sees"]),
-            h["peak_per_s"],
+            "{:<16} {} of 1000, step {} in epoch {} ({}) for {} ms; observed as {}; peak {} per second{}",
+            plain_text(&zone["zone"]),
+            zone["share"],
+            zone["step"],
+            zone["epoch"],
+            plain_text(&zone["reason"]),
+            zone["since_ms"],
+            plain_text(&zone["sees"]),
+            zone["peak_per_s"],
             order
         ));
     }
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -3,7 +3,7 @@
 
 const MS: Micros = 1_000;
 
-fn zones() -> Zones {
+fn two_zones() -> Zones {
     let options = Options { silent: 300 * MS, stay: 500 * MS, dwell: 200 * MS };
     let settings = crate::config::Config::read(include_str!("../../deploy/example.json"))
         .expect("the shipped example")
@@ -32,36 +32,36 @@
 }
 
 #[test]
-fn alone_it_leaves_a_zone_whose_executors_are_gone_and_the_gate_is_that_of_its_place() {
-    let mut h = zones();
-    ["a0", "a1", "b0", "b1"].iter().for_each(|w| attempt(&mut h, 10 * MS, w, Outcome::Ok));
-    h.advance(50 * MS, View::default());
-    assert!(h.gates(50 * MS, &BTreeMap::new()).is_empty());
-    ["b0", "b1"].iter().for_each(|w| attempt(&mut h, 60 * MS, w, Outcome::Reset));
-    ["a0", "a1"].iter().for_each(|w| attempt(&mut h, 70 * MS, w, Outcome::Ok));
-    h.advance(100 * MS, View::default());
-    let shut = |wanted| ZoneGate { left: 0, got: 0, wanted };
-    assert_eq!(h.gates(100 * MS, &BTreeMap::new()), [(0, shut(true))].into());
-    assert_eq!(h.counts(), (1, 1));
+fn without_peers_leaves_a_zone_of_failed_executors_and_closes_the_gate_at_its_index() {
+    let mut zones = two_zones();
+    ["a0", "a1", "b0", "b1"].iter().for_each(|w| attempt(&mut zones, 10 * MS, w, Outcome::Ok));
+    zones.advance(50 * MS, View::default());
+    assert!(zones.gates(50 * MS, &BTreeMap::new()).is_empty());
+    ["b0", "b1"].iter().for_each(|w| attempt(&mut zones, 60 * MS, w, Outcome::Reset));
+    ["a0", "a1"].iter().for_each(|w| attempt(&mut zones, 70 * MS, w, Outcome::Ok));
+    zones.advance(100 * MS, View::default());
+    let closed = |wanted| ZoneGate { left: 0, got: 0, wanted };
+    assert_eq!(zones.gates(100 * MS, &BTreeMap::new()), [(0, closed(true))].into());
+    assert_eq!(zones.counts(), (1, 1));
 }
 
 #[test]
-fn an_operators_word_goes_before_evidence_until_it_is_over() {
-    let mut h = zones();
-    assert_eq!(h.say(0, "c", Some((Order::Leave, MS))), Err(ZoneError::Unknown("c".into())));
-    assert_eq!(h.say(0, "a", Some((Order::Leave, 500 * MS))), Ok(()));
-    let shut = ZoneGate { left: 0, got: 0, wanted: false };
-    assert_eq!(h.gates(100 * MS, &BTreeMap::new()), [(1, shut)].into());
-    assert!(h.gates(600 * MS, &BTreeMap::new()).is_empty(), "it is over");
-    assert_eq!(h.say(700 * MS, "a", Some((Order::Leave, MOST_ORDER * 9))), Ok(()));
-    assert_eq!(h.say(800 * MS, "a", None), Ok(()));
-    assert!(h.gates(900 * MS, &BTreeMap::new()).is_empty(), "it was taken back");
+fn operator_order_overrides_observations_until_it_ends() {
+    let mut zones = two_zones();
+    assert_eq!(zones.say(0, "c", Some((Order::Leave, MS))), Err(ZoneError::Unknown("c".into())));
+    assert_eq!(zones.say(0, "a", Some((Order::Leave, 500 * MS))), Ok(()));
+    let closed = ZoneGate { left: 0, got: 0, wanted: false };
+    assert_eq!(zones.gates(100 * MS, &BTreeMap::new()), [(1, closed)].into());
+    assert!(zones.gates(600 * MS, &BTreeMap::new()).is_empty(), "the order has expired");
+    assert_eq!(zones.say(700 * MS, "a", Some((Order::Leave, MOST_ORDER * 9))), Ok(()));
+    assert_eq!(zones.say(800 * MS, "a", None), Ok(()));
+    assert!(zones.gates(900 * MS, &BTreeMap::new()).is_empty(), "the order was cancelled");
 }
 
 #[test]
-fn bytes_that_are_no_report_change_nothing() {
-    let mut h = zones();
-    h.heard(0, &"x".into(), &[255; 50]);
-    h.heard(0, &"x".into(), &[]);
-    assert_eq!(h.counts(), (0, 0));
+fn invalid_reports_change_nothing() {
+    let mut zones = two_zones();
+    zones.heard(0, &"x".into(), &[255; 50]);
+    zones.heard(0, &"x".into(), &[]);
+    assert_eq!(zones.counts(), (0, 0));
 }
