--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -442,7 +442,8 @@
 
     // ---- Admin requests ----
 
-    /// Handles an admin request. A connection may make one request, and none if it is a subscriber's.
+    /// Handles an admin request. A connection is closed if it sends a request while another is being answered, or if it is
+    /// a subscriber's.
     fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Ask) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if self.service.is_subscriber(slot) || connection.outgoing.is_some() || connection.closing {
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -21,7 +21,7 @@
 
 /// A model of an instance: accepts every offer, or rejects one version number.
 #[derive(Clone, Default)]
-struct Model {
+struct InstanceModel {
     running: Option<Arc<Snapshot>>,
     refuses: Option<u64>,
     /// All versions that it was offered, in order.
@@ -29,28 +29,36 @@
 }
 
 /// The service with its log, its instances and their connections.
-struct World {
+struct Harness {
     service: Service,
     now: Timestamp,
     log: Vec<Record>,
-    models: BTreeMap<String, Model>,
-    names: BTreeMap<ConnectionId, String>,
-    next_conn: ConnectionId,
+    models: BTreeMap<String, InstanceModel>,
+    instance_names: BTreeMap<ConnectionId, String>,
+    last_connection: ConnectionId,
     /// The service is killed once the log holds this many records; its further records and actions are lost.
     killed_after: Option<usize>,
     killed: bool,
 }
 
-impl World {
-    fn new(count: usize) -> World {
+impl Harness {
+    fn new(count: usize) -> Harness {
         let now = Timestamp { us: 1, unix_ms: 1_000 };
         let service = Service::recover(plan(), 100, Vec::new(), now, "s");
-        let models = (0..count).map(|i| (format!("n{i:02}"), Model::default())).collect();
-        let (log, names) = (Vec::new(), BTreeMap::new());
-        let mut world =
-            World { service, now, log, models, names, next_conn: 0, killed_after: None, killed: false };
-        world.settle();
-        world
+        let models = (0..count).map(|i| (format!("n{i:02}"), InstanceModel::default())).collect();
+        let (log, instance_names) = (Vec::new(), BTreeMap::new());
+        let mut harness = Harness {
+            service,
+            now,
+            log,
+            models,
+            instance_names,
+            last_connection: 0,
+            killed_after: None,
+            killed: false,
+        };
+        harness.settle();
+        harness
     }
 
     fn connect_all(&mut self) {
@@ -72,9 +80,9 @@
             holds: model.running.as_ref().map(|r| r.holds()).unwrap_or_default(),
             refused: Vec::new(),
         };
-        self.next_conn += 1;
-        self.names.insert(self.next_conn, name.to_string());
-        let result = self.service.received(self.now, self.next_conn, ToService::Hello(hello));
+        self.last_connection += 1;
+        self.instance_names.insert(self.last_connection, name.to_string());
+        let result = self.service.received(self.now, self.last_connection, ToService::Hello(hello));
         assert_eq!(result, Ok(()));
         self.settle();
     }
@@ -87,7 +95,7 @@
                 return;
             }
             for record in records {
-                if self.killed_after.is_some_and(|most| self.log.len() >= most) {
+                if self.killed_after.is_some_and(|limit| self.log.len() >= limit) {
                     self.killed = true;
                     return;
                 }
@@ -102,7 +110,7 @@
     }
 
     fn offered(&mut self, conn: ConnectionId, nonce: u64, snapshot: Arc<Snapshot>, held: &[Kind]) {
-        let Some(model) = self.models.get_mut(&self.names[&conn]) else { return };
+        let Some(model) = self.models.get_mut(&self.instance_names[&conn]) else { return };
         let version = snapshot.version;
         // Only types that the instance holds may be omitted from an offer.
         let holds = |k: &Kind| {
@@ -135,7 +143,7 @@
             self.now.us += 50;
             self.now.unix_ms += 1;
             let conns: Vec<(ConnectionId, String)> =
-                self.names.iter().map(|(c, n)| (*c, n.clone())).collect();
+                self.instance_names.iter().map(|(c, n)| (*c, n.clone())).collect();
             for (conn, name) in conns {
                 let running = self.models[&name].running.as_ref().map(|r| r.version);
                 let beat = ToService::Beat { running, health: Health::default() };
@@ -150,7 +158,7 @@
     fn restart(&mut self) {
         self.service = Service::recover(plan(), 100, self.log.clone(), self.now, "other");
         (self.killed_after, self.killed) = (None, false);
-        self.names.clear();
+        self.instance_names.clear();
         self.settle();
         // No instance has reconnected yet: no wave may begin without them.
         self.advance_steps(2);
@@ -173,39 +181,44 @@
 #[test]
 fn a_rollout_survives_a_kill_after_any_record_without_skipping_or_repeating_a_wave() {
     let run = |killed_after: Option<usize>| {
-        let mut world = World::new(9);
-        world.killed_after = killed_after;
-        world.connect_all();
-        if !world.killed {
-            world.service.publish(world.now, document(1), false);
-            world.settle();
+        let mut harness = Harness::new(9);
+        harness.killed_after = killed_after;
+        harness.connect_all();
+        if !harness.killed {
+            harness.service.publish(harness.now, document(1), false);
+            harness.settle();
         }
-        world.advance_steps(60);
+        harness.advance_steps(60);
         if killed_after.is_some() {
-            assert!(world.killed, "{killed_after:?}");
-            world.restart();
+            assert!(harness.killed, "{killed_after:?}");
+            harness.restart();
             // A client without a reply publishes again; publishing the same document twice creates one version.
-            if world.service.catalog().latest().is_none() {
-                world.service.publish(world.now, document(1), false);
-                world.settle();
+            if harness.service.catalog().latest().is_none() {
+                harness.service.publish(harness.now, document(1), false);
+                harness.settle();
             }
-            world.advance_steps(120);
+            harness.advance_steps(120);
         }
-        world
+        harness
     };
     let uninterrupted = run(None);
     assert_eq!(uninterrupted.phase(), "done");
     let records = uninterrupted.log.len();
     assert!(records > 20, "{records}");
     for killed_after in 1..records {
-        let world = run(Some(killed_after));
-        assert_eq!(world.phase(), "done", "killed after {killed_after}: {}", world.service.status(world.now));
-        let waves = world.waves(1);
+        let harness = run(Some(killed_after));
+        assert_eq!(
+            harness.phase(),
+            "done",
+            "killed after {killed_after}: {}",
+            harness.service.status(harness.now)
+        );
+        let waves = harness.waves(1);
         assert_eq!(waves.iter().map(|(w, _)| *w).collect::<Vec<_>>(), [0, 1, 2], "{killed_after}");
         let members: Vec<&String> = waves.iter().flat_map(|(_, m)| m).collect();
         assert_eq!(members.len(), 9, "{killed_after}");
         assert_eq!(members.iter().collect::<BTreeSet<_>>().len(), 9, "{killed_after}");
-        for (name, model) in &world.models {
+        for (name, model) in &harness.models {
             assert_eq!(model.running.as_ref().map(|r| r.version.number), Some(1), "{name}");
         }
     }
@@ -213,15 +226,15 @@
 
 #[test]
 fn compacted_records_restore_the_same_state_as_all_records() {
-    let mut world = World::new(6);
-    world.connect_all();
+    let mut harness = Harness::new(6);
+    harness.connect_all();
     for n in 1..4 {
-        world.service.publish(world.now, document(n), n == 1);
-        world.settle();
-        world.advance_steps(if n == 3 { 1 } else { 60 });
+        harness.service.publish(harness.now, document(n), n == 1);
+        harness.settle();
+        harness.advance_steps(if n == 3 { 1 } else { 60 });
     }
     let status = |records: Vec<Record>| {
-        let mut status = Service::recover(plan(), 100, records, world.now, "x").status(world.now);
+        let mut status = Service::recover(plan(), 100, records, harness.now, "x").status(harness.now);
         // The time of the last message on a stream is not recorded.
         status["instances"]
             .as_array_mut()
@@ -230,83 +243,86 @@
             .for_each(|i| i["heard_ms_ago"] = json!(0));
         status
     };
-    assert_eq!(status(world.log.clone()), status(world.service.snapshot_records()));
+    assert_eq!(status(harness.log.clone()), status(harness.service.snapshot_records()));
 }
 
 #[test]
 fn a_refusal_halts_the_rollout_and_resuming_excludes_the_instance() {
-    let mut world = World::new(8);
-    world.connect_all();
-    world.models.get_mut("n05").expect("one").refuses = Some(1);
-    world.service.publish(world.now, document(1), false);
-    world.settle();
-    world.advance_steps(60);
-    let status = world.service.status(world.now);
+    let mut harness = Harness::new(8);
+    harness.connect_all();
+    harness.models.get_mut("n05").expect("one").refuses = Some(1);
+    harness.service.publish(harness.now, document(1), false);
+    harness.settle();
+    harness.advance_steps(60);
+    let status = harness.service.status(harness.now);
     let rollout = &status["rollout"];
     assert_eq!(rollout["phase"], "halted");
     assert!(rollout["why"].as_str().is_some_and(|w| w.contains("n05")), "{rollout}");
     let count = |key: &str| rollout[key].as_array().map_or(0, Vec::len);
     assert_eq!((count("refused"), count("unknown")), (1, 0));
     assert_eq!(count("changed") + count("unchanged"), 7);
-    let running = world.models.values().filter(|m| m.running.is_some()).count();
+    let running = harness.models.values().filter(|m| m.running.is_some()).count();
     assert_eq!(count("changed"), running);
-    assert!(world.service.resume(world.now));
-    world.settle();
-    world.advance_steps(60);
-    assert_eq!(world.phase(), "done");
-    assert_eq!(world.models["n05"].offers.len(), 1, "a refused version is not offered again");
-    assert_eq!(world.models.values().filter(|m| m.running.is_some()).count(), 7);
+    assert!(harness.service.resume(harness.now));
+    harness.settle();
+    harness.advance_steps(60);
+    assert_eq!(harness.phase(), "done");
+    assert_eq!(harness.models["n05"].offers.len(), 1, "a refused version is not offered again");
+    assert_eq!(harness.models.values().filter(|m| m.running.is_some()).count(), 7);
 }
 
 #[test]
 fn a_rollback_publishes_the_old_content_under_a_new_number() {
-    let mut world = World::new(3);
-    world.connect_all();
+    let mut harness = Harness::new(3);
+    harness.connect_all();
     for n in 1..=2 {
-        world.service.publish(world.now, document(n), true);
-        world.settle();
-        world.advance_steps(20);
+        harness.service.publish(harness.now, document(n), true);
+        harness.settle();
+        harness.advance_steps(20);
     }
-    assert_eq!(world.service.publish(world.now, document(2), true), PublishOutcome::Same(Version::new(1, 2)));
-    assert_eq!(world.service.rollback(world.now, 9, true), PublishOutcome::Unknown);
-    assert_eq!(world.service.rollback(world.now, 1, true), PublishOutcome::New(Version::new(1, 3)));
-    world.settle();
-    world.advance_steps(20);
-    for model in world.models.values() {
+    assert_eq!(
+        harness.service.publish(harness.now, document(2), true),
+        PublishOutcome::Same(Version::new(1, 2))
+    );
+    assert_eq!(harness.service.rollback(harness.now, 9, true), PublishOutcome::Unknown);
+    assert_eq!(harness.service.rollback(harness.now, 1, true), PublishOutcome::New(Version::new(1, 3)));
+    harness.settle();
+    harness.advance_steps(20);
+    for model in harness.models.values() {
         let text = model.running.as_ref().map(|r| r.resources[&Kind::Settings].text.to_string());
         assert_eq!(text.as_deref(), Some("{\"limits\":{\"max_open\":1}}"));
         let numbers: Vec<u64> = model.offers.iter().map(|v| v.number).collect();
         assert_eq!(numbers, [1, 2, 3]);
     }
-    assert_eq!(world.service.history()[2]["rollback_of"], "1.1");
+    assert_eq!(harness.service.history()[2]["rollback_of"], "1.1");
 }
 
 #[test]
 fn an_answer_lost_with_its_connection_is_recovered_from_the_next_hello() {
-    let mut world = World::new(2);
-    world.connect_all();
-    world.service.publish(world.now, document(1), true);
+    let mut harness = Harness::new(2);
+    harness.connect_all();
+    harness.service.publish(harness.now, document(1), true);
     // The offers reach the instances, but their answers are lost.
-    let (records, actions) = world.service.flush();
-    world.log.extend(records);
+    let (records, actions) = harness.service.flush();
+    harness.log.extend(records);
     for action in actions {
         if let Action::Offer(conn, _, snapshot, _) = action {
-            let name = world.names[&conn].clone();
-            world.models.get_mut(&name).expect("one").running = Some(snapshot);
-            world.service.lost(conn);
+            let name = harness.instance_names[&conn].clone();
+            harness.models.get_mut(&name).expect("one").running = Some(snapshot);
+            harness.service.lost(conn);
         }
     }
-    assert_eq!(world.phase(), "offering");
-    world.names.clear();
-    world.connect_all();
-    world.advance_steps(20);
-    assert_eq!(world.phase(), "done");
-    assert!(world.models.values().all(|m| m.offers.is_empty()));
+    assert_eq!(harness.phase(), "offering");
+    harness.instance_names.clear();
+    harness.connect_all();
+    harness.advance_steps(20);
+    assert_eq!(harness.phase(), "done");
+    assert!(harness.models.values().all(|m| m.offers.is_empty()));
 }
 
 #[test]
 fn a_subscriber_that_followed_a_higher_epoch_deposes_the_service() {
-    let mut world = World::new(0);
+    let mut harness = Harness::new(0);
     let hello = Hello {
         protocol: PROTOCOL,
         instance: "n".into(),
@@ -317,36 +333,36 @@
         holds: BTreeMap::new(),
         refused: Vec::new(),
     };
-    assert!(world.service.received(world.now, 1, ToService::Hello(hello.clone())).is_err());
-    assert_eq!(world.service.publish(world.now, document(1), true), PublishOutcome::Deposed(7));
+    assert!(harness.service.received(harness.now, 1, ToService::Hello(hello.clone())).is_err());
+    assert_eq!(harness.service.publish(harness.now, document(1), true), PublishOutcome::Deposed(7));
     let other = Hello { protocol: PROTOCOL + 1, epoch: 0, ..hello };
-    assert!(world.service.received(world.now, 2, ToService::Hello(other)).is_err());
+    assert!(harness.service.received(harness.now, 2, ToService::Hello(other)).is_err());
     assert!(
-        world
+        harness
             .service
-            .received(world.now, 3, ToService::Ack { nonce: 1, version: Version::new(1, 1) })
+            .received(harness.now, 3, ToService::Ack { nonce: 1, version: Version::new(1, 1) })
             .is_err()
     );
 }
 
 #[test]
 fn a_new_connection_of_an_instance_replaces_a_half_open_one() {
-    let mut world = World::new(1);
-    world.connect("n00");
-    let first = world.next_conn;
-    world.connect("n00");
-    assert!(!world.service.is_subscriber(first) && world.service.is_subscriber(world.next_conn));
+    let mut harness = Harness::new(1);
+    harness.connect("n00");
+    let first = harness.last_connection;
+    harness.connect("n00");
+    assert!(!harness.service.is_subscriber(first) && harness.service.is_subscriber(harness.last_connection));
     // The end of the first connection does not affect the second.
-    world.service.lost(first);
-    assert_eq!(world.service.status(world.now)["instances"][0]["standing"], "current");
+    harness.service.lost(first);
+    assert_eq!(harness.service.status(harness.now)["instances"][0]["standing"], "current");
 }
 
 #[test]
 fn a_gap_is_answered_with_all_types_and_not_recorded_as_a_refusal() {
-    let mut world = World::new(1);
-    world.connect("n00");
-    world.service.publish(world.now, document(1), true);
-    let (_, actions) = world.service.flush();
+    let mut harness = Harness::new(1);
+    harness.connect("n00");
+    harness.service.publish(harness.now, document(1), true);
+    let (_, actions) = harness.service.flush();
     let offer = |actions: Vec<Action>| {
         actions.into_iter().find_map(|action| {
             if let Action::Offer(conn, nonce, snapshot, held) = action {
@@ -358,10 +374,10 @@
     };
     let (conn, nonce, snapshot, _) = offer(actions).expect("an offer");
     let nack = ToService::Nack { nonce, version: snapshot.version, code: Code::Gap, faults: Vec::new() };
-    assert_eq!(world.service.received(world.now, conn, nack.clone()), Ok(()));
-    let (records, actions) = world.service.flush();
+    assert_eq!(harness.service.received(harness.now, conn, nack.clone()), Ok(()));
+    let (records, actions) = harness.service.flush();
     assert!(!records.iter().any(|r| matches!(r, Record::Answered { .. })));
     let (_, again, _, held) = offer(actions).expect("a second offer");
     assert!(again > nonce && held.is_empty());
-    assert!(world.service.received(world.now, conn, nack).is_err(), "an answer to no offer");
+    assert!(harness.service.received(harness.now, conn, nack).is_err(), "an answer to no offer");
 }
--- a/crates/stream/tests/subscriber.rs
+++ b/crates/stream/tests/subscriber.rs
@@ -320,7 +320,7 @@
         epoch: u64,
         store: bool,
     },
-    Lose,
+    LoseConnection,
     Offer {
         epoch: u64,
         number: u64,
@@ -330,8 +330,8 @@
     /// Delivers up to this number of the service's undelivered messages.
     Deliver(usize),
     /// Accepts or rejects the oldest pending check or application.
-    Answer(bool),
-    Pass {
+    Resolve(bool),
+    Advance {
         time: u64,
         answers: u64,
         bad: u64,
@@ -343,13 +343,13 @@
 fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
         2 => (1..4u64, any::<bool>()).prop_map(|(epoch, store)| Op::Connect { epoch, store }),
-        1 => Just(Op::Lose),
+        1 => Just(Op::LoseConnection),
         6 => (1..4u64, 1..8u64, 0..3u8, prop::bool::weighted(0.8))
             .prop_map(|(epoch, number, content, sent)| Op::Offer { epoch, number, content, sent }),
         6 => (1..4usize).prop_map(Op::Deliver),
-        6 => prop::bool::weighted(0.8).prop_map(Op::Answer),
+        6 => prop::bool::weighted(0.8).prop_map(Op::Resolve),
         4 => (0..60_000u64, 0..100u64, 0..100u64)
-            .prop_map(|(time, answers, bad)| Op::Pass { time, answers, bad: bad.min(answers) }),
+            .prop_map(|(time, answers, bad)| Op::Advance { time, answers, bad: bad.min(answers) }),
         1 => (0..4u8).prop_map(Op::Unexpected),
     ]
 }
@@ -386,7 +386,7 @@
                 self.subscriber.connected_now(self.now);
                 self.undelivered.push_back(welcome(*epoch, if *store { "a" } else { "b" }));
             }
-            Op::Lose if self.up => self.lose(),
+            Op::LoseConnection if self.up => self.lose_connection(),
             Op::Offer { epoch, number, content, sent } if self.up => {
                 self.nonce += 1;
                 let of = snapshot(version(*epoch, *number), *content);
@@ -402,8 +402,8 @@
                     self.take_steps();
                 }
             }
-            Op::Answer(yes) => self.answer(*yes),
-            Op::Pass { time, answers, bad } => {
+            Op::Resolve(accept) => self.resolve(*accept),
+            Op::Advance { time, answers, bad } => {
                 self.now += time;
                 self.health.answers += answers;
                 self.health.bad += bad;
@@ -423,34 +423,36 @@
         self.take_steps();
     }
 
-    fn lose(&mut self) {
+    fn lose_connection(&mut self) {
         self.subscriber.lost(self.now);
-        self.down();
+        self.connection_ended();
     }
 
-    fn down(&mut self) {
+    /// Forgets what belonged to the connection.
+    fn connection_ended(&mut self) {
         self.up = false;
         self.unanswered.clear();
         self.undelivered.clear();
     }
 
-    fn answer(&mut self, yes: bool) {
-        let no = || Err((Code::Invalid, vec![Fault { key: "k".into(), why: "w".into() }]));
+    /// Reports the result of the oldest pending check or application.
+    fn resolve(&mut self, accept: bool) {
+        let rejection = || Err((Code::Invalid, vec![Fault { key: "k".into(), why: "w".into() }]));
         match self.pending.pop_front() {
             Some(Step::Check(ticket, snapshot)) => {
-                if yes {
+                if accept {
                     self.approved.push((*snapshot).clone());
                 }
-                self.subscriber.checked(ticket, if yes { Ok(()) } else { no() });
+                self.subscriber.checked(ticket, if accept { Ok(()) } else { rejection() });
             }
             Some(Step::Apply(ticket, snapshot)) => {
                 // Only a checked version is applied, and none lower than a version that has run.
                 assert!(self.approved.contains(&snapshot), "{snapshot:?} was never checked");
                 assert!(snapshot.version >= self.highest, "{} after {}", snapshot.version, self.highest);
-                if yes {
+                if accept {
                     (self.running, self.highest) = (Some(snapshot.version), snapshot.version);
                 }
-                self.subscriber.applied(self.now, ticket, if yes { Ok(()) } else { no() });
+                self.subscriber.applied(self.now, ticket, if accept { Ok(()) } else { rejection() });
             }
             _ => {}
         }
@@ -474,7 +476,7 @@
                     assert_eq!(self.running, Some(*from));
                     self.running = to.as_ref().map(|s| s.version);
                 }
-                Step::Disconnect(_) => self.down(),
+                Step::Disconnect(_) => self.connection_ended(),
                 _ => {}
             }
         }
@@ -500,7 +502,7 @@
         // Once everything is delivered and answered, no nonce is left unanswered.
         model.run(&Op::Deliver(usize::MAX >> 1));
         for _ in 0..200 {
-            model.answer(true);
+            model.resolve(true);
         }
         prop_assert!(model.unanswered.is_empty(), "never answered: {:?}", model.unanswered);
     }
