--- a/crates/mqtt/src/delivery.rs
+++ b/crates/mqtt/src/delivery.rs
@@ -1,306 +1,317 @@
-//! The delivery of messages at QoS 0, 1 and 2 (MQTT 5.0, sections 4.3, 4.4, 4.6 and 4.9), one way each: [`Outbound`] for
-//! what this side publishes, [`Inbound`] for what it is sent. Client and server are alike here.
+//! Message delivery at QoS 0, 1 and 2 (MQTT 5.0, sections 4.3, 4.4, 4.6 and 4.9), for clients and servers alike:
+//! [`Outbound`] for the messages that this side publishes, [`Inbound`] for those that it receives.
 //!
-//! Both outlive connections: what is unsettled when one ends is resumed on the next, if the peer kept its side.
+//! Both are session state that outlives a connection: deliveries that are unfinished when a connection ends are resumed on
+//! the next one if the peer kept the session. Memory is bounded by the length of the outbound queue and by the receive
+//! maximum of either side.
 
 use crate::packet::{Ack, Packet, Publish, Qos};
 use crate::property::Properties;
 use crate::reason::{Reason, Violation};
 use std::collections::{BTreeMap, VecDeque};
 
-fn ack(id: u16, reason: Reason) -> Ack {
+fn ack_without_properties(id: u16, reason: Reason) -> Ack {
     Ack { id, reason, properties: Properties::default() }
 }
 
-/// There is no room for another message.
+/// The outbound queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
-/// What became of a message that was published.
+/// The outcome of a published message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
-    /// The number that `publish` gave it.
-    pub order: u64,
-    /// The peer's word; a failure says that it does not have the message.
+pub struct Outcome {
+    /// The sequence number that `publish` returned.
+    pub sequence: u64,
+    /// The peer's reason code; a failure means that the peer did not accept the message.
     pub reason: Reason,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Sent, or to be sent again: kept until it is acknowledged.
-    Published(Box<Publish>),
-    /// The peer has it (QoS 2); it is being released.
-    Released,
+    /// Sent and kept for retransmission until a PUBACK or PUBREC arrives.
+    AwaitingAck(Box<Publish>),
+    /// A PUBREC has arrived (QoS 2); the PUBREL is sent until a PUBCOMP arrives.
+    AwaitingPubcomp,
 }
 
 #[derive(Debug)]
-struct Sent {
-    order: u64,
+struct InFlight {
+    sequence: u64,
     stage: Stage,
-    /// It is to be sent again on this connection.
-    again: bool,
+    /// Whether the packet still has to be resent on this connection.
+    resend: bool,
 }
 
-/// What this side publishes.
+/// The messages that this side publishes: queued, or in flight by packet identifier.
 #[derive(Debug)]
 pub struct Outbound {
-    next_order: u64,
+    next_sequence: u64,
     next_id: u16,
-    /// The peer's receive maximum, on this connection.
-    window: u16,
-    /// Sent on this connection and not settled.
-    used: u16,
+    /// The peer's receive maximum on this connection.
+    receive_maximum: u16,
+    /// QoS 1 and 2 messages sent or resent on this connection whose delivery is unfinished.
+    quota_used: u16,
     connected: bool,
-    sent: BTreeMap<u16, Sent>,
-    waiting: VecDeque<(u64, Box<Publish>)>,
-    most_waiting: usize,
-    aliases: Aliases,
+    in_flight: BTreeMap<u16, InFlight>,
+    queue: VecDeque<(u64, Box<Publish>)>,
+    max_queued: usize,
+    aliases: TopicAliases,
 }
 
-/// Topic aliases that this side uses (3.3.2.3.4): the first topics of a connection get one each.
+/// The topic aliases that this side assigns (3.3.2.3.4): one for each of the first topics of a connection, up to the
+/// peer's topic alias maximum.
 #[derive(Debug, Default)]
-struct Aliases {
-    most: u16,
-    given: BTreeMap<String, u16>,
+struct TopicAliases {
+    maximum: u16,
+    assigned: BTreeMap<String, u16>,
 }
 
-impl Aliases {
-    /// Shortens the topic where the peer knows it.
+impl TopicAliases {
+    /// Replaces the topic by its alias if the peer has received it, or assigns a free alias.
     fn apply(&mut self, publish: &mut Publish) {
-        if let Some(alias) = self.given.get(&publish.topic) {
+        if let Some(alias) = self.assigned.get(&publish.topic) {
             publish.properties.topic_alias = Some(*alias);
             publish.topic.clear();
-        } else if self.given.len() < usize::from(self.most) {
-            let alias = self.given.len() as u16 + 1;
-            self.given.insert(publish.topic.clone(), alias);
+        } else if self.assigned.len() < usize::from(self.maximum) {
+            let alias = self.assigned.len() as u16 + 1;
+            self.assigned.insert(publish.topic.clone(), alias);
             publish.properties.topic_alias = Some(alias);
         }
     }
 }
 
 impl Outbound {
-    /// Nothing is published yet; so many messages may wait for room at the peer.
-    pub fn new(most_waiting: usize) -> Outbound {
+    /// Returns an empty queue that holds at most `max_queued` messages.
+    pub fn new(max_queued: usize) -> Outbound {
         Outbound {
-            next_order: 0,
+            next_sequence: 0,
             next_id: 1,
-            window: 0,
-            used: 0,
+            receive_maximum: 0,
+            quota_used: 0,
             connected: false,
-            sent: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            most_waiting,
-            aliases: Aliases::default(),
+            in_flight: BTreeMap::new(),
+            queue: VecDeque::new(),
+            max_queued,
+            aliases: TopicAliases::default(),
         }
     }
 
-    /// Takes a message in; its number here, by which its fate is told. At QoS 0 its fate is to be sent.
-    pub fn publish(&mut self, publish: Publish) -> Result<u64, Full> {
-        if self.waiting.len() >= self.most_waiting {
-            return Err(Full);
+    /// Queues a message and returns its sequence number, by which its [`Outcome`] is reported. A QoS 0 message has no
+    /// outcome: its delivery ends when it is sent.
+    pub fn publish(&mut self, publish: Publish) -> Result<u64, QueueFull> {
+        if self.queue.len() >= self.max_queued {
+            return Err(QueueFull);
         }
-        self.next_order += 1;
-        self.waiting.push_back((self.next_order, Box::new(publish)));
-        Ok(self.next_order)
+        self.next_sequence += 1;
+        self.queue.push_back((self.next_sequence, Box::new(publish)));
+        Ok(self.next_sequence)
     }
 
-    /// Messages that wait, and those that are unsettled.
+    /// Returns the numbers of queued messages and of messages in flight.
     pub fn load(&self) -> (usize, usize) {
-        (self.waiting.len(), self.sent.len())
+        (self.queue.len(), self.in_flight.len())
     }
 
-    /// A connection is up. If the peer kept the session, what is unsettled is sent again, in the order in which it was
-    /// first sent [MQTT-4.4.0-1, MQTT-4.6.0-1]; else it is forgotten here too [MQTT-3.2.2-5], and returned.
+    /// Starts a connection. If the peer kept the session, messages in flight are resent in the order in which they were
+    /// first sent [MQTT-4.4.0-1, MQTT-4.6.0-1]; otherwise they are discarded here too [MQTT-3.2.2-5] and returned, without
+    /// the message if the peer had already received it.
     pub fn connected(
         &mut self,
-        session: bool,
-        window: u16,
+        session_present: bool,
+        receive_maximum: u16,
         alias_maximum: u16,
     ) -> Vec<(u64, Option<Publish>)> {
-        (self.window, self.used, self.connected) = (window.max(1), 0, true);
-        self.aliases = Aliases { most: alias_maximum, given: BTreeMap::new() };
-        if session {
-            self.sent.values_mut().for_each(|s| s.again = true);
+        (self.receive_maximum, self.quota_used, self.connected) = (receive_maximum.max(1), 0, true);
+        self.aliases = TopicAliases { maximum: alias_maximum, assigned: BTreeMap::new() };
+        if session_present {
+            self.in_flight.values_mut().for_each(|message| message.resend = true);
             return Vec::new();
         }
-        let mut lost: Vec<(u64, Option<Publish>)> = std::mem::take(&mut self.sent)
+        let mut discarded: Vec<(u64, Option<Publish>)> = std::mem::take(&mut self.in_flight)
             .into_values()
-            .map(|s| (s.order, if let Stage::Published(p) = s.stage { Some(*p) } else { None }))
+            .map(|m| (m.sequence, if let Stage::AwaitingAck(p) = m.stage { Some(*p) } else { None }))
             .collect();
-        lost.sort_by_key(|(order, _)| *order);
-        lost
+        discarded.sort_by_key(|(sequence, _)| *sequence);
+        discarded
     }
 
-    /// The connection is gone.
+    /// Ends the connection; no packet is sent until the next one.
     pub fn disconnected(&mut self) {
         self.connected = false;
     }
 
-    /// The next packet to send, while the peer has room for one; never more than its receive maximum at a time
+    /// Returns the next packet to send, or `None` if there is none or the peer's receive maximum is reached
     /// [MQTT-3.3.4-7].
     pub fn take_packet(&mut self) -> Option<Packet> {
         if !self.connected {
             return None;
         }
-        let again = self.sent.iter().filter(|(_, s)| s.again).min_by_key(|(_, s)| s.order).map(|(id, _)| *id);
-        if let Some(id) = again {
-            if self.used >= self.window {
+        let to_resend = self.in_flight.iter().filter(|(_, message)| message.resend);
+        let next_resend = to_resend.min_by_key(|(_, message)| message.sequence).map(|(id, _)| *id);
+        if let Some(id) = next_resend {
+            if self.quota_used >= self.receive_maximum {
                 return None;
             }
-            let sent = self.sent.get_mut(&id)?;
-            sent.again = false;
-            self.used += 1;
-            return Some(match &sent.stage {
-                Stage::Published(publish) => {
+            let message = self.in_flight.get_mut(&id)?;
+            message.resend = false;
+            self.quota_used += 1;
+            return Some(match &message.stage {
+                Stage::AwaitingAck(publish) => {
                     let mut publish = publish.clone();
                     publish.dup = true;
                     self.aliases.apply(&mut publish);
                     Packet::Publish(publish)
                 }
-                Stage::Released => Packet::Pubrel(ack(id, Reason::Success)),
+                Stage::AwaitingPubcomp => Packet::Pubrel(ack_without_properties(id, Reason::Success)),
             });
         }
-        let qos = self.waiting.front()?.1.qos;
-        if qos != Qos::AtMostOnce && self.used >= self.window {
+        let qos = self.queue.front()?.1.qos;
+        if qos != Qos::AtMostOnce && self.quota_used >= self.receive_maximum {
             return None;
         }
-        let (order, mut publish) = self.waiting.pop_front()?;
+        let (sequence, mut publish) = self.queue.pop_front()?;
         publish.dup = false;
         if qos != Qos::AtMostOnce {
-            publish.id = self.free_id();
-            self.used += 1;
-            let stage = Stage::Published(publish.clone());
-            self.sent.insert(publish.id, Sent { order, stage, again: false });
+            publish.id = self.next_free_id();
+            self.quota_used += 1;
+            let stage = Stage::AwaitingAck(publish.clone());
+            self.in_flight.insert(publish.id, InFlight { sequence, stage, resend: false });
         }
         self.aliases.apply(&mut publish);
         Some(Packet::Publish(publish))
     }
 
-    /// A number that no unsettled message has [MQTT-2.2.1-3]: the window is smaller than the numbers there are.
-    fn free_id(&mut self) -> u16 {
+    /// Returns a packet identifier that no message in flight uses [MQTT-2.2.1-3]. There is always one, since the receive
+    /// maximum keeps fewer messages in flight than there are identifiers.
+    fn next_free_id(&mut self) -> u16 {
         loop {
             let id = self.next_id;
             self.next_id = self.next_id.checked_add(1).unwrap_or(1);
-            if !self.sent.contains_key(&id) {
+            if !self.in_flight.contains_key(&id) {
                 return id;
             }
         }
     }
 
-    fn settle(&mut self, id: u16, reason: Reason) -> Option<Settled> {
-        let sent = self.sent.remove(&id)?;
-        if !sent.again {
-            self.used -= 1;
+    /// Ends the delivery of a message and frees its packet identifier.
+    fn complete(&mut self, id: u16, reason: Reason) -> Option<Outcome> {
+        let message = self.in_flight.remove(&id)?;
+        if !message.resend {
+            self.quota_used -= 1;
         }
-        Some(Settled { order: sent.order, reason })
+        Some(Outcome { sequence: message.sequence, reason })
     }
 
-    /// A PUBACK has come. One for no message of ours changes nothing.
-    pub fn puback(&mut self, puback: &Ack) -> Result<Option<Settled>, Violation> {
-        match self.sent.get(&puback.id).map(|s| &s.stage) {
-            Some(Stage::Published(p)) if p.qos == Qos::AtLeastOnce => {
-                Ok(self.settle(puback.id, puback.reason))
+    /// Handles a PUBACK and returns the message's outcome. A PUBACK for an unknown packet identifier is ignored.
+    pub fn puback(&mut self, puback: &Ack) -> Result<Option<Outcome>, Violation> {
+        match self.in_flight.get(&puback.id).map(|message| &message.stage) {
+            Some(Stage::AwaitingAck(p)) if p.qos == Qos::AtLeastOnce => {
+                Ok(self.complete(puback.id, puback.reason))
             }
             Some(_) => Err(Violation::protocol("MQTT-4.3.3-6", "a PUBACK of a message with QoS 2")),
             None => Ok(None),
         }
     }
 
-    /// A PUBREC has come: what to send for it, and the message's fate if that is sealed.
-    pub fn pubrec(&mut self, pubrec: &Ack) -> Result<(Option<Packet>, Option<Settled>), Violation> {
-        let Some(sent) = self.sent.get_mut(&pubrec.id) else {
-            return Ok((Some(Packet::Pubrel(ack(pubrec.id, Reason::PacketIdNotFound))), None));
+    /// Handles a PUBREC and returns the packet to send, and the message's outcome if the peer refused it.
+    pub fn pubrec(&mut self, pubrec: &Ack) -> Result<(Option<Packet>, Option<Outcome>), Violation> {
+        let Some(message) = self.in_flight.get_mut(&pubrec.id) else {
+            let pubrel = ack_without_properties(pubrec.id, Reason::PacketIdNotFound);
+            return Ok((Some(Packet::Pubrel(pubrel)), None));
         };
-        if matches!(&sent.stage, Stage::Published(p) if p.qos != Qos::ExactlyOnce) {
+        if matches!(&message.stage, Stage::AwaitingAck(p) if p.qos != Qos::ExactlyOnce) {
             return Err(Violation::protocol("MQTT-4.3.2-2", "a PUBREC of a message with QoS 1"));
         }
         if pubrec.reason.failed() {
-            return Ok((None, self.settle(pubrec.id, pubrec.reason)));
+            return Ok((None, self.complete(pubrec.id, pubrec.reason)));
         }
-        // From here on the message is not sent again [MQTT-4.3.3-5].
-        sent.stage = Stage::Released;
-        Ok((Some(Packet::Pubrel(ack(pubrec.id, Reason::Success))), None))
+        // The PUBLISH must not be resent after a PUBREC [MQTT-4.3.3-5].
+        message.stage = Stage::AwaitingPubcomp;
+        Ok((Some(Packet::Pubrel(ack_without_properties(pubrec.id, Reason::Success))), None))
     }
 
-    /// A PUBCOMP has come.
-    pub fn pubcomp(&mut self, pubcomp: &Ack) -> Result<Option<Settled>, Violation> {
-        match self.sent.get(&pubcomp.id).map(|s| &s.stage) {
-            Some(Stage::Released) => Ok(self.settle(pubcomp.id, Reason::Success)),
+    /// Handles a PUBCOMP and returns the message's outcome. A PUBCOMP for an unknown packet identifier is ignored.
+    pub fn pubcomp(&mut self, pubcomp: &Ack) -> Result<Option<Outcome>, Violation> {
+        match self.in_flight.get(&pubcomp.id).map(|message| &message.stage) {
+            Some(Stage::AwaitingPubcomp) => Ok(self.complete(pubcomp.id, Reason::Success)),
             Some(_) => Err(Violation::protocol("MQTT-4.3.3-7", "a PUBCOMP before its PUBREL")),
             None => Ok(None),
         }
     }
 }
 
-/// What to make of a message that has come.
+/// How a received PUBLISH is to be handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is new; it is to be settled by its number, unless that is 0 (QoS 0).
+    /// A new message. Unless its packet identifier is 0 (QoS 0), [`Inbound::settle`] must be called for it.
     New,
-    /// It was taken before and is not settled: it will be, once.
+    /// A duplicate of a message that is still being processed; it is acknowledged once, with that message.
     Pending,
-    /// It was settled before (QoS 2): the answer to send again.
+    /// A duplicate of a QoS 2 message that has been acknowledged: the PUBREC to resend.
     Again(Box<Packet>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Got {
-    /// Not settled.
-    Open,
-    /// Settled, and the answer waits for those before it [MQTT-4.6.0-2, MQTT-4.6.0-3].
-    Held(Reason, Box<Properties>),
-    /// Answered by a PUBREC; the number is kept until its PUBREL.
-    Recorded,
+enum State {
+    /// Not processed yet.
+    Pending,
+    /// Processed; the acknowledgment is held back until those of earlier messages are sent
+    /// [MQTT-4.6.0-2, MQTT-4.6.0-3].
+    AckHeld(Reason, Box<Properties>),
+    /// The PUBREC was sent; the packet identifier is in use until the PUBREL arrives.
+    AwaitingPubrel,
 }
 
-/// What this side is sent.
+/// The messages that this side receives, by packet identifier until their delivery ends.
 #[derive(Debug)]
 pub struct Inbound {
-    /// Our receive maximum.
-    window: u16,
-    got: BTreeMap<u16, (Qos, Got)>,
-    /// Numbers in the order in which they came, as long as their answer is owed.
-    owed: VecDeque<u16>,
+    /// The receive maximum of this side.
+    receive_maximum: u16,
+    messages: BTreeMap<u16, (Qos, State)>,
+    /// The packet identifiers of unacknowledged messages, in the order of arrival.
+    unacknowledged: VecDeque<u16>,
     alias_maximum: u16,
     aliases: BTreeMap<u16, String>,
 }
 
 impl Inbound {
-    /// Takes at most `window` unsettled messages at a time, and topic aliases up to a maximum.
-    pub fn new(window: u16, alias_maximum: u16) -> Inbound {
-        let (got, owed, aliases) = (BTreeMap::new(), VecDeque::new(), BTreeMap::new());
-        Inbound { window: window.max(1), got, owed, alias_maximum, aliases }
+    /// Returns a receiver that accepts at most `receive_maximum` unfinished messages at a time, and topic aliases up to
+    /// `alias_maximum`.
+    pub fn new(receive_maximum: u16, alias_maximum: u16) -> Inbound {
+        let (messages, unacknowledged, aliases) = (BTreeMap::new(), VecDeque::new(), BTreeMap::new());
+        Inbound { receive_maximum: receive_maximum.max(1), messages, unacknowledged, alias_maximum, aliases }
     }
 
-    /// A connection is up. Without a session all that was under way is forgotten; with one, QoS 1 messages come
-    /// again, and so do those of QoS 2 that were not recorded. Aliases never outlive a connection [MQTT-3.3.2-7].
-    pub fn connected(&mut self, session: bool) {
+    /// Starts a connection. Without a session all state is discarded. With one, only QoS 2 messages whose PUBREC was sent
+    /// are kept, since the peer resends all others. Topic aliases do not outlive a connection [MQTT-3.3.2-7].
+    pub fn connected(&mut self, session_present: bool) {
         self.aliases.clear();
-        if session {
-            self.got.retain(|_, (_, got)| *got == Got::Recorded);
+        if session_present {
+            self.messages.retain(|_, (_, state)| *state == State::AwaitingPubrel);
         } else {
-            self.got.clear();
+            self.messages.clear();
         }
-        self.owed.clear();
+        self.unacknowledged.clear();
     }
 
-    /// Unsettled messages.
-    pub fn open(&self) -> usize {
-        self.owed.len()
+    /// Returns the number of messages that are not acknowledged.
+    pub fn unacknowledged(&self) -> usize {
+        self.unacknowledged.len()
     }
 
-    /// A message has come; its topic is filled in where an alias stands for it.
+    /// Handles a PUBLISH and replaces a topic alias by its topic.
     pub fn publish(&mut self, publish: &mut Publish) -> Result<Taken, Violation> {
         if let Some(alias) = publish.properties.topic_alias {
             if alias > self.alias_maximum {
-                let (statement, what) = ("MQTT-3.3.2-9", "a topic alias over the maximum");
+                let (statement, what) = ("MQTT-3.3.2-9", "a topic alias above the topic alias maximum");
                 return Err(Violation { reason: Reason::TopicAliasInvalid, statement, what });
             }
             if publish.topic.is_empty() {
-                let known = self.aliases.get(&alias);
-                let known = known
-                    .ok_or(Violation::protocol("MQTT 3.3.2.3.4", "a topic alias that stands for nothing"))?;
-                publish.topic.clone_from(known);
+                let topic = self.aliases.get(&alias);
+                let topic =
+                    topic.ok_or(Violation::protocol("MQTT 3.3.2.3.4", "a topic alias without a topic"))?;
+                publish.topic.clone_from(topic);
             } else {
                 self.aliases.insert(alias, publish.topic.clone());
             }
@@ -308,9 +319,10 @@
         if publish.qos == Qos::AtMostOnce {
             return Ok(Taken::New);
         }
-        match self.got.get(&publish.id) {
-            Some((Qos::ExactlyOnce, Got::Recorded)) if publish.qos == Qos::ExactlyOnce => {
-                return Ok(Taken::Again(Box::new(Packet::Pubrec(ack(publish.id, Reason::Success)))));
+        match self.messages.get(&publish.id) {
+            Some((Qos::ExactlyOnce, State::AwaitingPubrel)) if publish.qos == Qos::ExactlyOnce => {
+                let pubrec = ack_without_properties(publish.id, Reason::Success);
+                return Ok(Taken::Again(Box::new(Packet::Pubrec(pubrec))));
             }
             Some((qos, _)) if *qos == publish.qos => return Ok(Taken::Pending),
             Some(_) => {
@@ -319,46 +331,50 @@
             }
             None => {}
         }
-        if self.got.len() >= usize::from(self.window) {
-            let (statement, what) = ("MQTT-3.3.4-9", "more messages than may be unsettled");
+        if self.messages.len() >= usize::from(self.receive_maximum) {
+            let (statement, what) = ("MQTT-3.3.4-9", "more unacknowledged messages than the receive maximum");
             return Err(Violation { reason: Reason::ReceiveMaximumExceeded, statement, what });
         }
-        self.got.insert(publish.id, (publish.qos, Got::Open));
-        self.owed.push_back(publish.id);
+        self.messages.insert(publish.id, (publish.qos, State::Pending));
+        self.unacknowledged.push_back(publish.id);
         Ok(Taken::New)
     }
 
-    /// A message is settled: the answers that may be sent now, in the order in which their messages came.
+    /// Records the acknowledgment of a processed message and returns the acknowledgments that may be sent now, in the
+    /// order in which their messages arrived.
     pub fn settle(&mut self, id: u16, reason: Reason, properties: Properties) -> Vec<Packet> {
-        if let Some((_, got @ Got::Open)) = self.got.get_mut(&id) {
-            *got = Got::Held(reason, Box::new(properties));
+        if let Some((_, state @ State::Pending)) = self.messages.get_mut(&id) {
+            *state = State::AckHeld(reason, Box::new(properties));
         }
-        let mut out = Vec::new();
-        while let Some(id) = self.owed.front().copied() {
-            let Some((qos, Got::Held(reason, properties))) = self.got.get(&id).cloned() else { break };
-            self.owed.pop_front();
-            let answer = Ack { id, reason, properties: *properties };
+        let mut acknowledgments = Vec::new();
+        while let Some(id) = self.unacknowledged.front().copied() {
+            let Some((qos, State::AckHeld(reason, properties))) = self.messages.get(&id).cloned() else {
+                break;
+            };
+            self.unacknowledged.pop_front();
+            let ack = Ack { id, reason, properties: *properties };
             if qos == Qos::ExactlyOnce && !reason.failed() {
-                self.got.insert(id, (qos, Got::Recorded));
-                out.push(Packet::Pubrec(answer));
+                self.messages.insert(id, (qos, State::AwaitingPubrel));
+                acknowledgments.push(Packet::Pubrec(ack));
             } else {
-                self.got.remove(&id);
-                out.push(if qos == Qos::ExactlyOnce {
-                    Packet::Pubrec(answer)
+                self.messages.remove(&id);
+                acknowledgments.push(if qos == Qos::ExactlyOnce {
+                    Packet::Pubrec(ack)
                 } else {
-                    Packet::Puback(answer)
+                    Packet::Puback(ack)
                 });
             }
         }
-        out
+        acknowledgments
     }
 
-    /// A PUBREL has come: the PUBCOMP to send [MQTT-4.3.3-11].
+    /// Handles a PUBREL and returns the PUBCOMP to send [MQTT-4.3.3-11].
     pub fn pubrel(&mut self, pubrel: &Ack) -> Packet {
-        let known = self.got.get(&pubrel.id).is_some_and(|(_, got)| *got == Got::Recorded);
+        let known = self.messages.get(&pubrel.id).is_some_and(|(_, state)| *state == State::AwaitingPubrel);
         if known {
-            self.got.remove(&pubrel.id);
+            self.messages.remove(&pubrel.id);
         }
-        Packet::Pubcomp(ack(pubrel.id, if known { Reason::Success } else { Reason::PacketIdNotFound }))
+        let reason = if known { Reason::Success } else { Reason::PacketIdNotFound };
+        Packet::Pubcomp(ack_without_properties(pubrel.id, reason))
     }
 }
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,7 +1,8 @@
-//! MQTT 5.0 and 3.1.1 without I/O: bytes in, packets out, and the other way round.
+//! MQTT 5.0 and 3.1.1 without I/O: decoding and encoding of control packets, topic names and filters, and the delivery
+//! of messages at QoS 0, 1 and 2. The caller passes in the bytes received and sends the bytes and packets returned.
 //!
 //! Sources: the OASIS standards *MQTT Version 5.0* (7 March 2019) and *MQTT Version 3.1.1* (29 October 2014). A
-//! [`Violation`] names the statement that a peer broke and the reason to close with.
+//! [`Violation`] holds the conformance statement that a peer violated and the reason code to close the connection with.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -14,4 +15,4 @@
 
 pub use packet::{Packet, Qos, Version, decode};
 pub use property::Properties;
-pub use reason::{Kind, Reason, Violation};
+pub use reason::{PacketType, Reason, Violation};
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -1,11 +1,14 @@
-//! Control packets of MQTT 5.0 and 3.1.1 (section 3 of either), both ways.
+//! Control packets of MQTT 5.0 and 3.1.1 (section 3 of either standard): their types, [`decode`] and [`Packet::encode`].
+//! Sizes are bounded by the maximum that the caller passes in; nothing is allocated for content that has not arrived.
 
-use crate::property::{Place, Properties};
-use crate::reason::{Kind, Reason, Violation};
+use crate::property::{Location, Properties};
+use crate::reason::{PacketType, Reason, Violation};
 use crate::topic;
-use crate::wire::{MOST_VARIABLE, Reader, put_binary, put_variable, variable};
+use crate::wire::{
+    MOST_VARIABLE, Reader, decode_variable_byte_integer, put_binary, put_variable_byte_integer,
+};
 
-/// A version of the protocol, by its number on the wire.
+/// A protocol version with its number on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Version {
     /// MQTT 3.1.1.
@@ -14,7 +17,7 @@
     V5 = 5,
 }
 
-/// How surely a message is delivered.
+/// A quality of service level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Qos {
     /// At most once.
@@ -27,54 +30,54 @@
 }
 
 impl Qos {
-    /// The quality with this number.
-    pub fn of(number: u8) -> Option<Qos> {
+    /// Returns the level with this number; 3 is reserved.
+    pub fn from_number(number: u8) -> Option<Qos> {
         [Qos::AtMostOnce, Qos::AtLeastOnce, Qos::ExactlyOnce].get(usize::from(number)).copied()
     }
 }
 
-/// What is published for a client that goes without leave.
+/// The will message, which the server publishes when the connection ends without a normal DISCONNECT.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Will {
-    /// Its quality of service.
+    /// The will QoS.
     pub qos: Qos,
-    /// It is to be kept.
+    /// The will retain flag.
     pub retain: bool,
-    /// Its properties; none in 3.1.1.
+    /// The will properties; none in 3.1.1.
     pub properties: Properties,
-    /// Its topic.
+    /// The will topic.
     pub topic: String,
-    /// Its payload.
+    /// The will payload.
     pub payload: Vec<u8>,
 }
 
 /// CONNECT (3.1).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Connect {
-    /// The version that the client speaks.
+    /// The protocol version.
     pub version: Version,
-    /// It begins anew; *clean session* in 3.1.1.
+    /// Whether an existing session is discarded; *clean session* in 3.1.1.
     pub clean_start: bool,
-    /// Seconds between its signs of life; 0: it gives none.
+    /// The keep alive interval in seconds; 0 turns the keep alive off.
     pub keep_alive: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
-    /// Its id; empty: the server is to give it one.
+    /// The client identifier; if it is empty, the server assigns one.
     pub client_id: String,
-    /// Its will.
+    /// The will message.
     pub will: Option<Will>,
-    /// Its name.
+    /// The user name.
     pub user: Option<String>,
-    /// Its password.
+    /// The password.
     pub password: Option<Vec<u8>>,
 }
 
 /// CONNACK (3.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Connack {
-    /// The server holds a session of this client.
+    /// Whether the server resumes a session of this client.
     pub session_present: bool,
-    /// Whether it takes the client. Return codes of 3.1.1 are turned into reasons.
+    /// Whether the connection is accepted. Return codes of 3.1.1 are mapped to reason codes.
     pub reason: Reason,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
@@ -83,85 +86,85 @@
 /// PUBLISH (3.3).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Publish {
-    /// It may have been sent before.
+    /// Whether the packet may be a re-delivery of an earlier one.
     pub dup: bool,
-    /// Its quality of service.
+    /// The quality of service level.
     pub qos: Qos,
-    /// It was kept, or is to be.
+    /// Whether the message was, or is to be, retained by the server.
     pub retain: bool,
-    /// Its topic; empty with a topic alias.
+    /// The topic name; may be empty if a topic alias is set.
     pub topic: String,
-    /// Its number; 0 at QoS 0.
+    /// The packet identifier; 0 at QoS 0.
     pub id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
-    /// The body.
+    /// The application message.
     pub payload: Vec<u8>,
 }
 
 /// PUBACK, PUBREC, PUBREL or PUBCOMP (3.4 to 3.7).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ack {
-    /// The number of the message.
+    /// The packet identifier of the message.
     pub id: u16,
-    /// What became of it.
+    /// The reason code.
     pub reason: Reason,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
 }
 
-/// A subscription asked for.
+/// One topic filter of a SUBSCRIBE with its subscription options.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscription {
-    /// The topic filter, as it was written.
+    /// The topic filter, not validated.
     pub filter: String,
-    /// The highest quality of service wanted.
+    /// The maximum QoS at which the server may send messages.
     pub qos: Qos,
-    /// Not what this client publishes itself.
+    /// Whether the client's own messages are left out.
     pub no_local: bool,
-    /// Retain flags are passed on as they were published.
+    /// Whether messages are forwarded with the retain flag they were published with.
     pub retain_as_published: bool,
-    /// Kept messages are sent: 0 at once, 1 if the subscription is new, 2 not.
+    /// When retained messages are sent: 0 at the time of the subscribe, 1 only if the subscription is new, 2 never.
     pub retain_handling: u8,
 }
 
 /// SUBSCRIBE (3.8).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscribe {
-    /// Its number.
+    /// The packet identifier.
     pub id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
-    /// What is asked for, at least one.
+    /// The subscriptions, at least one.
     pub subscriptions: Vec<Subscription>,
 }
 
 /// SUBACK or UNSUBACK (3.9, 3.11).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suback {
-    /// The number of what it answers.
+    /// The packet identifier of the SUBSCRIBE or UNSUBSCRIBE.
     pub id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
-    /// One for each filter; none in an UNSUBACK of 3.1.1.
+    /// One reason code for each topic filter; none in an UNSUBACK of 3.1.1.
     pub reasons: Vec<Reason>,
 }
 
 /// UNSUBSCRIBE (3.10).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Unsubscribe {
-    /// Its number.
+    /// The packet identifier.
     pub id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
-    /// The filters, at least one.
+    /// The topic filters, at least one.
     pub filters: Vec<String>,
 }
 
 /// DISCONNECT or AUTH (3.14, 3.15).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Closing {
-    /// Why, or how far an authentication is.
+    /// The disconnect or authenticate reason code.
     pub reason: Reason,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
@@ -170,168 +173,188 @@
 /// A control packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Packet {
-    /// A client asks to be connected.
+    /// Connection request.
     Connect(Box<Connect>),
-    /// The answer to it.
+    /// Connect acknowledgment.
     Connack(Box<Connack>),
-    /// A message.
+    /// Publish message.
     Publish(Box<Publish>),
-    /// The answer at QoS 1.
+    /// Publish acknowledgment (QoS 1).
     Puback(Ack),
-    /// The first answer at QoS 2.
+    /// Publish received (QoS 2, first acknowledgment).
     Pubrec(Ack),
-    /// The release at QoS 2.
+    /// Publish release (QoS 2).
     Pubrel(Ack),
-    /// The last answer at QoS 2.
+    /// Publish complete (QoS 2, last acknowledgment).
     Pubcomp(Ack),
-    /// A client asks for messages.
+    /// Subscribe request.
     Subscribe(Subscribe),
-    /// The answer to it.
+    /// Subscribe acknowledgment.
     Suback(Suback),
-    /// A client wants some no more.
+    /// Unsubscribe request.
     Unsubscribe(Unsubscribe),
-    /// The answer to it.
+    /// Unsubscribe acknowledgment.
     Unsuback(Suback),
-    /// A sign of life.
+    /// Ping request.
     Pingreq,
-    /// The answer to it.
+    /// Ping response.
     Pingresp,
-    /// A side closes.
+    /// Disconnect notification.
     Disconnect(Closing),
-    /// A step of an enhanced authentication.
+    /// Authentication exchange.
     Auth(Closing),
 }
 
-/// Why a packet can't be written.
+/// Why a packet cannot be encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unwritable {
-    /// A text or binary of more than 65,535 bytes.
-    TooLong,
-    /// More than a packet can hold, or than the peer takes.
-    TooLarge,
-    /// It has what its version, or its kind, has no place for.
-    NotInVersion,
-    /// Its number is 0 where one is wanted, or not 0 at QoS 0.
-    Number,
-    /// A subscription, or an answer, without entries.
-    Empty,
-}
-
-/// The size of the whole packet at the front, and where its content begins, once its head is whole. What is larger than
-/// allowed is told as soon as its length has come [MQTT-3.1.2-24].
-pub fn head(bytes: &[u8], most: usize) -> Result<Option<(usize, usize)>, Violation> {
+    /// A string or binary value is longer than 65,535 bytes.
+    ValueTooLong,
+    /// The packet exceeds the protocol's limit or the maximum packet size of the peer.
+    PacketTooLarge,
+    /// A property, option, reason code or packet type is not allowed in the protocol version or in this packet type.
+    NotAllowed,
+    /// The packet identifier is 0 where one is required, or is not 0, or `dup` is set, at QoS 0.
+    InvalidPacketId,
+    /// A SUBSCRIBE, UNSUBSCRIBE or their acknowledgment has no entries (or an UNSUBACK of 3.1.1 has some).
+    InvalidEntryCount,
+}
+
+/// Reads the fixed header at the start of `bytes` and returns the size of the whole packet and the offset of its content;
+/// `None` if the header is incomplete. A packet larger than `max_size` is an error as soon as its length is known, before
+/// its content has arrived [MQTT-3.1.2-24].
+pub fn fixed_header(bytes: &[u8], max_size: usize) -> Result<Option<(usize, usize)>, Violation> {
     let Some(first) = bytes.first() else { return Ok(None) };
-    if Kind::of(first >> 4).is_none() {
-        return Err(Violation::malformed("MQTT 2.1.2", "a packet of no known kind"));
+    if PacketType::from_number(first >> 4).is_none() {
+        return Err(Violation::malformed("MQTT 2.1.2", "an unknown packet type"));
     }
-    let Some((size, used)) = variable(&bytes[1..])? else { return Ok(None) };
-    let whole = 1 + used + size as usize;
-    if whole > most {
-        let what = "a packet larger than was allowed";
+    let Some((remaining_length, length_size)) = decode_variable_byte_integer(&bytes[1..])? else {
+        return Ok(None);
+    };
+    let packet_size = 1 + length_size + remaining_length as usize;
+    if packet_size > max_size {
+        let what = "a packet larger than the maximum packet size";
         return Err(Violation { reason: Reason::PacketTooLarge, statement: "MQTT-3.1.2-24", what });
     }
-    Ok(Some((whole, 1 + used)))
+    Ok(Some((packet_size, 1 + length_size)))
 }
 
-/// Takes the packet at the front off the bytes: it, and its size; `None` until it is whole. A CONNECT says its own
-/// version; all others are read as `version` has them.
-pub fn decode(bytes: &[u8], version: Version, most: usize) -> Result<Option<(Packet, usize)>, Violation> {
-    let Some((whole, start)) = head(bytes, most)? else { return Ok(None) };
-    let Some(content) = bytes.get(start..whole) else { return Ok(None) };
-    Ok(Some((read(bytes[0], content, version)?, whole)))
+/// Decodes the packet at the start of `bytes` and returns it with its size; `None` if more bytes are needed. A CONNECT is
+/// decoded in the version that it states, all other packets in `version`.
+pub fn decode(bytes: &[u8], version: Version, max_size: usize) -> Result<Option<(Packet, usize)>, Violation> {
+    let Some((packet_size, content_start)) = fixed_header(bytes, max_size)? else { return Ok(None) };
+    let Some(content) = bytes.get(content_start..packet_size) else { return Ok(None) };
+    Ok(Some((read_packet(bytes[0], content, version)?, packet_size)))
 }
 
-const RESERVED: Violation = Violation::malformed("MQTT-2.1.3-1", "reserved flags that are set");
-const NUMBER: Violation = Violation::protocol("MQTT-2.2.1-3", "a packet identifier of 0");
-const TRAILING: Violation = Violation::malformed("MQTT 2.1.4", "a packet that goes on after its end");
+const RESERVED_FLAGS: Violation =
+    Violation::malformed("MQTT-2.1.3-1", "reserved fixed header flags with the wrong value");
+const ZERO_PACKET_ID: Violation = Violation::protocol("MQTT-2.2.1-3", "a packet identifier of 0");
+const TRAILING_BYTES: Violation =
+    Violation::malformed("MQTT 2.1.4", "trailing bytes after the packet's content");
 
-fn read(first: u8, content: &[u8], version: Version) -> Result<Packet, Violation> {
-    let kind = Kind::of(first >> 4).ok_or(Violation::malformed("MQTT 2.1.2", "a packet of no known kind"))?;
+fn read_packet(first: u8, content: &[u8], version: Version) -> Result<Packet, Violation> {
+    let packet_type = PacketType::from_number(first >> 4)
+        .ok_or(Violation::malformed("MQTT 2.1.2", "an unknown packet type"))?;
     let flags = first & 0x0f;
-    let wanted = if matches!(kind, Kind::Pubrel | Kind::Subscribe | Kind::Unsubscribe) { 2 } else { 0 };
-    if kind != Kind::Publish && flags != wanted {
-        return Err(RESERVED);
-    }
-    let mut r = Reader::new(content);
+    let expected_flags =
+        if matches!(packet_type, PacketType::Pubrel | PacketType::Subscribe | PacketType::Unsubscribe) {
+            2
+        } else {
+            0
+        };
+    if packet_type != PacketType::Publish && flags != expected_flags {
+        return Err(RESERVED_FLAGS);
+    }
+    let mut reader = Reader::new(content);
     let v5 = version == Version::V5;
-    let packet = match kind {
-        Kind::Connect => Packet::Connect(Box::new(connect(&mut r)?)),
-        Kind::Connack => Packet::Connack(Box::new(connack(&mut r, version)?)),
-        Kind::Publish => return publish(flags, r, version).map(|p| Packet::Publish(Box::new(p))),
-        Kind::Puback => Packet::Puback(ack(&mut r, kind, version)?),
-        Kind::Pubrec => Packet::Pubrec(ack(&mut r, kind, version)?),
-        Kind::Pubrel => Packet::Pubrel(ack(&mut r, kind, version)?),
-        Kind::Pubcomp => Packet::Pubcomp(ack(&mut r, kind, version)?),
-        Kind::Subscribe => Packet::Subscribe(subscribe(&mut r, version)?),
-        Kind::Suback => Packet::Suback(suback(&mut r, kind, version)?),
-        Kind::Unsubscribe => Packet::Unsubscribe(unsubscribe(&mut r, version)?),
-        Kind::Unsuback => Packet::Unsuback(suback(&mut r, kind, version)?),
-        Kind::Pingreq => Packet::Pingreq,
-        Kind::Pingresp => Packet::Pingresp,
-        Kind::Disconnect => Packet::Disconnect(closing(&mut r, kind, v5)?),
-        Kind::Auth if v5 => Packet::Auth(closing(&mut r, kind, v5)?),
-        Kind::Auth => return Err(Violation::malformed("MQTT 3.1.1 2.2.1", "a packet of no known kind")),
+    let packet = match packet_type {
+        PacketType::Connect => Packet::Connect(Box::new(connect(&mut reader)?)),
+        PacketType::Connack => Packet::Connack(Box::new(connack(&mut reader, version)?)),
+        PacketType::Publish => return publish(flags, reader, version).map(|p| Packet::Publish(Box::new(p))),
+        PacketType::Puback => Packet::Puback(ack(&mut reader, packet_type, version)?),
+        PacketType::Pubrec => Packet::Pubrec(ack(&mut reader, packet_type, version)?),
+        PacketType::Pubrel => Packet::Pubrel(ack(&mut reader, packet_type, version)?),
+        PacketType::Pubcomp => Packet::Pubcomp(ack(&mut reader, packet_type, version)?),
+        PacketType::Subscribe => Packet::Subscribe(subscribe(&mut reader, version)?),
+        PacketType::Suback => Packet::Suback(suback(&mut reader, packet_type, version)?),
+        PacketType::Unsubscribe => Packet::Unsubscribe(unsubscribe(&mut reader, version)?),
+        PacketType::Unsuback => Packet::Unsuback(suback(&mut reader, packet_type, version)?),
+        PacketType::Pingreq => Packet::Pingreq,
+        PacketType::Pingresp => Packet::Pingresp,
+        PacketType::Disconnect => Packet::Disconnect(closing(&mut reader, packet_type, v5)?),
+        PacketType::Auth if v5 => Packet::Auth(closing(&mut reader, packet_type, v5)?),
+        PacketType::Auth => return Err(Violation::malformed("MQTT 3.1.1 2.2.1", "an unknown packet type")),
     };
-    if r.is_empty() { Ok(packet) } else { Err(TRAILING) }
+    if reader.is_empty() { Ok(packet) } else { Err(TRAILING_BYTES) }
 }
 
-fn properties(r: &mut Reader, kind: Kind, version: Version) -> Result<Properties, Violation> {
-    if version == Version::V5 { Properties::read(r, Place::Packet(kind)) } else { Ok(Properties::default()) }
+fn properties(
+    reader: &mut Reader,
+    packet_type: PacketType,
+    version: Version,
+) -> Result<Properties, Violation> {
+    if version == Version::V5 {
+        Properties::read(reader, Location::Packet(packet_type))
+    } else {
+        Ok(Properties::default())
+    }
 }
 
-fn number(r: &mut Reader) -> Result<u16, Violation> {
-    let id = r.u16()?;
-    if id == 0 { Err(NUMBER) } else { Ok(id) }
+fn packet_id(reader: &mut Reader) -> Result<u16, Violation> {
+    let id = reader.u16()?;
+    if id == 0 { Err(ZERO_PACKET_ID) } else { Ok(id) }
 }
 
-fn reason(code: u8, kind: Kind) -> Result<Reason, Violation> {
-    let wrong = Violation::malformed("MQTT 2.4", "a reason code that has no place in its packet");
-    Reason::of(code).filter(|r| r.fits(kind)).ok_or(wrong)
+fn reason(code: u8, packet_type: PacketType) -> Result<Reason, Violation> {
+    let violation = Violation::malformed("MQTT 2.4", "a reason code that is not allowed in this packet");
+    Reason::from_code(code).filter(|reason| reason.is_allowed_in(packet_type)).ok_or(violation)
 }
 
-fn connect(r: &mut Reader) -> Result<Connect, Violation> {
+fn connect(reader: &mut Reader) -> Result<Connect, Violation> {
     let unsupported = |statement, what| Violation { reason: Reason::UnsupportedProtocol, statement, what };
-    if r.text()? != "MQTT" {
-        return Err(unsupported("MQTT-3.1.2-1", "a protocol of another name"));
+    if reader.string()? != "MQTT" {
+        return Err(unsupported("MQTT-3.1.2-1", "a protocol name other than MQTT"));
     }
-    let version = match r.u8()? {
+    let version = match reader.u8()? {
         4 => Version::V311,
         5 => Version::V5,
-        _ => return Err(unsupported("MQTT-3.1.2-2", "a version that is not spoken here")),
+        _ => return Err(unsupported("MQTT-3.1.2-2", "an unsupported protocol version")),
     };
-    let flags = r.u8()?;
+    let flags = reader.u8()?;
     let flag = |bit: u8| flags >> bit & 1 == 1;
     if flag(0) {
-        return Err(Violation::malformed("MQTT-3.1.2-3", "the reserved flag of a CONNECT"));
+        return Err(Violation::malformed("MQTT-3.1.2-3", "the reserved flag of a CONNECT that is set"));
     }
-    let qos = Qos::of(flags >> 3 & 3).ok_or(Violation::malformed("MQTT-3.1.2-12", "a will of QoS 3"))?;
+    let qos =
+        Qos::from_number(flags >> 3 & 3).ok_or(Violation::malformed("MQTT-3.1.2-12", "a will of QoS 3"))?;
     if !flag(2) && qos != Qos::AtMostOnce {
-        return Err(Violation::malformed("MQTT-3.1.2-11", "the QoS of a will that is not there"));
+        return Err(Violation::malformed("MQTT-3.1.2-11", "a will QoS without a will"));
     }
     if !flag(2) && flag(5) {
-        return Err(Violation::malformed("MQTT-3.1.2-13", "the retain flag of a will that is not there"));
+        return Err(Violation::malformed("MQTT-3.1.2-13", "a will retain flag without a will"));
     }
     if version == Version::V311 && flag(6) && !flag(7) {
-        return Err(Violation::malformed("MQTT-3.1.2-22", "a password without a name"));
+        return Err(Violation::malformed("MQTT-3.1.2-22", "a password without a user name"));
     }
-    let keep_alive = r.u16()?;
-    let properties = properties(r, Kind::Connect, version)?;
-    let client_id = r.text()?.to_string();
+    let keep_alive = reader.u16()?;
+    let properties = properties(reader, PacketType::Connect, version)?;
+    let client_id = reader.string()?.to_string();
     let will = if flag(2) {
         let v5 = version == Version::V5;
-        let properties = if v5 { Properties::read(r, Place::Will)? } else { Properties::default() };
-        let topic = r.text()?.to_string();
+        let properties = if v5 { Properties::read(reader, Location::Will)? } else { Properties::default() };
+        let topic = reader.string()?.to_string();
         topic::check_name(&topic)?;
-        Some(Will { qos, retain: flag(5), properties, topic, payload: r.binary()?.to_vec() })
+        Some(Will { qos, retain: flag(5), properties, topic, payload: reader.binary()?.to_vec() })
     } else {
         None
     };
-    let user = if flag(7) { Some(r.text()?.to_string()) } else { None };
-    let password = if flag(6) { Some(r.binary()?.to_vec()) } else { None };
+    let user = if flag(7) { Some(reader.string()?.to_string()) } else { None };
+    let password = if flag(6) { Some(reader.binary()?.to_vec()) } else { None };
     Ok(Connect { version, clean_start: flag(1), keep_alive, properties, client_id, will, user, password })
 }
 
-/// The return codes of a CONNACK in 3.1.1, from 0 on.
+/// The reason codes of the CONNACK return codes of 3.1.1, indexed by return code.
 const RETURN_CODES: [Reason; 6] = [
     Reason::Success,
     Reason::UnsupportedProtocol,
@@ -341,43 +364,44 @@
     Reason::NotAuthorized,
 ];
 
-fn connack(r: &mut Reader, version: Version) -> Result<Connack, Violation> {
-    let flags = r.u8()?;
+fn connack(reader: &mut Reader, version: Version) -> Result<Connack, Violation> {
+    let flags = reader.u8()?;
     if flags > 1 {
-        return Err(Violation::malformed("MQTT-3.2.2-1", "reserved flags of a CONNACK"));
+        return Err(Violation::malformed("MQTT-3.2.2-1", "reserved flags of a CONNACK that are set"));
     }
-    let code = r.u8()?;
+    let code = reader.u8()?;
     let reason = match version {
-        Version::V5 => reason(code, Kind::Connack)?,
+        Version::V5 => reason(code, PacketType::Connack)?,
         Version::V311 => *RETURN_CODES
             .get(usize::from(code))
             .ok_or(Violation::malformed("MQTT 3.1.1 3.2.2.3", "a reserved return code"))?,
     };
     let session_present = flags == 1;
     if session_present && reason.failed() {
-        return Err(Violation::protocol("MQTT-3.2.2-6", "a session that is present beside a refusal"));
+        return Err(Violation::protocol(
+            "MQTT-3.2.2-6",
+            "session present set in a CONNACK that refuses the connection",
+        ));
     }
-    Ok(Connack { session_present, reason, properties: properties(r, Kind::Connack, version)? })
+    Ok(Connack { session_present, reason, properties: properties(reader, PacketType::Connack, version)? })
 }
 
-fn publish(flags: u8, mut r: Reader, version: Version) -> Result<Publish, Violation> {
-    let qos = Qos::of(flags >> 1 & 3).ok_or(Violation::malformed("MQTT-3.3.1-4", "a message of QoS 3"))?;
+fn publish(flags: u8, mut reader: Reader, version: Version) -> Result<Publish, Violation> {
+    let qos =
+        Qos::from_number(flags >> 1 & 3).ok_or(Violation::malformed("MQTT-3.3.1-4", "a message of QoS 3"))?;
     let (dup, retain) = (flags & 8 != 0, flags & 1 != 0);
     if dup && qos == Qos::AtMostOnce {
-        return Err(Violation::malformed(
-            "MQTT-3.3.1-2",
-            "a message of QoS 0 that may have been sent before",
-        ));
+        return Err(Violation::malformed("MQTT-3.3.1-2", "a message of QoS 0 with the DUP flag set"));
     }
-    let topic = r.text()?.to_string();
-    let id = if qos == Qos::AtMostOnce { 0 } else { number(&mut r)? };
-    let properties = properties(&mut r, Kind::Publish, version)?;
+    let topic = reader.string()?.to_string();
+    let id = if qos == Qos::AtMostOnce { 0 } else { packet_id(&mut reader)? };
+    let properties = properties(&mut reader, PacketType::Publish, version)?;
     if properties.topic_alias == Some(0) {
         let what = "a topic alias of 0";
         return Err(Violation { reason: Reason::TopicAliasInvalid, statement: "MQTT-3.3.2-8", what });
     }
     if topic.is_empty() && properties.topic_alias.is_none() {
-        return Err(Violation::protocol("MQTT 3.3.2.1", "a message without topic and alias"));
+        return Err(Violation::protocol("MQTT 3.3.2.1", "a message without a topic name or a topic alias"));
     }
     if !topic.is_empty() {
         topic::check_name(&topic)?;
@@ -386,41 +410,50 @@
         topic::check_name(response)
             .map_err(|_| Violation::protocol("MQTT-3.3.2-14", "a response topic with wildcards"))?;
     }
-    Ok(Publish { dup, qos, retain, topic, id, properties, payload: r.rest().to_vec() })
+    Ok(Publish { dup, qos, retain, topic, id, properties, payload: reader.remaining().to_vec() })
 }
 
-fn ack(r: &mut Reader, kind: Kind, version: Version) -> Result<Ack, Violation> {
-    let id = number(r)?;
-    // What is left out says that all went well (3.4.2.1).
-    if version == Version::V311 || r.is_empty() {
+fn ack(reader: &mut Reader, packet_type: PacketType, version: Version) -> Result<Ack, Violation> {
+    let id = packet_id(reader)?;
+    // An omitted reason code means success (3.4.2.1).
+    if version == Version::V311 || reader.is_empty() {
         return Ok(Ack { id, reason: Reason::Success, properties: Properties::default() });
     }
-    let reason = reason(r.u8()?, kind)?;
-    let properties =
-        if r.is_empty() { Properties::default() } else { Properties::read(r, Place::Packet(kind))? };
+    let reason = reason(reader.u8()?, packet_type)?;
+    let properties = if reader.is_empty() {
+        Properties::default()
+    } else {
+        Properties::read(reader, Location::Packet(packet_type))?
+    };
     Ok(Ack { id, reason, properties })
 }
 
-fn subscribe(r: &mut Reader, version: Version) -> Result<Subscribe, Violation> {
-    let id = number(r)?;
-    let properties = properties(r, Kind::Subscribe, version)?;
+fn subscribe(reader: &mut Reader, version: Version) -> Result<Subscribe, Violation> {
+    let id = packet_id(reader)?;
+    let properties = properties(reader, PacketType::Subscribe, version)?;
     let mut subscriptions = Vec::new();
-    while !r.is_empty() {
-        let filter = r.text()?.to_string();
-        let options = r.u8()?;
+    while !reader.is_empty() {
+        let filter = reader.string()?.to_string();
+        let options = reader.u8()?;
         let reserved = if version == Version::V5 { options & 0xc0 } else { options & 0xfc };
         if reserved != 0 {
-            return Err(Violation::malformed("MQTT-3.8.3-5", "reserved bits of a subscription"));
+            return Err(Violation::malformed(
+                "MQTT-3.8.3-5",
+                "reserved bits of the subscription options that are set",
+            ));
         }
-        let qos =
-            Qos::of(options & 3).ok_or(Violation::protocol("MQTT 3.8.3.1", "a subscription with QoS 3"))?;
+        let qos = Qos::from_number(options & 3)
+            .ok_or(Violation::protocol("MQTT 3.8.3.1", "a subscription with QoS 3"))?;
         let retain_handling = options >> 4 & 3;
         if retain_handling == 3 {
             return Err(Violation::protocol("MQTT 3.8.3.1", "a subscription with retain handling 3"));
         }
         let no_local = options & 4 != 0;
         if no_local && filter.starts_with("$share/") {
-            return Err(Violation::protocol("MQTT-3.8.3-4", "a shared subscription with no local"));
+            return Err(Violation::protocol(
+                "MQTT-3.8.3-4",
+                "a shared subscription with the no local option",
+            ));
         }
         let retain_as_published = options & 8 != 0;
         subscriptions.push(Subscription { filter, qos, no_local, retain_as_published, retain_handling });
@@ -431,30 +464,30 @@
     Ok(Subscribe { id, properties, subscriptions })
 }
 
-fn suback(r: &mut Reader, kind: Kind, version: Version) -> Result<Suback, Violation> {
-    let id = number(r)?;
-    let properties = properties(r, kind, version)?;
+fn suback(reader: &mut Reader, packet_type: PacketType, version: Version) -> Result<Suback, Violation> {
+    let id = packet_id(reader)?;
+    let properties = properties(reader, packet_type, version)?;
     let mut reasons = Vec::new();
-    while !r.is_empty() {
-        let code = r.u8()?;
-        let old = version == Version::V311 && !matches!(code, 0..=2 | 0x80);
-        if old || (version == Version::V311 && kind == Kind::Unsuback) {
+    while !reader.is_empty() {
+        let code = reader.u8()?;
+        let reserved_in_v311 = version == Version::V311 && !matches!(code, 0..=2 | 0x80);
+        if reserved_in_v311 || (version == Version::V311 && packet_type == PacketType::Unsuback) {
             return Err(Violation::malformed("MQTT-3.9.3-2", "a reserved return code"));
         }
-        reasons.push(reason(code, kind)?);
+        reasons.push(reason(code, packet_type)?);
     }
-    if reasons.is_empty() && !(version == Version::V311 && kind == Kind::Unsuback) {
-        return Err(Violation::protocol("MQTT-3.8.4-6", "an answer without a reason code"));
+    if reasons.is_empty() && !(version == Version::V311 && packet_type == PacketType::Unsuback) {
+        return Err(Violation::protocol("MQTT-3.8.4-6", "an acknowledgment without a reason code"));
     }
     Ok(Suback { id, properties, reasons })
 }
 
-fn unsubscribe(r: &mut Reader, version: Version) -> Result<Unsubscribe, Violation> {
-    let id = number(r)?;
-    let properties = properties(r, Kind::Unsubscribe, version)?;
+fn unsubscribe(reader: &mut Reader, version: Version) -> Result<Unsubscribe, Violation> {
+    let id = packet_id(reader)?;
+    let properties = properties(reader, PacketType::Unsubscribe, version)?;
     let mut filters = Vec::new();
-    while !r.is_empty() {
-        filters.push(r.text()?.to_string());
+    while !reader.is_empty() {
+        filters.push(reader.string()?.to_string());
     }
     if filters.is_empty() {
         return Err(Violation::protocol("MQTT-3.10.3-2", "an UNSUBSCRIBE without a filter"));
@@ -462,244 +495,256 @@
     Ok(Unsubscribe { id, properties, filters })
 }
 
-fn closing(r: &mut Reader, kind: Kind, v5: bool) -> Result<Closing, Violation> {
-    if !v5 || r.is_empty() {
+fn closing(reader: &mut Reader, packet_type: PacketType, v5: bool) -> Result<Closing, Violation> {
+    if !v5 || reader.is_empty() {
         return Ok(Closing { reason: Reason::Success, properties: Properties::default() });
     }
-    let reason = reason(r.u8()?, kind)?;
-    let properties =
-        if r.is_empty() { Properties::default() } else { Properties::read(r, Place::Packet(kind))? };
-    if kind == Kind::Auth && properties.authentication_method.is_none() {
-        return Err(Violation::protocol("MQTT 3.15.2.2.2", "an AUTH without its method"));
+    let reason = reason(reader.u8()?, packet_type)?;
+    let properties = if reader.is_empty() {
+        Properties::default()
+    } else {
+        Properties::read(reader, Location::Packet(packet_type))?
+    };
+    if packet_type == PacketType::Auth && properties.authentication_method.is_none() {
+        return Err(Violation::protocol("MQTT 3.15.2.2.2", "an AUTH without an authentication method"));
     }
     Ok(Closing { reason, properties })
 }
 
-// ---- Writing ----
+// ---- Encoding ----
 
-/// A packet on its way out: what does not fit is found before anything is sent.
+/// Encodes the content of a packet and keeps the first error, so that an invalid packet is rejected as a whole.
 struct Writer {
     out: Vec<u8>,
     v5: bool,
-    fault: Option<Unwritable>,
+    error: Option<Unwritable>,
 }
 
 impl Writer {
-    fn fail(&mut self, fault: Unwritable) {
-        self.fault.get_or_insert(fault);
+    fn fail(&mut self, error: Unwritable) {
+        self.error.get_or_insert(error);
     }
 
     fn binary(&mut self, bytes: &[u8]) {
         if bytes.len() > usize::from(u16::MAX) {
-            self.fail(Unwritable::TooLong);
+            self.fail(Unwritable::ValueTooLong);
         }
         put_binary(&mut self.out, bytes);
     }
 
-    fn text(&mut self, text: &str) {
-        self.binary(text.as_bytes());
+    fn string(&mut self, string: &str) {
+        self.binary(string.as_bytes());
     }
 
-    fn number(&mut self, id: u16) {
+    fn packet_id(&mut self, id: u16) {
         if id == 0 {
-            self.fail(Unwritable::Number);
+            self.fail(Unwritable::InvalidPacketId);
         }
         self.out.extend(id.to_be_bytes());
     }
 
-    fn properties(&mut self, properties: &Properties, place: Place) {
-        if properties.misplaced(place).is_some() || (!self.v5 && !properties.is_empty()) {
-            self.fail(Unwritable::NotInVersion);
+    fn properties(&mut self, properties: &Properties, location: Location) {
+        if properties.first_disallowed(location).is_some() || (!self.v5 && !properties.is_empty()) {
+            self.fail(Unwritable::NotAllowed);
         }
-        let texts = [
+        let strings = [
             &properties.content_type,
             &properties.response_topic,
             &properties.assigned_client_id,
             &properties.authentication_method,
-            &properties.response_info,
+            &properties.response_information,
             &properties.server_reference,
             &properties.reason_string,
         ];
-        let texts = texts.into_iter().flatten().map(String::len);
+        let string_lengths = strings.into_iter().flatten().map(String::len);
         let binaries = [&properties.correlation, &properties.authentication_data];
-        let user = properties.user.iter().flat_map(|(n, v)| [n.len(), v.len()]);
-        let lengths = texts.chain(binaries.into_iter().flatten().map(Vec::len)).chain(user);
+        let binary_lengths = binaries.into_iter().flatten().map(Vec::len);
+        let user_lengths = properties.user.iter().flat_map(|(name, value)| [name.len(), value.len()]);
+        let lengths = string_lengths.chain(binary_lengths).chain(user_lengths);
         if lengths.max().unwrap_or_default() > usize::from(u16::MAX) {
-            self.fail(Unwritable::TooLong);
+            self.fail(Unwritable::ValueTooLong);
         }
         if self.v5 {
             properties.write(&mut self.out);
         }
     }
 
-    /// A reason and properties, of which what goes without saying is left out.
-    fn outcome(&mut self, reason: Reason, properties: &Properties, kind: Kind) {
+    /// Writes a reason code and properties. Success without properties is omitted, and so are empty properties.
+    fn reason_and_properties(&mut self, reason: Reason, properties: &Properties, packet_type: PacketType) {
         if !self.v5 {
             if !properties.is_empty() {
-                self.fail(Unwritable::NotInVersion);
+                self.fail(Unwritable::NotAllowed);
             }
             return;
         }
-        if !reason.fits(kind) {
-            self.fail(Unwritable::NotInVersion);
+        if !reason.is_allowed_in(packet_type) {
+            self.fail(Unwritable::NotAllowed);
         }
         if reason == Reason::Success && properties.is_empty() {
             return;
         }
         self.out.push(reason.code());
         if !properties.is_empty() {
-            self.properties(properties, Place::Packet(kind));
+            self.properties(properties, Location::Packet(packet_type));
         }
     }
 }
 
 impl Packet {
-    /// Its kind.
-    pub fn kind(&self) -> Kind {
+    /// Returns the packet type.
+    pub fn packet_type(&self) -> PacketType {
         match self {
-            Packet::Connect(_) => Kind::Connect,
-            Packet::Connack(_) => Kind::Connack,
-            Packet::Publish(_) => Kind::Publish,
-            Packet::Puback(_) => Kind::Puback,
-            Packet::Pubrec(_) => Kind::Pubrec,
-            Packet::Pubrel(_) => Kind::Pubrel,
-            Packet::Pubcomp(_) => Kind::Pubcomp,
-            Packet::Subscribe(_) => Kind::Subscribe,
-            Packet::Suback(_) => Kind::Suback,
-            Packet::Unsubscribe(_) => Kind::Unsubscribe,
-            Packet::Unsuback(_) => Kind::Unsuback,
-            Packet::Pingreq => Kind::Pingreq,
-            Packet::Pingresp => Kind::Pingresp,
-            Packet::Disconnect(_) => Kind::Disconnect,
-            Packet::Auth(_) => Kind::Auth,
+            Packet::Connect(_) => PacketType::Connect,
+            Packet::Connack(_) => PacketType::Connack,
+            Packet::Publish(_) => PacketType::Publish,
+            Packet::Puback(_) => PacketType::Puback,
+            Packet::Pubrec(_) => PacketType::Pubrec,
+            Packet::Pubrel(_) => PacketType::Pubrel,
+            Packet::Pubcomp(_) => PacketType::Pubcomp,
+            Packet::Subscribe(_) => PacketType::Subscribe,
+            Packet::Suback(_) => PacketType::Suback,
+            Packet::Unsubscribe(_) => PacketType::Unsubscribe,
+            Packet::Unsuback(_) => PacketType::Unsuback,
+            Packet::Pingreq => PacketType::Pingreq,
+            Packet::Pingresp => PacketType::Pingresp,
+            Packet::Disconnect(_) => PacketType::Disconnect,
+            Packet::Auth(_) => PacketType::Auth,
         }
     }
 
-    /// The bytes of the packet, at most so many.
-    pub fn encode(&self, version: Version, most: usize) -> Result<Vec<u8>, Unwritable> {
-        let kind = self.kind();
-        let place = Place::Packet(kind);
+    /// Encodes the packet, at most `max_size` bytes. A CONNECT is encoded in the version that it states, all other packets
+    /// in `version`.
+    pub fn encode(&self, version: Version, max_size: usize) -> Result<Vec<u8>, Unwritable> {
+        let packet_type = self.packet_type();
+        let location = Location::Packet(packet_type);
         let version = if let Packet::Connect(connect) = self { connect.version } else { version };
-        let mut w = Writer { out: Vec::new(), v5: version == Version::V5, fault: None };
+        let mut writer = Writer { out: Vec::new(), v5: version == Version::V5, error: None };
         let mut flags =
-            if matches!(kind, Kind::Pubrel | Kind::Subscribe | Kind::Unsubscribe) { 2 } else { 0 };
+            if matches!(packet_type, PacketType::Pubrel | PacketType::Subscribe | PacketType::Unsubscribe) {
+                2
+            } else {
+                0
+            };
         match self {
-            Packet::Connect(connect) => connect.write(&mut w),
+            Packet::Connect(connect) => connect.write(&mut writer),
             Packet::Connack(connack) => {
-                w.out.push(u8::from(connack.session_present));
-                let old = RETURN_CODES.iter().position(|r| *r == connack.reason);
-                let code = if w.v5 { Some(connack.reason.code()) } else { old.map(|code| code as u8) };
-                if code.is_none() || !connack.reason.fits(kind) {
-                    w.fail(Unwritable::NotInVersion);
+                writer.out.push(u8::from(connack.session_present));
+                let return_code = RETURN_CODES.iter().position(|reason| *reason == connack.reason);
+                let code =
+                    if writer.v5 { Some(connack.reason.code()) } else { return_code.map(|code| code as u8) };
+                if code.is_none() || !connack.reason.is_allowed_in(packet_type) {
+                    writer.fail(Unwritable::NotAllowed);
                 }
-                w.out.push(code.unwrap_or_default());
-                w.properties(&connack.properties, place);
+                writer.out.push(code.unwrap_or_default());
+                writer.properties(&connack.properties, location);
             }
             Packet::Publish(publish) => {
                 flags = u8::from(publish.dup) << 3 | (publish.qos as u8) << 1 | u8::from(publish.retain);
-                w.text(&publish.topic);
+                writer.string(&publish.topic);
                 if publish.qos != Qos::AtMostOnce {
-                    w.number(publish.id);
+                    writer.packet_id(publish.id);
                 } else if publish.id != 0 || publish.dup {
-                    w.fail(Unwritable::Number);
+                    writer.fail(Unwritable::InvalidPacketId);
                 }
-                w.properties(&publish.properties, place);
-                w.out.extend(&publish.payload);
+                writer.properties(&publish.properties, location);
+                writer.out.extend(&publish.payload);
             }
             Packet::Puback(ack) | Packet::Pubrec(ack) | Packet::Pubrel(ack) | Packet::Pubcomp(ack) => {
-                w.number(ack.id);
-                w.outcome(ack.reason, &ack.properties, kind);
+                writer.packet_id(ack.id);
+                writer.reason_and_properties(ack.reason, &ack.properties, packet_type);
             }
             Packet::Subscribe(subscribe) => {
-                w.number(subscribe.id);
-                w.properties(&subscribe.properties, place);
+                writer.packet_id(subscribe.id);
+                writer.properties(&subscribe.properties, location);
                 if subscribe.subscriptions.is_empty() {
-                    w.fail(Unwritable::Empty);
+                    writer.fail(Unwritable::InvalidEntryCount);
                 }
-                for s in &subscribe.subscriptions {
-                    w.text(&s.filter);
-                    let extra = u8::from(s.no_local) << 2
-                        | u8::from(s.retain_as_published) << 3
-                        | s.retain_handling.min(2) << 4;
-                    if extra != 0 && !w.v5 {
-                        w.fail(Unwritable::NotInVersion);
+                for subscription in &subscribe.subscriptions {
+                    writer.string(&subscription.filter);
+                    let v5_options = u8::from(subscription.no_local) << 2
+                        | u8::from(subscription.retain_as_published) << 3
+                        | subscription.retain_handling.min(2) << 4;
+                    if v5_options != 0 && !writer.v5 {
+                        writer.fail(Unwritable::NotAllowed);
                     }
-                    w.out.push(s.qos as u8 | extra);
+                    writer.out.push(subscription.qos as u8 | v5_options);
                 }
             }
             Packet::Suback(suback) | Packet::Unsuback(suback) => {
-                w.number(suback.id);
-                w.properties(&suback.properties, place);
-                let none = !w.v5 && kind == Kind::Unsuback;
-                if suback.reasons.is_empty() != none {
-                    w.fail(Unwritable::Empty);
+                writer.packet_id(suback.id);
+                writer.properties(&suback.properties, location);
+                let without_reasons = !writer.v5 && packet_type == PacketType::Unsuback;
+                if suback.reasons.is_empty() != without_reasons {
+                    writer.fail(Unwritable::InvalidEntryCount);
                 }
                 for reason in &suback.reasons {
-                    let old = matches!(reason.code(), 0..=2 | 0x80);
-                    if !reason.fits(kind) || (!w.v5 && !old) {
-                        w.fail(Unwritable::NotInVersion);
+                    let defined_in_v311 = matches!(reason.code(), 0..=2 | 0x80);
+                    if !reason.is_allowed_in(packet_type) || (!writer.v5 && !defined_in_v311) {
+                        writer.fail(Unwritable::NotAllowed);
                     }
-                    w.out.push(reason.code());
+                    writer.out.push(reason.code());
                 }
             }
             Packet::Unsubscribe(unsubscribe) => {
-                w.number(unsubscribe.id);
-                w.properties(&unsubscribe.properties, place);
+                writer.packet_id(unsubscribe.id);
+                writer.properties(&unsubscribe.properties, location);
                 if unsubscribe.filters.is_empty() {
-                    w.fail(Unwritable::Empty);
+                    writer.fail(Unwritable::InvalidEntryCount);
                 }
-                unsubscribe.filters.iter().for_each(|f| w.text(f));
+                unsubscribe.filters.iter().for_each(|filter| writer.string(filter));
             }
             Packet::Pingreq | Packet::Pingresp => {}
-            Packet::Disconnect(closing) => w.outcome(closing.reason, &closing.properties, kind),
+            Packet::Disconnect(closing) => {
+                writer.reason_and_properties(closing.reason, &closing.properties, packet_type)
+            }
             Packet::Auth(closing) => {
-                if !w.v5 {
-                    w.fail(Unwritable::NotInVersion);
+                if !writer.v5 {
+                    writer.fail(Unwritable::NotAllowed);
                 }
-                w.outcome(closing.reason, &closing.properties, kind);
+                writer.reason_and_properties(closing.reason, &closing.properties, packet_type);
             }
         }
-        if w.out.len() > MOST_VARIABLE as usize {
-            w.fail(Unwritable::TooLarge);
+        if writer.out.len() > MOST_VARIABLE as usize {
+            writer.fail(Unwritable::PacketTooLarge);
         }
-        let mut out = Vec::with_capacity(w.out.len() + 5);
-        out.push((kind as u8) << 4 | flags);
-        put_variable(&mut out, w.out.len() as u32);
-        out.extend(w.out);
-        match w.fault {
-            Some(fault) => Err(fault),
-            None if out.len() > most => Err(Unwritable::TooLarge),
+        let mut out = Vec::with_capacity(writer.out.len() + 5);
+        out.push((packet_type as u8) << 4 | flags);
+        put_variable_byte_integer(&mut out, writer.out.len() as u32);
+        out.extend(writer.out);
+        match writer.error {
+            Some(error) => Err(error),
+            None if out.len() > max_size => Err(Unwritable::PacketTooLarge),
             None => Ok(out),
         }
     }
 }
 
 impl Connect {
-    fn write(&self, w: &mut Writer) {
-        w.text("MQTT");
-        w.out.push(self.version as u8);
+    fn write(&self, writer: &mut Writer) {
+        writer.string("MQTT");
+        writer.out.push(self.version as u8);
         let mut flags = u8::from(self.clean_start) << 1;
         if let Some(will) = &self.will {
             flags |= 1 << 2 | (will.qos as u8) << 3 | u8::from(will.retain) << 5;
         }
         flags |= u8::from(self.password.is_some()) << 6 | u8::from(self.user.is_some()) << 7;
-        if !w.v5 && self.password.is_some() && self.user.is_none() {
-            w.fail(Unwritable::NotInVersion);
+        if !writer.v5 && self.password.is_some() && self.user.is_none() {
+            writer.fail(Unwritable::NotAllowed);
         }
-        w.out.push(flags);
-        w.out.extend(self.keep_alive.to_be_bytes());
-        w.properties(&self.properties, Place::Packet(Kind::Connect));
-        w.text(&self.client_id);
+        writer.out.push(flags);
+        writer.out.extend(self.keep_alive.to_be_bytes());
+        writer.properties(&self.properties, Location::Packet(PacketType::Connect));
+        writer.string(&self.client_id);
         if let Some(will) = &self.will {
-            w.properties(&will.properties, Place::Will);
-            w.text(&will.topic);
-            w.binary(&will.payload);
+            writer.properties(&will.properties, Location::Will);
+            writer.string(&will.topic);
+            writer.binary(&will.payload);
         }
         if let Some(user) = &self.user {
-            w.text(user);
+            writer.string(user);
         }
         if let Some(password) = &self.password {
-            w.binary(password);
+            writer.binary(password);
         }
     }
 }
--- a/crates/mqtt/src/property/tests.rs
+++ b/crates/mqtt/src/property/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-fn read(bytes: &[u8], kind: Kind) -> Result<Properties, &'static str> {
+fn read(bytes: &[u8], packet_type: PacketType) -> Result<Properties, &'static str> {
     let mut whole = Vec::new();
-    put_variable(&mut whole, bytes.len() as u32);
+    put_variable_byte_integer(&mut whole, bytes.len() as u32);
     whole.extend(bytes);
-    Properties::read(&mut Reader::new(&whole), Place::Packet(kind)).map_err(|v| v.what)
+    Properties::read(&mut Reader::new(&whole), Location::Packet(packet_type)).map_err(|v| v.what)
 }
 
 #[test]
-fn each_property_stands_where_the_table_of_the_specification_says_and_nowhere_else() {
-    // A value of each, and the packets that may carry it (MQTT 5.0, table 2-4); 0 stands for the will.
+fn each_property_is_allowed_exactly_in_the_packet_types_of_table_2_4() {
+    // One value of each property, and the packet types that may carry it (MQTT 5.0, table 2-4); 0 is the will.
     let table: [(&[u8], &[u8]); 27] = [
         (&[0x01, 1], &[3, 0]),
         (&[0x02, 0, 0, 0, 1], &[3, 0]),
@@ -39,36 +39,38 @@
         (&[0x29, 1], &[2]),
         (&[0x2a, 1], &[2]),
     ];
-    for (bytes, places) in table {
+    for (bytes, packet_types) in table {
         let mut whole = Vec::new();
-        put_variable(&mut whole, bytes.len() as u32);
+        put_variable_byte_integer(&mut whole, bytes.len() as u32);
         whole.extend(bytes);
-        let all = Kind::ALL.map(Place::Packet).into_iter().chain([Place::Will]);
-        for place in all.filter(|p| !matches!(p, Place::Packet(Kind::Pingreq | Kind::Pingresp))) {
-            let number = if let Place::Packet(kind) = place { kind as u8 } else { 0 };
-            let result = Properties::read(&mut Reader::new(&whole), place);
-            assert_eq!(result.is_ok(), places.contains(&number), "{bytes:?} {place:?} {result:?}");
+        let all = PacketType::ALL.map(Location::Packet).into_iter().chain([Location::Will]);
+        for location in
+            all.filter(|p| !matches!(p, Location::Packet(PacketType::Pingreq | PacketType::Pingresp)))
+        {
+            let number = if let Location::Packet(packet_type) = location { packet_type as u8 } else { 0 };
+            let result = Properties::read(&mut Reader::new(&whole), location);
+            assert_eq!(result.is_ok(), packet_types.contains(&number), "{bytes:?} {location:?} {result:?}");
             if let Ok(properties) = result {
                 let mut out = Vec::new();
                 properties.write(&mut out);
                 assert_eq!(out, whole);
-                assert_eq!(properties.misplaced(place), None);
+                assert_eq!(properties.first_disallowed(location), None);
             }
         }
     }
 }
 
 #[test]
-fn twice_unknown_and_out_of_range_are_told_apart() {
-    assert_eq!(read(&[0x24, 1, 0x24, 1], Kind::Connack), Err("a property that stands twice"));
-    assert_eq!(read(&[0x0b, 1, 0x0b, 2], Kind::Subscribe), Err("a property that stands twice"));
-    assert_eq!(read(&[0x0b, 1, 0x0b, 2], Kind::Publish).map(|p| p.subscription_ids), Ok(vec![1, 2]));
-    assert_eq!(read(&[0x04, 1], Kind::Connack), Err("an unknown property"));
-    assert_eq!(read(&[0xff, 0x01], Kind::Connack), Err("an unknown property"));
-    assert_eq!(read(&[0x25, 2], Kind::Connack), Err("a property that must be 0 or 1"));
-    assert_eq!(read(&[0x21, 0, 0], Kind::Connect), Err("a receive maximum of 0"));
-    assert_eq!(read(&[0x27, 0, 0, 0, 0], Kind::Connect), Err("a maximum packet size of 0"));
-    assert_eq!(read(&[0x0b, 0], Kind::Publish), Err("a subscription identifier of 0"));
-    assert_eq!(read(&[0x16, 0, 0], Kind::Auth), Err("authentication data without a method"));
-    assert_eq!(read(&[0x21, 0], Kind::Connect), Err("a packet that ends early"));
+fn duplicate_unknown_and_out_of_range_properties_are_distinguished() {
+    assert_eq!(read(&[0x24, 1, 0x24, 1], PacketType::Connack), Err("a duplicate property"));
+    assert_eq!(read(&[0x0b, 1, 0x0b, 2], PacketType::Subscribe), Err("a duplicate property"));
+    assert_eq!(read(&[0x0b, 1, 0x0b, 2], PacketType::Publish).map(|p| p.subscription_ids), Ok(vec![1, 2]));
+    assert_eq!(read(&[0x04, 1], PacketType::Connack), Err("an unknown property"));
+    assert_eq!(read(&[0xff, 0x01], PacketType::Connack), Err("an unknown property"));
+    assert_eq!(read(&[0x25, 2], PacketType::Connack), Err("a property whose value must be 0 or 1"));
+    assert_eq!(read(&[0x21, 0, 0], PacketType::Connect), Err("a receive maximum of 0"));
+    assert_eq!(read(&[0x27, 0, 0, 0, 0], PacketType::Connect), Err("a maximum packet size of 0"));
+    assert_eq!(read(&[0x0b, 0], PacketType::Publish), Err("a subscription identifier of 0"));
+    assert_eq!(read(&[0x16, 0, 0], PacketType::Auth), Err("authentication data without a method"));
+    assert_eq!(read(&[0x21, 0], PacketType::Connect), Err("a truncated packet"));
 }
--- a/crates/mqtt/src/reason.rs
+++ b/crates/mqtt/src/reason.rs
@@ -1,4 +1,5 @@
-//! Reason codes (MQTT 5.0, table 2-6), and which packets may carry which.
+//! Reason codes (MQTT 5.0, table 2-6), control packet types (table 2-1), the reason codes allowed in each type, and
+//! [`Violation`], the error for a peer that breaks the specification.
 
 use std::fmt;
 
@@ -10,16 +11,16 @@
         pub enum Reason { $(#[doc = $text] $name = $code,)* }
 
         impl Reason {
-            /// All of them.
+            /// All reason codes.
             pub const ALL: &[Reason] = &[$(Reason::$name,)*];
 
-            /// The reason with this code.
-            pub fn of(code: u8) -> Option<Reason> {
+            /// Returns the reason with this code, or `None` if the specification defines none.
+            pub fn from_code(code: u8) -> Option<Reason> {
                 match code { $($code => Some(Reason::$name),)* _ => None }
             }
 
-            /// Its name in the specification.
-            pub fn text(self) -> &'static str {
+            /// Returns the name of the reason code in the specification.
+            pub fn name(self) -> &'static str {
                 match self { $(Reason::$name => $text,)* }
             }
         }
@@ -73,35 +74,35 @@
 }
 
 impl Reason {
-    /// Its code.
+    /// Returns the code on the wire.
     pub fn code(self) -> u8 {
         self as u8
     }
 
-    /// Whether it tells of a failure.
+    /// Returns whether the code denotes a failure.
     pub fn failed(self) -> bool {
         self.code() >= 0x80
     }
 
-    /// Whether a packet of this kind may carry it.
-    pub fn fits(self, kind: Kind) -> bool {
+    /// Returns whether a packet of this type may carry the code.
+    pub fn is_allowed_in(self, packet_type: PacketType) -> bool {
         let code = self.code();
-        match kind {
-            Kind::Connack => {
+        match packet_type {
+            PacketType::Connack => {
                 matches!(code, 0x00 | 0x80..=0x8a | 0x8c | 0x90 | 0x95 | 0x97 | 0x99..=0x9d | 0x9f)
             }
-            Kind::Puback | Kind::Pubrec => {
+            PacketType::Puback | PacketType::Pubrec => {
                 matches!(code, 0x00 | 0x10 | 0x80 | 0x83 | 0x87 | 0x90 | 0x91 | 0x97 | 0x99)
             }
-            Kind::Pubrel | Kind::Pubcomp => matches!(code, 0x00 | 0x92),
-            Kind::Suback => {
+            PacketType::Pubrel | PacketType::Pubcomp => matches!(code, 0x00 | 0x92),
+            PacketType::Suback => {
                 matches!(code, 0x00..=0x02 | 0x80 | 0x83 | 0x87 | 0x8f | 0x91 | 0x97 | 0x9e | 0xa1 | 0xa2)
             }
-            Kind::Unsuback => matches!(code, 0x00 | 0x11 | 0x80 | 0x83 | 0x87 | 0x8f | 0x91),
-            Kind::Disconnect => {
+            PacketType::Unsuback => matches!(code, 0x00 | 0x11 | 0x80 | 0x83 | 0x87 | 0x8f | 0x91),
+            PacketType::Disconnect => {
                 matches!(code, 0x00 | 0x04 | 0x80..=0x83 | 0x87 | 0x89 | 0x8b | 0x8d..=0x90 | 0x93..=0xa2)
             }
-            Kind::Auth => matches!(code, 0x00 | 0x18 | 0x19),
+            PacketType::Auth => matches!(code, 0x00 | 0x18 | 0x19),
             _ => false,
         }
     }
@@ -109,91 +110,92 @@
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} (0x{:02x})", self.text(), self.code())
+        write!(f, "{} (0x{:02x})", self.name(), self.code())
     }
 }
 
-/// The kinds of control packet (MQTT 5.0, table 2-1), by their numbers.
+/// A control packet type (MQTT 5.0, table 2-1) with its number on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
-pub enum Kind {
-    /// A client asks to be connected.
+pub enum PacketType {
+    /// Connection request.
     Connect = 1,
-    /// The answer to it.
+    /// Connect acknowledgment.
     Connack = 2,
-    /// A message.
+    /// Publish message.
     Publish = 3,
-    /// The answer at QoS 1.
+    /// Publish acknowledgment (QoS 1).
     Puback = 4,
-    /// The first answer at QoS 2.
+    /// Publish received (QoS 2, first acknowledgment).
     Pubrec = 5,
-    /// The release at QoS 2.
+    /// Publish release (QoS 2).
     Pubrel = 6,
-    /// The last answer at QoS 2.
+    /// Publish complete (QoS 2, last acknowledgment).
     Pubcomp = 7,
-    /// A client asks for messages.
+    /// Subscribe request.
     Subscribe = 8,
-    /// The answer to it.
+    /// Subscribe acknowledgment.
     Suback = 9,
-    /// A client wants some no more.
+    /// Unsubscribe request.
     Unsubscribe = 10,
-    /// The answer to it.
+    /// Unsubscribe acknowledgment.
     Unsuback = 11,
-    /// A sign of life.
+    /// Ping request.
     Pingreq = 12,
-    /// The answer to it.
+    /// Ping response.
     Pingresp = 13,
-    /// A side closes.
+    /// Disconnect notification.
     Disconnect = 14,
-    /// A step of an enhanced authentication; 5.0 only.
+    /// Authentication exchange; 5.0 only.
     Auth = 15,
 }
 
-impl Kind {
-    /// All of them.
-    pub const ALL: [Kind; 15] = [
-        Kind::Connect,
-        Kind::Connack,
-        Kind::Publish,
-        Kind::Puback,
-        Kind::Pubrec,
-        Kind::Pubrel,
-        Kind::Pubcomp,
-        Kind::Subscribe,
-        Kind::Suback,
-        Kind::Unsubscribe,
-        Kind::Unsuback,
-        Kind::Pingreq,
-        Kind::Pingresp,
-        Kind::Disconnect,
-        Kind::Auth,
+impl PacketType {
+    /// All packet types, by number.
+    pub const ALL: [PacketType; 15] = [
+        PacketType::Connect,
+        PacketType::Connack,
+        PacketType::Publish,
+        PacketType::Puback,
+        PacketType::Pubrec,
+        PacketType::Pubrel,
+        PacketType::Pubcomp,
+        PacketType::Subscribe,
+        PacketType::Suback,
+        PacketType::Unsubscribe,
+        PacketType::Unsuback,
+        PacketType::Pingreq,
+        PacketType::Pingresp,
+        PacketType::Disconnect,
+        PacketType::Auth,
     ];
 
-    /// The kind with this number.
-    pub fn of(number: u8) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|k| *k as u8 == number)
+    /// Returns the packet type with this number; 0 is reserved.
+    pub fn from_number(number: u8) -> Option<PacketType> {
+        PacketType::ALL.into_iter().find(|packet_type| *packet_type as u8 == number)
     }
 }
 
-/// What a peer did against the specification: the reason to close with, the statement, and what it was.
+/// A violation of the specification by the peer: the reason code to close with, the conformance statement, and a
+/// description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{what} [{statement}], {reason}: look at the station or broker that sends it")]
 pub struct Violation {
-    /// The reason that the specification names for it.
+    /// The reason code that the specification prescribes.
     pub reason: Reason,
-    /// The statement, such as `MQTT-2.1.3-1`, or the section where it has no number.
+    /// The conformance statement, such as `MQTT-2.1.3-1`, or the section if the rule has no number.
     pub statement: &'static str,
-    /// What it was.
+    /// A description of what the peer sent.
     pub what: &'static str,
 }
 
 impl Violation {
-    /// A malformed packet.
+    /// Returns a violation with the reason code "malformed packet".
     pub const fn malformed(statement: &'static str, what: &'static str) -> Violation {
         Violation { reason: Reason::MalformedPacket, statement, what }
     }
 
-    /// A protocol error.
+    /// Returns a violation with the reason code "protocol error".
     pub const fn protocol(statement: &'static str, what: &'static str) -> Violation {
         Violation { reason: Reason::ProtocolError, statement, what }
     }
--- a/crates/mqtt/src/reason/tests.rs
+++ b/crates/mqtt/src/reason/tests.rs
@@ -1,25 +1,29 @@
 use super::*;
 
 #[test]
-fn codes_are_read_as_written_and_fit_where_the_tables_say() {
+fn reason_codes_round_trip_and_are_allowed_in_as_many_packet_types_as_specified() {
     for code in 0..=u8::MAX {
-        assert_eq!(Reason::of(code).map(Reason::code), Reason::of(code).map(|_| code));
+        assert_eq!(Reason::from_code(code).map(Reason::code), Reason::from_code(code).map(|_| code));
     }
     assert_eq!(Reason::ALL.len(), 43);
-    // The number of codes in each packet's table of the specification.
+    // The number of codes in the specification's table for each packet type.
     let counts = [
-        (Kind::Connack, 22),
-        (Kind::Puback, 9),
-        (Kind::Pubrec, 9),
-        (Kind::Pubrel, 2),
-        (Kind::Pubcomp, 2),
-        (Kind::Suback, 12),
-        (Kind::Unsuback, 7),
-        (Kind::Disconnect, 29),
-        (Kind::Auth, 3),
-        (Kind::Publish, 0),
+        (PacketType::Connack, 22),
+        (PacketType::Puback, 9),
+        (PacketType::Pubrec, 9),
+        (PacketType::Pubrel, 2),
+        (PacketType::Pubcomp, 2),
+        (PacketType::Suback, 12),
+        (PacketType::Unsuback, 7),
+        (PacketType::Disconnect, 29),
+        (PacketType::Auth, 3),
+        (PacketType::Publish, 0),
     ];
-    for (kind, count) in counts {
-        assert_eq!(Reason::ALL.iter().filter(|r| r.fits(kind)).count(), count, "{kind:?}");
+    for (packet_type, count) in counts {
+        assert_eq!(
+            Reason::ALL.iter().filter(|r| r.is_allowed_in(packet_type)).count(),
+            count,
+            "{packet_type:?}"
+        );
     }
 }
--- a/crates/mqtt/src/topic.rs
+++ b/crates/mqtt/src/topic.rs
@@ -1,95 +1,96 @@
-//! Topic names and filters (MQTT 5.0, section 4.7), and shared subscriptions (4.8.2).
+//! Validation and matching of topic names and topic filters (MQTT 5.0, section 4.7), including the filters of shared
+//! subscriptions (4.8.2).
 
 use crate::reason::{Reason, Violation};
 
-/// The longest name or filter, in bytes [MQTT-4.7.3-3].
-pub const MOST: usize = 65_535;
+/// The maximum length of a topic name or filter in bytes [MQTT-4.7.3-3].
+pub const MAX_TOPIC_BYTES: usize = 65_535;
 
 fn invalid(reason: Reason, statement: &'static str, what: &'static str) -> Violation {
     Violation { reason, statement, what }
 }
 
-fn usable(text: &str, reason: Reason) -> Result<(), Violation> {
+fn check_common(text: &str, reason: Reason) -> Result<(), Violation> {
     if text.is_empty() {
         return Err(invalid(reason, "MQTT-4.7.3-1", "an empty topic"));
     }
     if text.contains('\0') {
         return Err(invalid(reason, "MQTT-4.7.3-2", "a topic with a null character"));
     }
-    if text.len() > MOST {
+    if text.len() > MAX_TOPIC_BYTES {
         return Err(invalid(reason, "MQTT-4.7.3-3", "a topic longer than 65535 bytes"));
     }
     Ok(())
 }
 
-/// Checks a name that something is published to.
+/// Checks the topic name of a PUBLISH or a will.
 pub fn check_name(name: &str) -> Result<(), Violation> {
-    usable(name, Reason::TopicNameInvalid)?;
+    check_common(name, Reason::TopicNameInvalid)?;
     if name.contains(['+', '#']) {
         return Err(invalid(Reason::TopicNameInvalid, "MQTT-3.3.2-2", "a topic name with a wildcard"));
     }
     Ok(())
 }
 
-/// A filter that something subscribes by.
+/// The parsed topic filter of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Filter {
-    /// The name that a subscription is shared under.
+    /// The share name of a shared subscription.
     pub share: Option<String>,
-    /// The filter itself.
+    /// The topic filter without the `$share/` prefix and the share name.
     pub filter: String,
 }
 
 impl Filter {
-    /// Reads and checks a filter.
+    /// Parses and validates a topic filter.
     pub fn read(text: &str) -> Result<Filter, Violation> {
-        let bad = |statement, what| invalid(Reason::TopicFilterInvalid, statement, what);
-        usable(text, Reason::TopicFilterInvalid)?;
+        let violation = |statement, what| invalid(Reason::TopicFilterInvalid, statement, what);
+        check_common(text, Reason::TopicFilterInvalid)?;
         let (share, filter) = match text.strip_prefix("$share/") {
             None => (None, text),
             Some(rest) => {
                 let (share, filter) = rest
                     .split_once('/')
-                    .ok_or(bad("MQTT-4.8.2-2", "a shared subscription without a filter"))?;
+                    .ok_or(violation("MQTT-4.8.2-2", "a shared subscription without a filter"))?;
                 if share.is_empty() {
-                    return Err(bad("MQTT-4.8.2-1", "a shared subscription without a name"));
+                    return Err(violation("MQTT-4.8.2-1", "a shared subscription without a share name"));
                 }
                 if share.contains(['+', '#']) {
-                    return Err(bad("MQTT-4.8.2-2", "a share name with a wildcard"));
+                    return Err(violation("MQTT-4.8.2-2", "a share name with a wildcard"));
                 }
-                usable(filter, Reason::TopicFilterInvalid)?;
+                check_common(filter, Reason::TopicFilterInvalid)?;
                 (Some(share.to_string()), filter)
             }
         };
         let levels: Vec<&str> = filter.split('/').collect();
-        for (i, level) in levels.iter().enumerate() {
-            if level.contains('#') && (*level != "#" || i + 1 < levels.len()) {
-                return Err(bad("MQTT-4.7.1-1", "a multi-level wildcard that is not the last level"));
+        for (index, level) in levels.iter().enumerate() {
+            if level.contains('#') && (*level != "#" || index + 1 < levels.len()) {
+                return Err(violation("MQTT-4.7.1-1", "a multi-level wildcard that is not the last level"));
             }
             if level.contains('+') && *level != "+" {
-                return Err(bad("MQTT-4.7.1-2", "a single-level wildcard that is not a whole level"));
+                return Err(violation("MQTT-4.7.1-2", "a single-level wildcard that is not a whole level"));
             }
         }
         Ok(Filter { share, filter: filter.to_string() })
     }
 
-    /// Whether it has wildcards.
+    /// Returns whether the filter contains wildcards.
     pub fn has_wildcards(&self) -> bool {
         self.filter.contains(['+', '#'])
     }
 
-    /// Whether a name falls under it.
+    /// Returns whether a topic name matches the filter.
     pub fn matches(&self, name: &str) -> bool {
-        // Wildcards at the front do not match names that begin with `$` [MQTT-4.7.2-1].
+        // A leading wildcard does not match a topic name that begins with `$` [MQTT-4.7.2-1].
         if name.starts_with('$') && self.filter.starts_with(['+', '#']) {
             return false;
         }
-        let (mut filter, mut levels) = (self.filter.split('/'), name.split('/'));
+        let (mut filter_levels, mut name_levels) = (self.filter.split('/'), name.split('/'));
         loop {
-            match (filter.next(), levels.next()) {
+            match (filter_levels.next(), name_levels.next()) {
                 (Some("#"), _) => return true,
                 (Some("+"), Some(_)) => {}
-                (Some(wanted), Some(level)) if wanted == level => {}
+                (Some(expected), Some(level)) if expected == level => {}
                 (None, None) => return true,
                 _ => return false,
             }
--- a/crates/mqtt/src/topic/tests.rs
+++ b/crates/mqtt/src/topic/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn filters_match_as_the_examples_of_the_specification_say() {
+fn filters_match_as_in_the_examples_of_the_specification() {
     let table = [
         ("sport/tennis/player1/#", "sport/tennis/player1", true),
         ("sport/tennis/player1/#", "sport/tennis/player1/ranking", true),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn each_rule_is_named_by_its_statement() {
+fn invalid_names_and_filters_report_the_violated_statement() {
     let filters = [
         ("", "MQTT-4.7.3-1"),
         ("a\0", "MQTT-4.7.3-2"),
@@ -48,5 +48,5 @@
     assert!(shared.share.as_deref() == Some("g") && shared.matches("a/b") && shared.has_wildcards());
     assert_eq!(check_name("a/+").map_err(|v| v.statement), Err("MQTT-3.3.2-2"));
     assert!(check_name("$SYS/a b/\u{e9}").is_ok());
-    assert_eq!(check_name(&"a".repeat(MOST + 1)).map_err(|v| v.statement), Err("MQTT-4.7.3-3"));
+    assert_eq!(check_name(&"a".repeat(MAX_TOPIC_BYTES + 1)).map_err(|v| v.statement), Err("MQTT-4.7.3-3"));
 }
--- a/crates/mqtt/tests/codec.rs
+++ b/crates/mqtt/tests/codec.rs
@@ -1,17 +1,17 @@
-//! The codec under property tests: what is written is read back, whatever is cut, bent or random is an error or a
-//! packet, never a panic, and nothing is allocated that has not arrived.
+//! Property tests of the codec: encoded packets decode to themselves, and truncated, corrupted or random input yields an
+//! error or a packet, never a panic. A table checks the statement and the reason code of each violation.
 
 use ochreward_mqtt::packet::{
     Ack, Closing, Connack, Connect, Packet, Publish, Qos, Suback, Subscribe, Subscription, Unsubscribe,
     Unwritable, Version, Will, decode,
 };
-use ochreward_mqtt::{Kind, Properties, Reason};
+use ochreward_mqtt::{PacketType, Properties, Reason};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const MOST: usize = 1 << 20;
+const MAX_SIZE: usize = 1 << 20;
 
-fn text() -> impl Strategy<Value = String> {
+fn string() -> impl Strategy<Value = String> {
     "[a-z\u{e9}\u{20ac}]{0,12}"
 }
 
@@ -19,37 +19,45 @@
     "[a-z]{1,6}(/[a-z]{0,4}){0,3}"
 }
 
-fn some<T: std::fmt::Debug + Clone + 'static>(
+fn optional<T: std::fmt::Debug + Clone + 'static>(
     of: impl Strategy<Value = T> + 'static,
 ) -> BoxedStrategy<Option<T>> {
     prop::option::of(of).boxed()
 }
 
 fn user() -> BoxedStrategy<Vec<(String, String)>> {
-    prop::collection::vec((text(), text()), 0..3).boxed()
+    prop::collection::vec((string(), string()), 0..3).boxed()
 }
 
 fn bytes() -> BoxedStrategy<Vec<u8>> {
     prop::collection::vec(any::<u8>(), 0..20).boxed()
 }
 
-/// Properties that may stand in a PUBLISH or a will.
+/// Properties that are allowed in a PUBLISH and in a will.
 fn message_properties() -> impl Strategy<Value = Properties> {
-    (some(any::<bool>()), some(any::<u32>()), some(text()), some(topic()), some(bytes()), user()).prop_map(
-        |(payload_is_text, message_expiry, content_type, response_topic, correlation, user)| Properties {
-            payload_is_text,
-            message_expiry,
-            content_type,
-            response_topic,
-            correlation,
-            user,
-            ..Properties::default()
-        },
+    (
+        optional(any::<bool>()),
+        optional(any::<u32>()),
+        optional(string()),
+        optional(topic()),
+        optional(bytes()),
+        user(),
     )
+        .prop_map(
+            |(payload_is_utf8, message_expiry, content_type, response_topic, correlation, user)| Properties {
+                payload_is_utf8,
+                message_expiry,
+                content_type,
+                response_topic,
+                correlation,
+                user,
+                ..Properties::default()
+            },
+        )
 }
 
-fn answer_properties() -> impl Strategy<Value = Properties> {
-    (some(text()), user()).prop_map(|(reason_string, user)| Properties {
+fn acknowledgment_properties() -> impl Strategy<Value = Properties> {
+    (optional(string()), user()).prop_map(|(reason_string, user)| Properties {
         reason_string,
         user,
         ..Properties::default()
@@ -57,8 +65,9 @@
 }
 
 fn connection_properties() -> impl Strategy<Value = Properties> {
-    let numbers = (some(any::<u32>()), some(1..=u16::MAX), some(any::<u16>()), some(1..=u32::MAX));
-    (numbers, some((text(), bytes())), user()).prop_map(|(numbers, authentication, user)| {
+    let numbers =
+        (optional(any::<u32>()), optional(1..=u16::MAX), optional(any::<u16>()), optional(1..=u32::MAX));
+    (numbers, optional((string(), bytes())), user()).prop_map(|(numbers, authentication, user)| {
         let (session_expiry, receive_maximum, topic_alias_maximum, maximum_packet) = numbers;
         let (authentication_method, authentication_data) = authentication.unzip();
         Properties {
@@ -78,32 +87,29 @@
     prop_oneof![Just(Qos::AtMostOnce), Just(Qos::AtLeastOnce), Just(Qos::ExactlyOnce)]
 }
 
-fn reason(kind: Kind) -> impl Strategy<Value = Reason> {
-    let fitting: Vec<Reason> = Reason::ALL.iter().copied().filter(|r| r.fits(kind)).collect();
-    prop::sample::select(fitting)
+fn reason(packet_type: PacketType) -> impl Strategy<Value = Reason> {
+    let allowed: Vec<Reason> = Reason::ALL.iter().copied().filter(|r| r.is_allowed_in(packet_type)).collect();
+    prop::sample::select(allowed)
 }
 
-fn ack(kind: Kind) -> impl Strategy<Value = Ack> {
-    (1..=u16::MAX, reason(kind), answer_properties()).prop_map(|(id, reason, properties)| Ack {
-        id,
-        reason,
-        properties,
-    })
+fn ack(packet_type: PacketType) -> impl Strategy<Value = Ack> {
+    (1..=u16::MAX, reason(packet_type), acknowledgment_properties())
+        .prop_map(|(id, reason, properties)| Ack { id, reason, properties })
 }
 
-fn suback(kind: Kind) -> impl Strategy<Value = Suback> {
-    (1..=u16::MAX, answer_properties(), prop::collection::vec(reason(kind), 1..4))
+fn suback(packet_type: PacketType) -> impl Strategy<Value = Suback> {
+    (1..=u16::MAX, acknowledgment_properties(), prop::collection::vec(reason(packet_type), 1..4))
         .prop_map(|(id, properties, reasons)| Suback { id, properties, reasons })
 }
 
 fn publish() -> impl Strategy<Value = Packet> {
-    (any::<[bool; 2]>(), qos(), topic(), 1..=u16::MAX, message_properties(), some(1..=u16::MAX), bytes())
+    (any::<[bool; 2]>(), qos(), topic(), 1..=u16::MAX, message_properties(), optional(1..=u16::MAX), bytes())
         .prop_map(|([dup, retain], qos, topic, id, properties, topic_alias, payload)| {
-            let none = qos == Qos::AtMostOnce;
+            let is_qos_0 = qos == Qos::AtMostOnce;
             let properties = Properties { topic_alias, ..properties };
-            let id = if none { 0 } else { id };
+            let id = if is_qos_0 { 0 } else { id };
             Packet::Publish(Box::new(Publish {
-                dup: dup && !none,
+                dup: dup && !is_qos_0,
                 qos,
                 retain,
                 topic,
@@ -115,16 +121,23 @@
 }
 
 fn connect() -> impl Strategy<Value = Packet> {
-    let will = (qos(), any::<bool>(), message_properties(), some(any::<u32>()), topic(), bytes()).prop_map(
-        |(qos, retain, properties, will_delay, topic, payload)| Will {
+    let will = (qos(), any::<bool>(), message_properties(), optional(any::<u32>()), topic(), bytes())
+        .prop_map(|(qos, retain, properties, will_delay, topic, payload)| Will {
             qos,
             retain,
             properties: Properties { will_delay, ..properties },
             topic,
             payload,
-        },
-    );
-    (any::<bool>(), any::<u16>(), connection_properties(), text(), some(will), some(text()), some(bytes()))
+        });
+    (
+        any::<bool>(),
+        any::<u16>(),
+        connection_properties(),
+        string(),
+        optional(will),
+        optional(string()),
+        optional(bytes()),
+    )
         .prop_map(|(clean_start, keep_alive, properties, client_id, will, user, password)| {
             let version = Version::V5;
             Packet::Connect(Box::new(Connect {
@@ -152,15 +165,15 @@
     )
 }
 
-/// Every kind of packet of MQTT 5.0.
+/// A packet of any type of MQTT 5.0.
 fn packet() -> impl Strategy<Value = Packet> {
-    let connack = (any::<bool>(), reason(Kind::Connack), connection_properties()).prop_map(
+    let connack = (any::<bool>(), reason(PacketType::Connack), connection_properties()).prop_map(
         |(session, reason, properties)| {
             let session_present = session && !reason.failed();
             Packet::Connack(Box::new(Connack { session_present, reason, properties }))
         },
     );
-    let subscribe = (1..=u16::MAX, some(1..=268_435_455u32), prop::collection::vec(subscription(), 1..4))
+    let subscribe = (1..=u16::MAX, optional(1..=268_435_455u32), prop::collection::vec(subscription(), 1..4))
         .prop_map(|(id, subscription_id, subscriptions)| {
             let subscription_ids = subscription_id.into_iter().collect();
             let properties = Properties { subscription_ids, ..Properties::default() };
@@ -174,9 +187,9 @@
                 filters,
             })
         });
-    let disconnect = (reason(Kind::Disconnect), answer_properties())
+    let disconnect = (reason(PacketType::Disconnect), acknowledgment_properties())
         .prop_map(|(reason, properties)| Packet::Disconnect(Closing { reason, properties }));
-    let auth = (reason(Kind::Auth), text(), bytes()).prop_map(|(reason, method, data)| {
+    let auth = (reason(PacketType::Auth), string(), bytes()).prop_map(|(reason, method, data)| {
         let properties = Properties {
             authentication_method: Some(method),
             authentication_data: Some(data),
@@ -188,14 +201,14 @@
         connect(),
         connack,
         publish(),
-        ack(Kind::Puback).prop_map(Packet::Puback),
-        ack(Kind::Pubrec).prop_map(Packet::Pubrec),
-        ack(Kind::Pubrel).prop_map(Packet::Pubrel),
-        ack(Kind::Pubcomp).prop_map(Packet::Pubcomp),
+        ack(PacketType::Puback).prop_map(Packet::Puback),
+        ack(PacketType::Pubrec).prop_map(Packet::Pubrec),
+        ack(PacketType::Pubrel).prop_map(Packet::Pubrel),
+        ack(PacketType::Pubcomp).prop_map(Packet::Pubcomp),
         subscribe,
-        suback(Kind::Suback).prop_map(Packet::Suback),
+        suback(PacketType::Suback).prop_map(Packet::Suback),
         unsubscribe,
-        suback(Kind::Unsuback).prop_map(Packet::Unsuback),
+        suback(PacketType::Unsuback).prop_map(Packet::Unsuback),
         Just(Packet::Pingreq),
         Just(Packet::Pingresp),
         disconnect,
@@ -203,8 +216,8 @@
     ]
 }
 
-/// The packet as 3.1.1 has it: without what that version has no place for.
-fn plain(packet: Packet) -> Packet {
+/// Reduces a packet to what 3.1.1 can express.
+fn as_v311(packet: Packet) -> Packet {
     let none = Properties::default;
     match packet {
         Packet::Connect(mut c) => {
@@ -228,8 +241,10 @@
         Packet::Pubcomp(a) => Packet::Pubcomp(Ack { reason: Reason::Success, properties: none(), ..a }),
         Packet::Subscribe(mut s) => {
             s.properties = none();
-            for one in &mut s.subscriptions {
-                (one.no_local, one.retain_as_published, one.retain_handling) = (false, false, 0);
+            for subscription in &mut s.subscriptions {
+                subscription.no_local = false;
+                subscription.retain_as_published = false;
+                subscription.retain_handling = 0;
             }
             Packet::Subscribe(s)
         }
@@ -248,7 +263,7 @@
 }
 
 fn settings(cases: u32) -> ProptestConfig {
-    // The same packets every time; another seed makes others.
+    // A fixed seed makes the generated packets reproducible.
     let rng_seed = RngSeed::Fixed(0x3117);
     ProptestConfig { cases, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
 }
@@ -257,62 +272,65 @@
     #![proptest_config(settings(3_000))]
 
     #[test]
-    fn what_is_written_is_read_back_in_both_versions(packet in packet()) {
-        let bytes = packet.encode(Version::V5, MOST).expect("written");
-        prop_assert_eq!(decode(&bytes, Version::V5, MOST), Ok(Some((packet.clone(), bytes.len()))));
-        let old = plain(packet);
-        let bytes = old.encode(Version::V311, MOST).expect("written");
-        prop_assert_eq!(decode(&bytes, Version::V311, MOST), Ok(Some((old, bytes.len()))));
+    fn packets_round_trip_in_both_versions(packet in packet()) {
+        let bytes = packet.encode(Version::V5, MAX_SIZE).expect("encoded");
+        prop_assert_eq!(decode(&bytes, Version::V5, MAX_SIZE), Ok(Some((packet.clone(), bytes.len()))));
+        let v311_packet = as_v311(packet);
+        let bytes = v311_packet.encode(Version::V311, MAX_SIZE).expect("encoded");
+        prop_assert_eq!(decode(&bytes, Version::V311, MAX_SIZE), Ok(Some((v311_packet, bytes.len()))));
     }
 
     #[test]
-    fn every_cut_is_awaited_and_what_follows_is_left(packet in packet(), more in bytes()) {
-        let mut bytes = packet.encode(Version::V5, MOST).expect("written");
+    fn truncated_packets_need_more_bytes_and_bytes_after_a_packet_are_not_consumed(packet in packet(), more in bytes()) {
+        let mut bytes = packet.encode(Version::V5, MAX_SIZE).expect("encoded");
         let size = bytes.len();
         for cut in 0..size {
-            prop_assert_eq!(decode(&bytes[..cut], Version::V5, MOST), Ok(None));
+            prop_assert_eq!(decode(&bytes[..cut], Version::V5, MAX_SIZE), Ok(None));
         }
         bytes.extend(more);
-        prop_assert_eq!(decode(&bytes, Version::V5, MOST), Ok(Some((packet, size))));
+        prop_assert_eq!(decode(&bytes, Version::V5, MAX_SIZE), Ok(Some((packet, size))));
     }
 
     #[test]
-    fn every_bent_byte_is_an_error_or_a_packet_that_reads_as_it_is_written(packet in packet(), bit in 0..8u8) {
-        let good = packet.encode(Version::V5, MOST).expect("written");
-        for at in 0..good.len() {
-            let mut bytes = good.clone();
-            bytes[at] ^= 1 << bit;
+    fn a_flipped_bit_yields_an_error_or_a_packet_that_round_trips(packet in packet(), bit in 0..8u8) {
+        let valid = packet.encode(Version::V5, MAX_SIZE).expect("encoded");
+        for index in 0..valid.len() {
+            let mut bytes = valid.clone();
+            bytes[index] ^= 1 << bit;
             for version in [Version::V5, Version::V311] {
-                if let Ok(Some((read, size))) = decode(&bytes, version, MOST) {
+                if let Ok(Some((decoded, size))) = decode(&bytes, version, MAX_SIZE) {
                     prop_assert!(size <= bytes.len());
-                    let version = if let Packet::Connect(c) = &read { c.version } else { version };
-                    let again = read.encode(version, MOST);
-                    prop_assert!(again.is_ok(), "{:?}: {:?}", read, again);
-                    let again = again.expect("written");
-                    prop_assert_eq!(decode(&again, version, MOST).map(|r| r.map(|(p, _)| p)), Ok(Some(read)));
+                    let version = if let Packet::Connect(c) = &decoded { c.version } else { version };
+                    let encoded = decoded.encode(version, MAX_SIZE);
+                    prop_assert!(encoded.is_ok(), "{:?}: {:?}", decoded, encoded);
+                    let encoded = encoded.expect("encoded");
+                    prop_assert_eq!(
+                        decode(&encoded, version, MAX_SIZE).map(|r| r.map(|(p, _)| p)),
+                        Ok(Some(decoded))
+                    );
                 }
             }
         }
     }
 
     #[test]
-    fn random_bytes_are_an_error_a_packet_or_awaited(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_yield_an_error_a_packet_or_a_request_for_more(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         for version in [Version::V5, Version::V311] {
-            if let Ok(Some((_, size))) = decode(&bytes, version, MOST) {
+            if let Ok(Some((_, size))) = decode(&bytes, version, MAX_SIZE) {
                 prop_assert!(size <= bytes.len());
             }
         }
     }
 
     #[test]
-    fn what_is_larger_than_the_peer_takes_is_not_written(packet in packet()) {
-        let size = packet.encode(Version::V5, MOST).expect("written").len();
-        prop_assert_eq!(packet.encode(Version::V5, size - 1), Err(Unwritable::TooLarge));
+    fn packets_above_the_maximum_size_are_not_encoded(packet in packet()) {
+        let size = packet.encode(Version::V5, MAX_SIZE).expect("encoded").len();
+        prop_assert_eq!(packet.encode(Version::V5, size - 1), Err(Unwritable::PacketTooLarge));
     }
 }
 
 #[test]
-fn violations_name_the_statement_and_the_reason_that_the_specification_gives() {
+fn violations_report_the_statement_and_reason_code_of_the_specification() {
     let table: [(&[u8], Version, &str, Reason); 38] = [
         (&[0x00, 0], Version::V5, "MQTT 2.1.2", Reason::MalformedPacket),
         (&[0xc1, 0], Version::V5, "MQTT-2.1.3-1", Reason::MalformedPacket),
@@ -384,16 +402,16 @@
         (&[0xf0, 0], Version::V311, "MQTT 3.1.1 2.2.1", Reason::MalformedPacket),
     ];
     for (bytes, version, statement, reason) in table {
-        let read = decode(bytes, version, MOST).map_err(|v| (v.statement, v.reason));
+        let decoded = decode(bytes, version, MAX_SIZE).map_err(|v| (v.statement, v.reason));
         if statement.is_empty() {
-            assert!(matches!(read, Ok(Some(_))), "{bytes:x?}: {read:?}");
+            assert!(matches!(decoded, Ok(Some(_))), "{bytes:x?}: {decoded:?}");
         } else {
-            assert_eq!(read, Err((statement, reason)), "{bytes:x?}");
+            assert_eq!(decoded, Err((statement, reason)), "{bytes:x?}");
         }
     }
     let mut shared = vec![0x82, 14, 0, 1, 0, 0, 10];
     shared.extend(b"$share/g/a");
     shared[1] = (shared.len() - 2 + 1) as u8;
     shared.push(0x04);
-    assert_eq!(decode(&shared, Version::V5, MOST).map_err(|v| v.statement), Err("MQTT-3.8.3-4"));
+    assert_eq!(decode(&shared, Version::V5, MAX_SIZE).map_err(|v| v.statement), Err("MQTT-3.8.3-4"));
 }
