--- a/crates/patterns/src/patterns.rs
+++ b/crates/patterns/src/patterns.rs
@@ -1,207 +1,217 @@
-//! The machine: sessions end and are put to patterns, peers' summaries come in, and what a session will call is foretold.
+//! The state of one dispatcher: assigns ended sessions to patterns, merges the summaries of peers, and predicts the calls
+//! of open sessions. All tables are bounded, and so is the work of each call ([`MAX_WORK`]).
 
-use crate::sessions::{Open, Sessions};
+use crate::sessions::{OpenSession, OpenSessions};
 use crate::{
-    BadSummary, Function, Interval, MOST_CALLS, MOST_ORIGINS, MOST_PATTERNS, MOST_STEPS, Micros, Profile,
-    Session, Summary, Terms,
+    FunctionId, Interval, MAX_CALLS_PER_SESSION, MAX_ORIGINS, MAX_PATTERNS, MAX_STEPS, Micros, Profile,
+    SessionId, Summary, SummaryError, Terms,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Calls that tell too little to be a pattern.
-const LEAST_CALLS: usize = 2;
-/// A session belongs to a pattern if its calls are this much likelier there than anywhere, as a logarithm.
-const BELONGS: f64 = 1.5;
-/// What is left of a session is looked at again, and again, for patterns that ran side by side.
-const SIDE_BY_SIDE: usize = 3;
-/// Patterns are looked through for two that have become one after so many sessions.
-const MERGE_EVERY: u32 = 32;
-/// Functions whose chance anywhere is known.
-const MOST_FUNCTIONS: usize = 4_096;
-/// A function that was never seen counts as seen this often.
-const UNSEEN: f64 = 0.5;
-/// One session in so many belongs to no pattern that is known.
-const NONE: f64 = 0.1;
-/// A call is foretold if its chance is over this.
-const FORETOLD: f64 = 0.05;
-
-/// A call that is expected.
+/// The number of calls from which a session is assigned to a pattern; fewer say too little.
+const MIN_CALLS: usize = 2;
+/// The log-likelihood ratio from which a session is assigned to an existing pattern.
+const MIN_LOG_LIKELIHOOD_RATIO: f64 = 1.5;
+/// The maximum number of patterns that one session is assigned to. After each assignment the remaining calls are matched
+/// again, since patterns may be interleaved in one session.
+const MAX_PATTERNS_PER_SESSION: usize = 3;
+/// Similar patterns are merged once in this many ended sessions.
+const MERGE_INTERVAL_SESSIONS: u32 = 32;
+/// The maximum number of functions whose overall probability is tracked.
+const MAX_FUNCTIONS: usize = 4_096;
+/// The count assumed for a function that was never called.
+const UNSEEN_FUNCTION_COUNT: f64 = 0.5;
+/// The odds that a session belongs to no known pattern.
+const NO_PATTERN_ODDS: f64 = 0.1;
+/// The probability from which a call is predicted.
+const MIN_PREDICTED_CHANCE: f64 = 0.05;
+
+/// A predicted call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
-    /// Of which function.
-    pub function: Function,
-    /// The chance that it comes in this session.
+pub struct PredictedCall {
+    /// The function.
+    pub function: FunctionId,
+    /// The probability of the call in this session.
     pub chance: Interval,
-    /// In how long from now, in microseconds; 0 where it is overdue.
+    /// The expected time until the call in microseconds; 0 if it is overdue.
     pub after: Micros,
 }
 
-/// What a session is expected to do.
+/// The prediction for an open session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Expected {
-    /// The pattern that fits it best, and the chance that it is this one among all that are known and none.
+    /// The best matching pattern.
     pub pattern: u64,
-    /// See `pattern`.
+    /// The probability that the session belongs to `pattern`, among all known patterns and none.
     pub chance: f64,
-    /// Its calls that have not come yet, soonest first.
-    pub calls: Vec<Call>,
+    /// The calls that have not been made yet, soonest first.
+    pub calls: Vec<PredictedCall>,
 }
 
-/// What is held, and what the last call cost.
+/// The sizes of the tables, and the work of the last call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
-    /// Sessions that go on.
+pub struct Stats {
+    /// Open sessions.
     pub sessions: usize,
-    /// Patterns of our own.
+    /// Local patterns.
     pub patterns: usize,
-    /// Functions in them.
+    /// Steps of the local patterns.
     pub steps: usize,
-    /// Functions whose chance anywhere is known.
+    /// Functions whose overall probability is tracked.
     pub functions: usize,
-    /// Peers heard.
+    /// Peers whose summaries are kept.
     pub origins: usize,
-    /// Comparisons of a call with a step that the last [`Patterns::called`] made.
+    /// An upper bound of the comparisons of a call with a step in the last [`Patterns::called`], [`Patterns::ended`] or
+    /// [`Patterns::end_idle_session`].
     pub work: u64,
 }
 
-/// The patterns that one dispatcher knows.
+/// The patterns of one dispatcher: its own (local) ones and those of its peers.
 #[derive(Clone, Debug)]
 pub struct Patterns {
     terms: Terms,
-    sessions: Sessions,
-    own: Vec<Profile>,
-    /// Of which of our own patterns this is what is left: two that became one.
-    merged: BTreeMap<u64, u64>,
-    /// Sessions that called a function, and the sum over all functions; both fade.
-    anywhere: BTreeMap<Function, f32>,
-    calls: f32,
-    faded: Micros,
-    ended: u32,
-    next: u64,
+    sessions: OpenSessions,
+    local: Vec<Profile>,
+    /// For each local pattern that was merged into another: the number of the other.
+    merged_into: BTreeMap<u64, u64>,
+    /// The decayed number of sessions that called each function.
+    function_counts: BTreeMap<FunctionId, f32>,
+    /// The decayed sum of `function_counts` as they were added.
+    total_count: f32,
+    last_decay: Micros,
+    ended_sessions: u32,
+    next_pattern: u64,
     version: u64,
-    heard: BTreeMap<Arc<str>, Summary>,
-    /// Our own and others' as one, made anew when others were heard.
-    known: Vec<Profile>,
-    stale: bool,
+    peer_summaries: BTreeMap<Arc<str>, Summary>,
+    /// The local and the peers' patterns combined; rebuilt on demand when `combined_stale` is set.
+    combined: Vec<Profile>,
+    combined_stale: bool,
     work: u64,
 }
 
 impl Patterns {
-    /// Knowing nothing. `instance` is higher at each start of a dispatcher, so that others take its summaries for newer.
+    /// Returns an empty state. `instance` must increase with each start of a dispatcher, so that peers accept its new
+    /// summaries in place of those from before the restart.
     pub fn new(terms: Terms, instance: u64) -> Patterns {
         Patterns {
-            terms: Terms { gap: terms.gap.max(1), half: terms.half.max(1_000_000) },
-            sessions: Sessions::default(),
-            own: Vec::new(),
-            merged: BTreeMap::new(),
-            anywhere: BTreeMap::new(),
-            calls: 0.0,
-            faded: 0,
-            ended: 0,
-            next: 1,
+            terms: Terms {
+                idle_timeout: terms.idle_timeout.max(1),
+                half_life: terms.half_life.max(1_000_000),
+            },
+            sessions: OpenSessions::default(),
+            local: Vec::new(),
+            merged_into: BTreeMap::new(),
+            function_counts: BTreeMap::new(),
+            total_count: 0.0,
+            last_decay: 0,
+            ended_sessions: 0,
+            next_pattern: 1,
             version: instance << 24,
-            heard: BTreeMap::new(),
-            known: Vec::new(),
-            stale: false,
+            peer_summaries: BTreeMap::new(),
+            combined: Vec::new(),
+            combined_stale: false,
             work: 0,
         }
     }
 
-    /// What is held, and what the last call cost.
-    pub fn held(&self) -> Held {
-        Held {
+    /// Returns the sizes of the tables and the work of the last call.
+    pub fn stats(&self) -> Stats {
+        Stats {
             sessions: self.sessions.len(),
-            patterns: self.own.len(),
-            steps: self.own.iter().map(|p| p.steps.len()).sum(),
-            functions: self.anywhere.len(),
-            origins: self.heard.len(),
+            patterns: self.local.len(),
+            steps: self.local.iter().map(|p| p.steps.len()).sum(),
+            functions: self.function_counts.len(),
+            origins: self.peer_summaries.len(),
             work: self.work,
         }
     }
 
-    /// A session calls a function. The pattern of another session is told that had to be taken for over.
-    pub fn called(&mut self, now: Micros, session: Session, function: Function) -> Option<u64> {
+    /// Records a call of a session. If another session was evicted to make room, returns that session's pattern.
+    pub fn called(&mut self, now: Micros, session: SessionId, function: FunctionId) -> Option<u64> {
         self.work = 0;
-        let gave_way = self.sessions.called(now, session, function)?;
-        self.learn(now, &gave_way)
+        let evicted = self.sessions.record_call(now, session, function)?;
+        self.learn(now, &evicted)
     }
 
-    /// Ends one session that has been quiet for the gap: its pattern, or none if it has none. `None` if there is no such session.
-    /// The host asks again until there is none, or as often as it has time for.
-    pub fn sweep(&mut self, now: Micros) -> Option<Option<u64>> {
+    /// Ends one session that has been idle for the timeout and returns its pattern, if it has one; `None` if there is no
+    /// such session. The host calls this until it returns `None`, or as often as its time allows.
+    pub fn end_idle_session(&mut self, now: Micros) -> Option<Option<u64>> {
         self.work = 0;
-        let open = self.sessions.over(now.saturating_sub(self.terms.gap))?;
+        let open = self.sessions.end_idle(now.saturating_sub(self.terms.idle_timeout))?;
         Some(self.learn(now, &open))
     }
 
-    /// When there will next be something to sweep.
-    pub fn due(&self) -> Option<Micros> {
-        self.sessions.first().map(|last| last + self.terms.gap + 1)
+    /// Returns when the next session will have reached the idle timeout.
+    pub fn next_idle_timeout(&self) -> Option<Micros> {
+        self.sessions.oldest_last_call().map(|last_call| last_call + self.terms.idle_timeout + 1)
     }
 
-    /// A session is over: the connection closed. Its pattern, if it has one.
-    pub fn ended(&mut self, now: Micros, session: Session) -> Option<u64> {
+    /// Ends a session whose connection closed and returns its pattern, if it has one.
+    pub fn ended(&mut self, now: Micros, session: SessionId) -> Option<u64> {
         self.work = 0;
         let open = self.sessions.end(session)?;
         self.learn(now, &open)
     }
 
-    /// What is left of a pattern: itself, or the one that it became one with.
+    /// Returns the pattern that a pattern was merged into, directly or through others, or the pattern itself.
     pub fn now_called(&self, mut pattern: u64) -> u64 {
-        while let Some(into) = self.merged.get(&pattern) {
+        while let Some(into) = self.merged_into.get(&pattern) {
             pattern = *into;
         }
         pattern
     }
 
-    /// Our own patterns.
-    pub fn own(&self) -> &[Profile] {
-        &self.own
+    /// Returns the local patterns.
+    pub fn local(&self) -> &[Profile] {
+        &self.local
     }
 
-    /// Our own and others' patterns as one.
-    pub fn known(&mut self) -> &[Profile] {
-        if self.stale {
-            self.stale = false;
-            self.known = self.own.clone();
-            for profile in self.heard.values().flat_map(Summary::believed).collect::<Vec<Profile>>() {
-                match self.known.iter_mut().find(|k| k.is_like(&profile)) {
-                    Some(known) => known.absorb(&profile),
-                    None => self.known.push(profile),
+    /// Returns the local patterns combined with those of the peers.
+    pub fn combined(&mut self) -> &[Profile] {
+        if self.combined_stale {
+            self.combined_stale = false;
+            self.combined = self.local.clone();
+            let peer_profiles = self.peer_summaries.values().flat_map(Summary::capped_profiles);
+            for profile in peer_profiles.collect::<Vec<Profile>>() {
+                match self.combined.iter_mut().find(|known| known.is_similar(&profile)) {
+                    Some(known) => known.merge(&profile),
+                    None => self.combined.push(profile),
                 }
             }
-            self.known.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
-            self.known.truncate(MOST_PATTERNS);
+            self.combined.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
+            self.combined.truncate(MAX_PATTERNS);
         }
-        &self.known
+        &self.combined
     }
 
-    /// What a session that goes on is expected to do, if that can be told.
-    pub fn expected(&mut self, now: Micros, session: Session) -> Option<Expected> {
+    /// Predicts the remaining calls of an open session; `None` if there is no such session or no pattern to match.
+    pub fn expected(&mut self, now: Micros, session: SessionId) -> Option<Expected> {
         let open = self.sessions.get(session)?.clone();
-        self.known();
-        let all: f64 = self.known.iter().map(|p| f64::from(p.weight)).sum::<f64>() + 1.0;
-        let tells = |p: &Profile| {
-            let share = f64::from(p.weight) / all;
-            (p.tells(&open.calls, false, |f| self.chance_anywhere(f)) + share.max(1e-9).ln()).exp()
+        self.combined();
+        let total_weight: f64 = self.combined.iter().map(|p| f64::from(p.weight)).sum::<f64>() + 1.0;
+        let pattern_odds = |p: &Profile| {
+            let share = f64::from(p.weight) / total_weight;
+            let ratio = p.log_likelihood_ratio(&open.calls, false, |f| self.overall_chance(f));
+            (ratio + share.max(1e-9).ln()).exp()
         };
-        let odds: Vec<f64> = self.known.iter().map(tells).collect();
-        let sum = odds.iter().sum::<f64>() + NONE;
+        let odds: Vec<f64> = self.combined.iter().map(pattern_odds).collect();
+        let sum = odds.iter().sum::<f64>() + NO_PATTERN_ODDS;
         let best = (0..odds.len()).max_by(|a, b| odds[*a].total_cmp(&odds[*b]))?;
-        let (pattern, chance) = (&self.known[best], odds[best] / sum);
+        let (pattern, chance) = (&self.combined[best], odds[best] / sum);
         if !chance.is_finite() {
             return None;
         }
-        let passed = now.saturating_sub(open.began) as f64 / 1e3;
-        let mut calls: Vec<Call> = pattern
-            .core()
+        let elapsed_ms = now.saturating_sub(open.started) as f64 / 1e3;
+        let mut calls: Vec<PredictedCall> = pattern
+            .core_steps()
             .filter(|s| !open.calls.iter().any(|(f, _)| *f == s.function))
-            .map(|s| Call {
+            .map(|s| PredictedCall {
                 function: s.function,
-                chance: Interval::of(f64::from(s.weight), f64::from(pattern.weight)).times(chance),
-                after: ((f64::from(s.at_ms) - passed).max(0.0) * 1e3) as Micros,
+                chance: Interval::from_counts(f64::from(s.weight), f64::from(pattern.weight)).scaled(chance),
+                after: ((f64::from(s.at_ms) - elapsed_ms).max(0.0) * 1e3) as Micros,
             })
-            .filter(|c| c.chance.mean >= FORETOLD)
+            .filter(|c| c.chance.mean >= MIN_PREDICTED_CHANCE)
             .collect();
         calls.sort_by_key(|c| (c.after, c.function));
         Some(Expected { pattern: pattern.id, chance, calls })
@@ -209,175 +219,179 @@
 
     // ---- Learning ----
 
-    fn chance_anywhere(&self, function: Function) -> f64 {
-        let seen = f64::from(self.anywhere.get(&function).copied().unwrap_or(0.0));
-        ((seen + UNSEEN) / (f64::from(self.calls) + 2.0 * UNSEEN)).clamp(1e-4, 0.5)
+    fn overall_chance(&self, function: FunctionId) -> f64 {
+        let count = f64::from(self.function_counts.get(&function).copied().unwrap_or(0.0));
+        let total = f64::from(self.total_count) + 2.0 * UNSEEN_FUNCTION_COUNT;
+        ((count + UNSEEN_FUNCTION_COUNT) / total).clamp(1e-4, 0.5)
     }
 
-    fn fade(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.faded);
-        if passed < self.terms.half / 64 {
+    fn decay(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.last_decay);
+        if elapsed < self.terms.half_life / 64 {
             return;
         }
-        self.faded = now;
-        let factor = 0.5_f32.powf(passed as f32 / self.terms.half as f32);
-        self.calls *= factor;
-        self.anywhere.retain(|_, seen| {
-            *seen *= factor;
-            *seen > 0.01
+        self.last_decay = now;
+        let factor = 0.5_f32.powf(elapsed as f32 / self.terms.half_life as f32);
+        self.total_count *= factor;
+        self.function_counts.retain(|_, count| {
+            *count *= factor;
+            *count > 0.01
         });
-        self.own.iter_mut().for_each(|p| p.fade(factor));
-        self.own.retain(|p| p.weight > 0.05);
-        self.merged.retain(|_, into| self.own.iter().any(|p| p.id == *into));
+        self.local.iter_mut().for_each(|p| p.decay(factor));
+        self.local.retain(|p| p.weight > 0.05);
+        self.merged_into.retain(|_, into| self.local.iter().any(|p| p.id == *into));
     }
 
-    /// The pattern that these calls belong to, and how much is told for it.
-    fn best(&mut self, calls: &[(Function, Micros)]) -> Option<(usize, f64)> {
-        let all: f64 = self.own.iter().map(|p| f64::from(p.weight)).sum::<f64>() + 1.0;
-        let tells = |p: &Profile| {
-            let share = f64::from(p.weight + 1.0) / all;
-            p.tells(calls, true, |f| self.chance_anywhere(f)) + 0.5 * share.ln().max(-4.0)
+    /// Returns the index of the local pattern that matches the calls best, and its score.
+    fn best_match(&mut self, calls: &[(FunctionId, Micros)]) -> Option<(usize, f64)> {
+        let total_weight: f64 = self.local.iter().map(|p| f64::from(p.weight)).sum::<f64>() + 1.0;
+        let score = |p: &Profile| {
+            let share = f64::from(p.weight + 1.0) / total_weight;
+            let ratio = p.log_likelihood_ratio(calls, true, |f| self.overall_chance(f));
+            ratio + 0.5 * share.ln().max(-4.0)
         };
-        let told: Vec<f64> = self.own.iter().map(tells).collect();
-        self.work += (self.own.len() * calls.len().max(1) * MOST_STEPS) as u64;
-        (0..told.len()).max_by(|a, b| told[*a].total_cmp(&told[*b])).map(|n| (n, told[n]))
+        let scores: Vec<f64> = self.local.iter().map(score).collect();
+        self.work += (self.local.len() * calls.len().max(1) * MAX_STEPS) as u64;
+        (0..scores.len()).max_by(|a, b| scores[*a].total_cmp(&scores[*b])).map(|index| (index, scores[index]))
     }
 
-    fn learn(&mut self, now: Micros, open: &Open) -> Option<u64> {
-        if open.calls.len() < LEAST_CALLS {
+    /// Assigns an ended session to its patterns, or to a new one, and returns the first of them.
+    fn learn(&mut self, now: Micros, open: &OpenSession) -> Option<u64> {
+        if open.calls.len() < MIN_CALLS {
             return None;
         }
-        self.fade(now);
-        self.stale = true;
-        self.calls += open.calls.len() as f32;
+        self.decay(now);
+        self.combined_stale = true;
+        self.total_count += open.calls.len() as f32;
         for (function, _) in &open.calls {
-            *self.anywhere.entry(*function).or_default() += 1.0;
+            *self.function_counts.entry(*function).or_default() += 1.0;
         }
-        while self.anywhere.len() > MOST_FUNCTIONS {
-            let least = self.anywhere.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(f, _)| *f);
-            if let Some(function) = least {
-                self.anywhere.remove(&function);
+        while self.function_counts.len() > MAX_FUNCTIONS {
+            let rarest = self.function_counts.iter().min_by(|a, b| a.1.total_cmp(b.1)).map(|(f, _)| *f);
+            if let Some(function) = rarest {
+                self.function_counts.remove(&function);
             }
         }
-        let mut left = open.calls.clone();
+        let mut remaining = open.calls.clone();
         let mut first = None;
-        for round in 0..SIDE_BY_SIDE {
-            let best = self.best(&left).filter(|(_, told)| *told >= BELONGS);
-            let Some((place, _)) = best else {
+        for round in 0..MAX_PATTERNS_PER_SESSION {
+            let best = self.best_match(&remaining).filter(|(_, score)| *score >= MIN_LOG_LIKELIHOOD_RATIO);
+            let Some((index, _)) = best else {
                 if round == 0 {
-                    first = Some(self.begin(&left));
+                    first = Some(self.add_pattern(&remaining));
                 }
                 break;
             };
-            let profile = &mut self.own[place];
-            let core: Vec<Function> = profile.core().map(|s| s.function).collect();
-            profile.add(&left, 1.0);
+            let profile = &mut self.local[index];
+            let core: Vec<FunctionId> = profile.core_steps().map(|s| s.function).collect();
+            profile.add(&remaining, 1.0);
             first = first.or(Some(profile.id));
-            left.retain(|(f, _)| !core.contains(f));
-            if left.len() < LEAST_CALLS + 1 {
+            remaining.retain(|(f, _)| !core.contains(f));
+            if remaining.len() < MIN_CALLS + 1 {
                 break;
             }
         }
-        self.ended += 1;
-        if self.ended.is_multiple_of(MERGE_EVERY) {
-            self.merge_alike();
+        self.ended_sessions += 1;
+        if self.ended_sessions.is_multiple_of(MERGE_INTERVAL_SESSIONS) {
+            self.merge_similar();
         }
         first.map(|id| self.now_called(id))
     }
 
-    fn begin(&mut self, calls: &[(Function, Micros)]) -> u64 {
-        let id = self.next;
-        self.next += 1;
-        if self.own.len() >= MOST_PATTERNS {
-            let least =
-                (0..self.own.len()).min_by(|a, b| self.own[*a].weight.total_cmp(&self.own[*b].weight));
-            if let Some(place) = least {
-                self.own.swap_remove(place);
+    fn add_pattern(&mut self, calls: &[(FunctionId, Micros)]) -> u64 {
+        let id = self.next_pattern;
+        self.next_pattern += 1;
+        if self.local.len() >= MAX_PATTERNS {
+            let lightest =
+                (0..self.local.len()).min_by(|a, b| self.local[*a].weight.total_cmp(&self.local[*b].weight));
+            if let Some(index) = lightest {
+                self.local.swap_remove(index);
             }
         }
-        self.own.push(Profile::begin(id, calls));
+        self.local.push(Profile::new(id, calls));
         id
     }
 
-    fn merge_alike(&mut self) {
-        self.own.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
-        let mut kept: Vec<Profile> = Vec::with_capacity(self.own.len());
-        for profile in std::mem::take(&mut self.own) {
-            self.work += (kept.len() * MOST_STEPS) as u64;
-            match kept.iter_mut().find(|k| k.is_like(&profile)) {
+    /// Merges local patterns that have become similar.
+    fn merge_similar(&mut self) {
+        self.local.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
+        let mut kept: Vec<Profile> = Vec::with_capacity(self.local.len());
+        for profile in std::mem::take(&mut self.local) {
+            self.work += (kept.len() * MAX_STEPS) as u64;
+            match kept.iter_mut().find(|k| k.is_similar(&profile)) {
                 Some(known) => {
-                    known.absorb(&profile);
-                    self.merged.insert(profile.id, known.id);
+                    known.merge(&profile);
+                    self.merged_into.insert(profile.id, known.id);
                 }
                 None => kept.push(profile),
             }
         }
-        self.own = kept;
-        while self.merged.len() > 4 * MOST_PATTERNS {
-            self.merged.pop_first();
+        self.local = kept;
+        while self.merged_into.len() > 4 * MAX_PATTERNS {
+            self.merged_into.pop_first();
         }
     }
 
-    // ---- Others ----
+    // ---- Peers ----
 
-    /// What others are told, under a number that rises each time.
+    /// Returns the summary of the local patterns to send to peers, with a version that increases each time.
     pub fn summary(&mut self) -> Summary {
         self.version += 1;
-        let mut profiles = self.own.clone();
+        let mut profiles = self.local.clone();
         profiles.sort_by(|a, b| b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id)));
         Summary { version: self.version, profiles }
     }
 
-    /// What another tells. Danger: the bytes may be any; what is taken of them is bounded.
-    pub fn heard(&mut self, from: &Arc<str>, bytes: &[u8]) -> Result<(), BadSummary> {
-        let summary = Summary::read(bytes)?;
+    /// Decodes and merges the summary of a peer. The bytes are untrusted; what is kept of them is bounded.
+    pub fn receive_summary(&mut self, from: &Arc<str>, bytes: &[u8]) -> Result<(), SummaryError> {
+        let summary = Summary::decode(bytes)?;
         self.join(from.clone(), summary);
         Ok(())
     }
 
     fn join(&mut self, from: Arc<str>, summary: Summary) {
-        let joined = match self.heard.remove(&from) {
+        let joined = match self.peer_summaries.remove(&from) {
             Some(old) => old.join(summary),
             None => summary,
         };
-        self.heard.insert(from, joined);
-        while self.heard.len() > MOST_ORIGINS {
-            self.heard.pop_last();
+        self.peer_summaries.insert(from, joined);
+        while self.peer_summaries.len() > MAX_ORIGINS {
+            self.peer_summaries.pop_last();
         }
-        self.stale = true;
+        self.combined_stale = true;
     }
 
-    /// Takes all that another dispatcher has heard of others.
+    /// Merges all summaries that another dispatcher has received.
     pub fn merge(&mut self, others: &BTreeMap<Arc<str>, Summary>) {
         others.iter().for_each(|(from, summary)| self.join(from.clone(), summary.clone()));
     }
 
-    /// What each other told last.
-    pub fn origins(&self) -> &BTreeMap<Arc<str>, Summary> {
-        &self.heard
+    /// Returns the latest summary of each peer.
+    pub fn peer_summaries(&self) -> &BTreeMap<Arc<str>, Summary> {
+        &self.peer_summaries
     }
 
-    /// Others that have gone are forgotten.
-    pub fn keep(&mut self, members: impl Fn(&str) -> bool) {
-        let before = self.heard.len();
-        self.heard.retain(|from, _| members(from));
-        self.stale |= self.heard.len() != before;
+    /// Removes the summaries of peers that are no longer members.
+    pub fn retain_members(&mut self, is_member: impl Fn(&str) -> bool) {
+        let before = self.peer_summaries.len();
+        self.peer_summaries.retain(|from, _| is_member(from));
+        self.combined_stale |= self.peer_summaries.len() != before;
     }
 }
 
-/// The most comparisons that one call may cost: those of a session that ends, each of its calls with each step of each pattern, for each that
-/// may have run side by side, and one look for patterns that are one.
-pub(crate) const MOST_WORK: u64 = (SIDE_BY_SIDE * MOST_PATTERNS * MOST_CALLS * MOST_STEPS
-    + MOST_PATTERNS * MOST_PATTERNS * MOST_STEPS) as u64;
-
-impl Held {
-    /// Whether all is within the bounds that the crate states.
-    pub fn bounded(&self) -> bool {
-        self.sessions <= crate::MOST_SESSIONS
-            && self.patterns <= MOST_PATTERNS
-            && self.steps <= MOST_PATTERNS * MOST_STEPS
-            && self.functions <= MOST_FUNCTIONS
-            && self.origins <= MOST_ORIGINS
-            && self.work <= MOST_WORK
+/// The maximum number of comparisons in one call: for an ended session, each of its calls with each step of each pattern,
+/// once per pattern assigned, and one pass that merges similar patterns.
+pub(crate) const MAX_WORK: u64 = (MAX_PATTERNS_PER_SESSION * MAX_PATTERNS * MAX_CALLS_PER_SESSION * MAX_STEPS
+    + MAX_PATTERNS * MAX_PATTERNS * MAX_STEPS) as u64;
+
+impl Stats {
+    /// Returns whether all sizes and the work are within the bounds that the crate states.
+    pub fn within_bounds(&self) -> bool {
+        self.sessions <= crate::MAX_SESSIONS
+            && self.patterns <= MAX_PATTERNS
+            && self.steps <= MAX_PATTERNS * MAX_STEPS
+            && self.functions <= MAX_FUNCTIONS
+            && self.origins <= MAX_ORIGINS
+            && self.work <= MAX_WORK
     }
 }
--- a/crates/patterns/src/profile.rs
+++ b/crates/patterns/src/profile.rs
@@ -1,159 +1,174 @@
-//! One pattern: how often each function was called in its sessions, and when.
+//! The profile of one pattern: the probability of each function in its sessions, and the mean time of its first call. A
+//! profile holds at most [`MAX_STEPS`] functions.
 
-use crate::{Function, MOST_STEPS, Micros};
+use crate::{FunctionId, MAX_STEPS, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Of a function that a pattern has never seen, its chance there is this share of its chance anywhere: calls that belong to nothing.
-const STRAY: f64 = 0.4;
-/// What is held of a step before it was seen often: so many sessions in which it came half of the time.
-const PRIOR: f64 = 0.6;
-/// A step that is missing from a session counts as if it came no more often than this: any may be left out.
-const OPTIONAL: f64 = 0.85;
-/// A pattern remembers about so many of its last sessions, however many there were: what it has become counts, not what it was.
-const MEMORY: f32 = 50.0;
-/// Two profiles whose angle's cosine is over this are one pattern.
-const ALIKE: f64 = 0.6;
-/// A function counts as one of the pattern's steps from this chance on.
-const STEP: f64 = 0.2;
+/// The probability of a function that a pattern does not contain, relative to the function's overall probability. It
+/// allows for calls that belong to no pattern.
+const UNKNOWN_FUNCTION_RATIO: f64 = 0.4;
+/// The weight, in sessions, of the prior that a step occurs in half of the sessions.
+const PRIOR_SESSIONS: f64 = 0.6;
+/// The upper bound of a step's probability when its absence from a session is scored, since any step may be omitted.
+const MAX_ABSENT_STEP_CHANCE: f64 = 0.85;
+/// The maximum weight of a profile in sessions. Above it the counts are scaled down, so that recent sessions count.
+const MAX_WEIGHT: f32 = 50.0;
+/// The cosine similarity from which two profiles are the same pattern.
+const MIN_SIMILARITY: f64 = 0.6;
+/// The probability from which a function is a core step of a pattern.
+const MIN_CORE_CHANCE: f64 = 0.2;
 
 /// A function in a pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
     /// The function.
-    pub function: Function,
-    /// Sessions in which it was called, faded.
+    pub function: FunctionId,
+    /// The decayed number of sessions in which it was called.
     pub weight: f32,
-    /// When it was first called, in milliseconds from the session's beginning: the mean of late.
+    /// The time of its first call in milliseconds from the start of the session, as a recency-weighted mean.
     pub at_ms: f32,
 }
 
-/// A pattern, steps by function.
+/// A pattern with its steps.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Profile {
-    /// Its number, that of the session it began with; the numbers of different dispatchers tell nothing of each other.
+    /// The number of the pattern, assigned by the dispatcher that created it. Numbers of different dispatchers are
+    /// unrelated.
     pub id: u64,
-    /// Its sessions, faded.
+    /// The decayed number of its sessions.
     pub weight: f32,
-    /// Its functions, in the order of their numbers.
+    /// Its steps, ordered by function.
     pub steps: Vec<Step>,
 }
 
 impl Profile {
-    /// One that begins with these calls: each function, and when it was first called.
-    pub fn begin(id: u64, calls: &[(Function, Micros)]) -> Profile {
+    /// Returns a profile of one session, given each function with the time of its first call.
+    pub fn new(id: u64, calls: &[(FunctionId, Micros)]) -> Profile {
         let mut profile = Profile { id, ..Profile::default() };
         profile.add(calls, 1.0);
         profile
     }
 
-    /// All that it has counted fades by this factor.
-    pub fn fade(&mut self, factor: f32) {
+    /// Multiplies all counts by a factor.
+    pub fn decay(&mut self, factor: f32) {
         self.weight *= factor;
         self.steps.iter_mut().for_each(|s| s.weight *= factor);
     }
 
-    /// Counts a session's calls.
-    pub fn add(&mut self, calls: &[(Function, Micros)], count: f32) {
+    /// Adds a session's calls with the weight `count`.
+    pub fn add(&mut self, calls: &[(FunctionId, Micros)], count: f32) {
         self.weight += count;
         for (function, at) in calls {
-            self.step(Step { function: *function, weight: count, at_ms: *at as f32 / 1e3 });
+            self.add_step(Step { function: *function, weight: count, at_ms: *at as f32 / 1e3 });
         }
-        self.remember();
+        self.limit_weight();
     }
 
-    fn remember(&mut self) {
-        if self.weight > MEMORY {
-            self.fade(MEMORY / self.weight);
+    fn limit_weight(&mut self) {
+        if self.weight > MAX_WEIGHT {
+            self.decay(MAX_WEIGHT / self.weight);
         }
     }
 
-    fn step(&mut self, new: Step) {
+    fn add_step(&mut self, new: Step) {
         match self.steps.binary_search_by_key(&new.function, |s| s.function) {
-            Ok(place) => {
-                let step = &mut self.steps[place];
+            Ok(index) => {
+                let step = &mut self.steps[index];
                 step.weight += new.weight;
                 let share = (new.weight / step.weight).clamp(0.0, 1.0);
                 step.at_ms += share * (new.at_ms - step.at_ms);
             }
-            Err(place) => {
-                self.steps.insert(place, new);
-                if self.steps.len() > MOST_STEPS {
-                    // Danger: the newest has been seen least; were it always the one to go, nothing new would ever be learned.
-                    let old = self.steps.iter().enumerate().filter(|(_, s)| s.function != new.function);
-                    let least = old.min_by(|a, b| a.1.weight.total_cmp(&b.1.weight)).map(|(n, _)| n);
-                    if let Some(place) = least {
-                        self.steps.remove(place);
+            Err(index) => {
+                self.steps.insert(index, new);
+                if self.steps.len() > MAX_STEPS {
+                    // The new step has the smallest weight. If it could be evicted, a full profile would never learn a new
+                    // function.
+                    let candidates =
+                        self.steps.iter().enumerate().filter(|(_, s)| s.function != new.function);
+                    let lightest =
+                        candidates.min_by(|a, b| a.1.weight.total_cmp(&b.1.weight)).map(|(index, _)| index);
+                    if let Some(index) = lightest {
+                        self.steps.remove(index);
                     }
                 }
             }
         }
     }
 
-    /// Takes another's sessions as its own.
-    pub fn absorb(&mut self, other: &Profile) {
+    /// Adds the sessions of another profile to this one.
+    pub fn merge(&mut self, other: &Profile) {
         self.weight += other.weight;
-        other.steps.iter().for_each(|s| self.step(*s));
-        self.remember();
+        other.steps.iter().for_each(|s| self.add_step(*s));
+        self.limit_weight();
     }
 
-    /// The chance that a function is called in one of its sessions.
+    /// Returns the probability that the step occurs in a session of this pattern.
     pub fn chance(&self, step: &Step) -> f64 {
-        let (yes, all) = (f64::from(step.weight), f64::from(self.weight));
-        ((yes + 0.5 * PRIOR) / (all + PRIOR)).clamp(0.01, 0.99)
+        let (occurrences, sessions) = (f64::from(step.weight), f64::from(self.weight));
+        ((occurrences + 0.5 * PRIOR_SESSIONS) / (sessions + PRIOR_SESSIONS)).clamp(0.01, 0.99)
     }
 
-    /// Its steps that come more than now and then.
-    pub fn core(&self) -> impl Iterator<Item = &Step> {
-        self.steps.iter().filter(|s| self.chance(s) >= STEP)
+    /// Returns the steps that are more than occasional.
+    pub fn core_steps(&self) -> impl Iterator<Item = &Step> {
+        self.steps.iter().filter(|s| self.chance(s) >= MIN_CORE_CHANCE)
     }
 
-    /// How much more likely these calls are here than anywhere, as a logarithm; `anywhere` is the chance that any call is of a function.
-    /// Of a session that goes on, what was not called yet tells little: `over` says whether it counts.
-    pub fn tells(&self, calls: &[(Function, Micros)], over: bool, anywhere: impl Fn(Function) -> f64) -> f64 {
+    /// Returns the log-likelihood ratio of the calls under this pattern against all sessions, where `overall` returns a
+    /// function's overall probability. Steps that were not called count against the pattern only if the session has
+    /// `ended`, since an open session may still call them.
+    pub fn log_likelihood_ratio(
+        &self,
+        calls: &[(FunctionId, Micros)],
+        ended: bool,
+        overall: impl Fn(FunctionId) -> f64,
+    ) -> f64 {
         let mut sum = 0.0;
         for (function, _) in calls {
             sum += match self.steps.binary_search_by_key(function, |s| s.function) {
-                Ok(place) => {
-                    let usual = anywhere(*function);
-                    (self.chance(&self.steps[place]).max(STRAY * usual) / usual).ln()
+                Ok(index) => {
+                    let overall_chance = overall(*function);
+                    let chance = self.chance(&self.steps[index]).max(UNKNOWN_FUNCTION_RATIO * overall_chance);
+                    (chance / overall_chance).ln()
                 }
-                Err(_) => STRAY.ln(),
+                Err(_) => UNKNOWN_FUNCTION_RATIO.ln(),
             };
         }
-        if over {
-            let called = |s: &&Step| !calls.iter().any(|(f, _)| *f == s.function);
+        if ended {
+            let absent = |s: &&Step| !calls.iter().any(|(function, _)| *function == s.function);
             sum += self
                 .steps
                 .iter()
-                .filter(called)
-                .map(|s| (1.0 - self.chance(s).min(OPTIONAL)).ln())
+                .filter(absent)
+                .map(|s| (1.0 - self.chance(s).min(MAX_ABSENT_STEP_CHANCE)).ln())
                 .sum::<f64>();
         }
         sum
     }
 
-    /// Whether two are one pattern: the cosine of their chances.
-    pub fn is_like(&self, other: &Profile) -> bool {
-        let (mut both, mut own, mut theirs) = (0.0, 0.0, 0.0);
+    /// Returns whether two profiles are the same pattern, by the cosine similarity of their step probabilities.
+    pub fn is_similar(&self, other: &Profile) -> bool {
+        let (mut dot_product, mut own_square, mut other_square) = (0.0, 0.0, 0.0);
         for step in &self.steps {
             let chance = self.chance(step);
-            own += chance * chance;
-            if let Ok(place) = other.steps.binary_search_by_key(&step.function, |s| s.function) {
-                both += chance * other.chance(&other.steps[place]);
+            own_square += chance * chance;
+            if let Ok(index) = other.steps.binary_search_by_key(&step.function, |s| s.function) {
+                dot_product += chance * other.chance(&other.steps[index]);
             }
         }
         for step in &other.steps {
-            theirs += other.chance(step).powi(2);
+            other_square += other.chance(step).powi(2);
         }
-        own > 0.0 && theirs > 0.0 && both / (own * theirs).sqrt() >= ALIKE
+        own_square > 0.0
+            && other_square > 0.0
+            && dot_product / (own_square * other_square).sqrt() >= MIN_SIMILARITY
     }
 
-    /// Whether it could have been counted: peers may say anything.
-    pub(crate) fn sane(&self) -> bool {
-        let number = |n: f32| n.is_finite() && (0.0..=1e9).contains(&n);
-        let ordered = self.steps.windows(2).all(|w| w[0].function < w[1].function);
+    /// Returns whether the profile can be the result of counting; a profile from a peer may hold any values.
+    pub(crate) fn is_plausible(&self) -> bool {
+        let valid = |value: f32| value.is_finite() && (0.0..=1e9).contains(&value);
+        let ordered = self.steps.windows(2).all(|pair| pair[0].function < pair[1].function);
         let steps =
-            self.steps.iter().all(|s| number(s.weight) && number(s.at_ms) && s.weight <= self.weight * 1.01);
-        ordered && steps && number(self.weight) && self.steps.len() <= MOST_STEPS
+            self.steps.iter().all(|s| valid(s.weight) && valid(s.at_ms) && s.weight <= self.weight * 1.01);
+        ordered && steps && valid(self.weight) && self.steps.len() <= MAX_STEPS
     }
 }
--- a/crates/patterns/src/sessions.rs
+++ b/crates/patterns/src/sessions.rs
@@ -1,65 +1,73 @@
-//! Sessions that go on: what each has called.
+//! The open sessions with the calls of each, at most [`MAX_SESSIONS`] of [`MAX_CALLS_PER_SESSION`] functions.
 
-use crate::{Function, MOST_CALLS, MOST_SESSIONS, Micros, Session};
+use crate::{FunctionId, MAX_CALLS_PER_SESSION, MAX_SESSIONS, Micros, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One that goes on.
+/// An open session.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Open {
-    pub began: Micros,
-    last: Micros,
-    /// Each function once: when it was first called, from the beginning on.
-    pub calls: Vec<(Function, Micros)>,
+pub(crate) struct OpenSession {
+    pub started: Micros,
+    last_call: Micros,
+    /// Each function once, with the time of its first call from the start of the session.
+    pub calls: Vec<(FunctionId, Micros)>,
 }
 
-/// All that go on.
+/// All open sessions.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Sessions {
-    open: BTreeMap<Session, Open>,
-    /// By when each last called.
-    quiet: BTreeSet<(Micros, Session)>,
+pub(crate) struct OpenSessions {
+    by_id: BTreeMap<SessionId, OpenSession>,
+    /// The sessions ordered by the time of their last call.
+    by_last_call: BTreeSet<(Micros, SessionId)>,
 }
 
-impl Sessions {
+impl OpenSessions {
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.by_id.len()
     }
 
-    pub fn get(&self, session: Session) -> Option<&Open> {
-        self.open.get(&session)
+    pub fn get(&self, session: SessionId) -> Option<&OpenSession> {
+        self.by_id.get(&session)
     }
 
-    /// A call; a session that had to give way for it.
-    pub fn called(&mut self, now: Micros, session: Session, function: Function) -> Option<Open> {
-        let open =
-            self.open.entry(session).or_insert_with(|| Open { began: now, last: now, calls: Vec::new() });
-        self.quiet.remove(&(open.last, session));
-        open.last = now.max(open.last);
-        self.quiet.insert((open.last, session));
-        if open.calls.len() < MOST_CALLS && !open.calls.iter().any(|(f, _)| *f == function) {
-            open.calls.push((function, now.saturating_sub(open.began)));
+    /// Records a call and opens the session if needed. Returns the session that was evicted to stay within the bound.
+    pub fn record_call(
+        &mut self,
+        now: Micros,
+        session: SessionId,
+        function: FunctionId,
+    ) -> Option<OpenSession> {
+        let open = self.by_id.entry(session).or_insert_with(|| OpenSession {
+            started: now,
+            last_call: now,
+            calls: Vec::new(),
+        });
+        self.by_last_call.remove(&(open.last_call, session));
+        open.last_call = now.max(open.last_call);
+        self.by_last_call.insert((open.last_call, session));
+        if open.calls.len() < MAX_CALLS_PER_SESSION && !open.calls.iter().any(|(f, _)| *f == function) {
+            open.calls.push((function, now.saturating_sub(open.started)));
         }
-        if self.open.len() <= MOST_SESSIONS {
+        if self.by_id.len() <= MAX_SESSIONS {
             return None;
         }
-        let oldest = self.quiet.first().map(|(_, session)| *session)?;
+        let oldest = self.by_last_call.first().map(|(_, session)| *session)?;
         self.end(oldest)
     }
 
-    /// One that has asked nothing since then.
-    pub fn over(&mut self, since: Micros) -> Option<Open> {
-        let (_, session) = self.quiet.first().copied().filter(|(last, _)| *last < since)?;
+    /// Removes and returns one session whose last call was before `since`.
+    pub fn end_idle(&mut self, since: Micros) -> Option<OpenSession> {
+        let (_, session) = self.by_last_call.first().copied().filter(|(last_call, _)| *last_call < since)?;
         self.end(session)
     }
 
-    /// When the next one may be over, if nothing comes.
-    pub fn first(&self) -> Option<Micros> {
-        self.quiet.first().map(|(last, _)| *last)
+    /// Returns the last call of the session that has been idle longest.
+    pub fn oldest_last_call(&self) -> Option<Micros> {
+        self.by_last_call.first().map(|(last_call, _)| *last_call)
     }
 
-    pub fn end(&mut self, session: Session) -> Option<Open> {
-        let open = self.open.remove(&session)?;
-        self.quiet.remove(&(open.last, session));
+    pub fn end(&mut self, session: SessionId) -> Option<OpenSession> {
+        let open = self.by_id.remove(&session)?;
+        self.by_last_call.remove(&(open.last_call, session));
         Some(open)
     }
 }
--- a/crates/patterns/src/summary.rs
+++ b/crates/patterns/src/summary.rs
@@ -1,73 +1,75 @@
-//! What a dispatcher tells others of its patterns, and how what many tell is put together.
+//! The summary of a dispatcher's patterns that is sent to its peers, and how the summaries of several peers are merged.
 //!
-//! A map from each origin to its latest summary is a join-semilattice: of two summaries of one origin the higher one stays, by version and then
-//! by content, so that merging is commutative, associative and idempotent whatever arrives twice, late or in another order. A member
-//! that lies changes only what it says of itself, and that counts for so much at the most ([`MOST_BELIEVED`]).
+//! A map from each origin to its latest summary is a join-semilattice: of two summaries of one origin the higher one is
+//! kept, by version and then by content. Merging is therefore commutative, associative and idempotent, and duplicated,
+//! delayed or reordered summaries do no harm. A faulty or malicious member changes only its own entry, whose weight per
+//! pattern is capped at [`MAX_PEER_WEIGHT`].
 
-use crate::{MOST_PATTERNS, Profile};
+use crate::{MAX_PATTERNS, Profile};
 use serde::{Deserialize, Serialize};
 
-/// The longest summary in bytes, as it is sent.
-pub const MOST_BYTES: usize = 48 * 1024;
-/// A pattern that a peer tells of counts as so many sessions at the most, however many it claims.
-pub(crate) const MOST_BELIEVED: f32 = 50.0;
+/// The maximum size of an encoded summary in bytes.
+pub const MAX_SUMMARY_BYTES: usize = 48 * 1024;
+/// The maximum weight, in sessions, of a pattern received from a peer, whatever weight it claims.
+pub(crate) const MAX_PEER_WEIGHT: f32 = 50.0;
 
 /// The patterns of one origin at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Rises with each summary of an origin, also over its restarts.
+    /// Increases with each summary of an origin, also across its restarts.
     pub version: u64,
-    /// Its patterns, heaviest first.
+    /// The patterns in descending order of weight.
     pub profiles: Vec<Profile>,
 }
 
-/// Bytes that are no summary.
+/// Why the bytes received are not a valid summary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadSummary {
-    /// More than may be sent.
-    #[error("a summary of patterns has {0} bytes: bring the dispatcher that sends it to this version")]
-    Long(usize),
-    /// They can't be read.
-    #[error("a summary of patterns can't be read: bring the dispatcher that sends it to this version")]
+pub enum SummaryError {
+    /// The summary exceeds [`MAX_SUMMARY_BYTES`].
+    #[error("a pattern summary has {0} bytes: upgrade the sending dispatcher to this version")]
+    TooLong(usize),
+    /// The bytes cannot be decoded.
+    #[error("a pattern summary cannot be decoded: upgrade the sending dispatcher to this version")]
     Malformed,
-    /// They say what can't be so.
+    /// The summary decodes to values that counting cannot produce.
     #[error(
-        "a summary of patterns holds impossible figures: look at the dispatcher that sends it, it is broken or forged"
+        "a pattern summary holds implausible values: check the sending dispatcher, it is faulty or forged"
     )]
-    Absurd,
+    Implausible,
 }
 
 impl Summary {
-    /// As it is sent.
+    /// Encodes the summary for sending.
     pub fn written(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads another's. Danger: the bytes may be any.
-    pub fn read(bytes: &[u8]) -> Result<Summary, BadSummary> {
-        if bytes.len() > MOST_BYTES {
-            return Err(BadSummary::Long(bytes.len()));
+    /// Decodes and validates a peer's summary. The bytes are untrusted.
+    pub fn decode(bytes: &[u8]) -> Result<Summary, SummaryError> {
+        if bytes.len() > MAX_SUMMARY_BYTES {
+            return Err(SummaryError::TooLong(bytes.len()));
         }
         let (summary, rest): (Summary, _) =
-            postcard::take_from_bytes(bytes).map_err(|_| BadSummary::Malformed)?;
+            postcard::take_from_bytes(bytes).map_err(|_| SummaryError::Malformed)?;
         if !rest.is_empty() {
-            return Err(BadSummary::Malformed);
+            return Err(SummaryError::Malformed);
         }
-        let sane = summary.profiles.len() <= MOST_PATTERNS && summary.profiles.iter().all(Profile::sane);
-        if sane { Ok(summary) } else { Err(BadSummary::Absurd) }
+        let plausible =
+            summary.profiles.len() <= MAX_PATTERNS && summary.profiles.iter().all(Profile::is_plausible);
+        if plausible { Ok(summary) } else { Err(SummaryError::Implausible) }
     }
 
-    /// The higher of two of one origin; which of them comes first makes no difference.
+    /// Returns the higher of two summaries of one origin, independent of their order.
     pub fn join(self, other: Summary) -> Summary {
         let higher = (self.version, self.written()) >= (other.version, other.written());
         if higher { self } else { other }
     }
 
-    /// The same, with what it claims cut to what is believed of a peer.
-    pub(crate) fn believed(&self) -> impl Iterator<Item = Profile> + '_ {
+    /// Returns the profiles with their weights capped at [`MAX_PEER_WEIGHT`].
+    pub(crate) fn capped_profiles(&self) -> impl Iterator<Item = Profile> + '_ {
         self.profiles.iter().filter(|p| p.weight > 0.0).map(|p| {
             let mut profile = p.clone();
-            profile.fade((MOST_BELIEVED / p.weight).min(1.0));
+            profile.decay((MAX_PEER_WEIGHT / p.weight).min(1.0));
             profile
         })
     }
--- a/crates/patterns/tests/machine.rs
+++ b/crates/patterns/tests/machine.rs
@@ -1,6 +1,6 @@
-//! What is found in sessions, and what is foretold of them.
+//! Tests of pattern detection, prediction, exchange with peers and session expiry.
 
-use ochreward_patterns::{Interval, MOST_SESSIONS, Micros, Patterns, Terms};
+use ochreward_patterns::{Interval, MAX_SESSIONS, Micros, Patterns, Terms};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 
-struct Bed {
+struct Simulation {
     patterns: Patterns,
     now: Micros,
     session: u64,
     rng: Pcg32,
 }
 
-impl Bed {
-    fn new(instance: u64) -> Bed {
+impl Simulation {
+    fn new(instance: u64) -> Simulation {
         let rng = Pcg32::seed_from_u64(instance);
-        Bed { patterns: Patterns::new(Terms::default(), instance), now: 0, session: 0, rng }
+        Simulation { patterns: Patterns::new(Terms::default(), instance), now: 0, session: 0, rng }
     }
 
-    /// A session of these calls, 100 ms apart; its pattern.
-    fn session(&mut self, calls: &[u64]) -> Option<u64> {
+    /// Runs a session of these calls, 100 ms apart, and returns its pattern.
+    fn run_session(&mut self, calls: &[u64]) -> Option<u64> {
         self.session += 1;
         for function in calls {
             self.now += 100 * MS;
@@ -31,14 +31,15 @@
         self.patterns.ended(self.now, self.session)
     }
 
-    /// Sessions of each of these in turn.
-    fn sessions(&mut self, of: &[&[u64]], times: usize) {
-        for calls in (0..times).flat_map(|_| of) {
-            self.session(calls);
+    /// Runs one session of each call list in turn, `times` times.
+    fn run_sessions(&mut self, call_lists: &[&[u64]], times: usize) {
+        for calls in (0..times).flat_map(|_| call_lists) {
+            self.run_session(calls);
         }
     }
 
-    fn begin(&mut self, calls: &[u64]) -> u64 {
+    /// Starts a session of these calls, 100 ms apart, and leaves it open.
+    fn start_session(&mut self, calls: &[u64]) -> u64 {
         self.session += 1;
         for function in calls {
             self.now += 100 * MS;
@@ -52,25 +53,26 @@
 const B: &[u64] = &[11, 12, 13, 14];
 
 #[test]
-fn sessions_of_one_kind_are_one_pattern_and_those_of_another_another() {
-    let mut bed = Bed::new(1);
-    bed.sessions(&[A, B], 20);
-    let (a, b) = (bed.session(A).expect("a pattern"), bed.session(B).expect("a pattern"));
+fn similar_sessions_share_a_pattern_and_different_ones_do_not() {
+    let mut simulation = Simulation::new(1);
+    simulation.run_sessions(&[A, B], 20);
+    let (a, b) =
+        (simulation.run_session(A).expect("a pattern"), simulation.run_session(B).expect("a pattern"));
     assert_ne!(a, b);
-    assert_eq!(bed.session(&[2, 1, 3, 5, 4]), Some(a), "swapped steps");
-    assert_eq!(bed.session(&[1, 2, 4]), Some(a), "steps left out");
-    assert_eq!(bed.session(&[1, 2, 99, 3, 5]), Some(a), "a call that belongs to nothing");
-    assert_eq!(bed.session(&[1]), None, "one call tells nothing");
+    assert_eq!(simulation.run_session(&[2, 1, 3, 5, 4]), Some(a), "reordered steps");
+    assert_eq!(simulation.run_session(&[1, 2, 4]), Some(a), "omitted steps");
+    assert_eq!(simulation.run_session(&[1, 2, 99, 3, 5]), Some(a), "an unrelated call");
+    assert_eq!(simulation.run_session(&[1]), None, "one call is too few");
 }
 
 #[test]
-fn what_comes_next_is_foretold_with_its_chance_and_time() {
-    let mut bed = Bed::new(2);
-    bed.sessions(&[A, B], 30);
-    // Every other session leaves the last step out.
-    bed.sessions(&[A, &A[..4]], 15);
-    let session = bed.begin(&[1, 2]);
-    let expected = bed.patterns.expected(bed.now, session).expect("a pattern");
+fn remaining_calls_are_predicted_with_probability_and_time() {
+    let mut simulation = Simulation::new(2);
+    simulation.run_sessions(&[A, B], 30);
+    // Every other session omits the last step.
+    simulation.run_sessions(&[A, &A[..4]], 15);
+    let session = simulation.start_session(&[1, 2]);
+    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
     assert!(expected.chance > 0.9, "{expected:?}");
     let functions: Vec<u64> = expected.calls.iter().map(|c| c.function).collect();
     assert_eq!(functions, [3, 4, 5], "soonest first");
@@ -79,120 +81,123 @@
     assert!((0.6..0.9).contains(&chance(2).mean), "three of four sessions: {expected:?}");
     assert!(chance(2).low < chance(2).mean && chance(2).mean < chance(2).high);
     assert!((50 * MS..150 * MS).contains(&expected.calls[0].after), "{expected:?}");
-    // A session that fits nothing is not told much of.
-    let session = bed.begin(&[77, 78]);
-    assert!(bed.patterns.expected(bed.now, session).is_none_or(|e| e.chance < 0.5));
-    assert_eq!(bed.patterns.expected(bed.now, 9_999), None);
+    // A session that matches no pattern gets no confident prediction.
+    let session = simulation.start_session(&[77, 78]);
+    assert!(simulation.patterns.expected(simulation.now, session).is_none_or(|e| e.chance < 0.5));
+    assert_eq!(simulation.patterns.expected(simulation.now, 9_999), None);
 }
 
 #[test]
-fn two_patterns_side_by_side_on_one_session_are_told_apart() {
-    let mut bed = Bed::new(3);
-    bed.sessions(&[A, B], 30);
-    let weight = |bed: &Bed, function: u64| {
-        let of = bed.patterns.own().iter().find(|p| p.core().any(|s| s.function == function));
+fn two_patterns_interleaved_in_one_session_are_both_counted() {
+    let mut simulation = Simulation::new(3);
+    simulation.run_sessions(&[A, B], 30);
+    let weight = |simulation: &Simulation, function: u64| {
+        let of = simulation.patterns.local().iter().find(|p| p.core_steps().any(|s| s.function == function));
         of.expect("a pattern").weight
     };
-    let before = (weight(&bed, 1), weight(&bed, 11));
-    bed.session(&[1, 11, 2, 12, 3, 13, 4, 14, 5]);
-    let after = (weight(&bed, 1), weight(&bed, 11));
+    let before = (weight(&simulation, 1), weight(&simulation, 11));
+    simulation.run_session(&[1, 11, 2, 12, 3, 13, 4, 14, 5]);
+    let after = (weight(&simulation, 1), weight(&simulation, 11));
     assert!(after.0 > before.0 + 0.9 && after.1 > before.1 + 0.9, "{before:?} {after:?}");
 }
 
 #[test]
-fn a_pattern_that_changes_is_followed() {
-    let mut bed = Bed::new(4);
-    bed.sessions(&[A, B], 30);
+fn a_changing_pattern_is_tracked() {
+    let mut simulation = Simulation::new(4);
+    simulation.run_sessions(&[A, B], 30);
     let changed: &[u64] = &[1, 2, 3, 24, 25];
-    let mut until = 0;
+    let mut sessions = 0;
     loop {
-        until += 1;
-        bed.session(changed);
-        let session = bed.begin(&[1, 2]);
-        let expected = bed.patterns.expected(bed.now, session).expect("a pattern");
-        bed.patterns.ended(bed.now, session);
+        sessions += 1;
+        simulation.run_session(changed);
+        let session = simulation.start_session(&[1, 2]);
+        let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
+        simulation.patterns.ended(simulation.now, session);
         if expected.calls.iter().any(|c| c.function == 24 && c.chance.mean > 0.4) {
             break;
         }
-        assert!(until < 60, "it is not followed: {expected:?}");
+        assert!(sessions < 60, "the change is not tracked: {expected:?}");
     }
-    // What nobody calls any more fades.
+    // Functions that are no longer called decay.
     for _ in 0..400 {
-        bed.now += S;
-        bed.session(changed);
+        simulation.now += S;
+        simulation.run_session(changed);
     }
-    let session = bed.begin(&[1, 2]);
-    let expected = bed.patterns.expected(bed.now, session).expect("a pattern");
+    let session = simulation.start_session(&[1, 2]);
+    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
     assert!(expected.calls.iter().all(|c| c.function != 4 || c.chance.mean < 0.2), "{expected:?}");
 }
 
 #[test]
-fn one_that_starts_anew_goes_on_from_what_a_peer_tells() {
-    let mut old = Bed::new(5);
-    old.sessions(&[A, B], 30);
-    let told = old.patterns.summary().written();
-    let mut new = Bed::new(6);
-    new.patterns.heard(&"n0".into(), &told).expect("a summary");
-    let session = new.begin(&[11, 12]);
+fn a_restarted_dispatcher_predicts_from_a_peers_summary() {
+    let mut old = Simulation::new(5);
+    old.run_sessions(&[A, B], 30);
+    let summary = old.patterns.summary().written();
+    let mut new = Simulation::new(6);
+    new.patterns.receive_summary(&"n0".into(), &summary).expect("a summary");
+    let session = new.start_session(&[11, 12]);
     let expected = new.patterns.expected(new.now, session).expect("a pattern");
     assert_eq!(expected.calls.iter().map(|c| c.function).collect::<Vec<u64>>(), [13, 14]);
-    // A peer that has gone is forgotten.
-    new.patterns.keep(|_| false);
+    // The summary of a peer that left is removed.
+    new.patterns.retain_members(|_| false);
     assert!(new.patterns.expected(new.now, session).is_none_or(|e| e.calls.iter().all(|c| c.function != 13)));
 }
 
 #[test]
-fn a_liar_is_believed_no_more_than_fifty_sessions() {
-    let mut bed = Bed::new(7);
-    bed.sessions(&[A, B], 60);
-    let mut liar = Bed::new(8);
-    // The same beginning, and then something else; claimed a million times.
-    liar.sessions(&[&[1, 2, 666, 667, 668]], 40);
-    let mut lie = liar.patterns.summary();
-    lie.profiles.iter_mut().for_each(|p| p.fade(1e4));
-    bed.patterns.heard(&"liar".into(), &lie.written()).expect("it can be read");
-    let session = bed.begin(&[1, 2, 3]);
-    let expected = bed.patterns.expected(bed.now, session).expect("a pattern");
+fn the_weight_of_a_lying_peer_is_capped_at_fifty_sessions() {
+    let mut simulation = Simulation::new(7);
+    simulation.run_sessions(&[A, B], 60);
+    let mut lying_peer = Simulation::new(8);
+    // The same first calls followed by others, claimed with the weights scaled up ten thousand times.
+    lying_peer.run_sessions(&[&[1, 2, 666, 667, 668]], 40);
+    let mut forged_summary = lying_peer.patterns.summary();
+    forged_summary.profiles.iter_mut().for_each(|p| p.decay(1e4));
+    simulation.patterns.receive_summary(&"liar".into(), &forged_summary.written()).expect("a valid summary");
+    let session = simulation.start_session(&[1, 2, 3]);
+    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
     assert!(expected.calls.iter().any(|c| c.function == 4 && c.chance.mean > 0.5), "{expected:?}");
-    let from: Vec<Arc<str>> = bed.patterns.origins().keys().cloned().collect();
-    assert_eq!(from, ["liar".into()]);
+    let origins: Vec<Arc<str>> = simulation.patterns.peer_summaries().keys().cloned().collect();
+    assert_eq!(origins, ["liar".into()]);
 }
 
 #[test]
-fn quiet_sessions_are_over_and_the_oldest_gives_way_where_there_are_too_many() {
-    let mut bed = Bed::new(9);
-    bed.patterns.called(0, 1, 1);
-    bed.patterns.called(0, 1, 2);
-    let due = bed.patterns.due().expect("one goes on");
-    assert_eq!(bed.patterns.sweep(due - 1), None);
-    assert!(bed.patterns.sweep(due).is_some_and(|p| p.is_some()));
-    assert_eq!((bed.patterns.sweep(due), bed.patterns.due()), (None, None));
-    for n in 0..2 * MOST_SESSIONS as u64 {
-        bed.patterns.called(due + n, n, n % 7);
-        assert!(bed.patterns.held().sessions <= MOST_SESSIONS);
+fn idle_sessions_end_and_the_longest_idle_one_is_evicted_above_the_bound() {
+    let mut simulation = Simulation::new(9);
+    simulation.patterns.called(0, 1, 1);
+    simulation.patterns.called(0, 1, 2);
+    let due = simulation.patterns.next_idle_timeout().expect("an open session");
+    assert_eq!(simulation.patterns.end_idle_session(due - 1), None);
+    assert!(simulation.patterns.end_idle_session(due).is_some_and(|p| p.is_some()));
+    assert_eq!(
+        (simulation.patterns.end_idle_session(due), simulation.patterns.next_idle_timeout()),
+        (None, None)
+    );
+    for n in 0..2 * MAX_SESSIONS as u64 {
+        simulation.patterns.called(due + n, n, n % 7);
+        assert!(simulation.patterns.stats().sessions <= MAX_SESSIONS);
     }
 }
 
 #[test]
-fn patterns_that_began_apart_become_one() {
-    let mut bed = Bed::new(10);
+fn patterns_that_become_similar_are_merged() {
+    let mut simulation = Simulation::new(10);
     let whole: Vec<u64> = (1..=8).collect();
     for _ in 0..300 {
-        let calls: Vec<u64> = whole.iter().copied().filter(|_| bed.rng.next_u32() % 10 < 7).collect();
-        bed.session(&calls);
+        let calls: Vec<u64> = whole.iter().copied().filter(|_| simulation.rng.next_u32() % 10 < 7).collect();
+        simulation.run_session(&calls);
     }
-    let heavy = bed.patterns.own().iter().filter(|p| p.weight > 20.0).count();
-    assert_eq!(heavy, 1, "{:?}", bed.patterns.own());
+    let frequent = simulation.patterns.local().iter().filter(|p| p.weight > 20.0).count();
+    assert_eq!(frequent, 1, "{:?}", simulation.patterns.local());
 }
 
 #[test]
-fn intervals_are_those_of_the_beta_distribution() {
-    let none = Interval::of(0.0, 0.0);
+fn intervals_match_the_beta_distribution() {
+    let none = Interval::from_counts(0.0, 0.0);
     assert!(
         (none.mean - 0.5).abs() < 1e-9 && (none.low - 0.05).abs() < 1e-6 && (none.high - 0.95).abs() < 1e-6
     );
-    let sure = Interval::of(98.0, 98.0);
-    assert!(sure.low > 0.96 && sure.high > 0.99, "{sure:?}");
-    let absurd = Interval::of(-1.0, f64::NAN);
-    assert!((0.0..=1.0).contains(&absurd.low) && absurd.high <= 1.0);
+    let certain = Interval::from_counts(98.0, 98.0);
+    assert!(certain.low > 0.96 && certain.high > 0.99, "{certain:?}");
+    let invalid = Interval::from_counts(-1.0, f64::NAN);
+    assert!((0.0..=1.0).contains(&invalid.low) && invalid.high <= 1.0);
 }
