--- a/crates/placement/src/calibration.rs
+++ b/crates/placement/src/calibration.rs
@@ -1,65 +1,92 @@
-//! What was foretold, held against what came.
+//! Calibration of predictions: predicted probabilities and costs compared with what happened. Memory is constant, since only
+//! sums are kept.
 
 use crate::Cost;
 
-/// Chances are told apart in so many parts.
-const PARTS: usize = 10;
-/// Nine in ten fall within so many standard deviations, if the deviations are right.
-const NINE_IN_TEN: f64 = 1.645;
+/// The number of bins of equal width for predicted probabilities.
+const BINS: usize = 10;
+/// Half the width of a 90% interval of the normal distribution, in standard deviations.
+const INTERVAL_90_DEVIATIONS: f64 = 1.645;
 
-/// A part of the chances: how many there were, what was foretold on the mean, and what came.
+/// One bin of a reliability diagram: the mean predicted probability and the observed frequency.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reliability {
-    /// How many.
+    /// The number of predictions.
     pub count: u64,
-    /// The mean of the chances that were foretold.
+    /// The mean of the predicted probabilities.
     pub foretold: f64,
-    /// The share that came.
+    /// The share of the predicted events that occurred.
     pub came: f64,
 }
 
-/// The books of all that was foretold.
+#[derive(Clone, Copy, Debug, Default)]
+struct Bin {
+    count: u64,
+    predicted_sum: f64,
+    occurred: u64,
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct CostTotals {
+    count: u64,
+    within_interval: u64,
+    predicted_sum: f64,
+    actual_sum: f64,
+}
+
+/// The accumulated comparison of predictions with observations.
 #[derive(Clone, Debug, Default)]
 pub struct Calibration {
-    parts: [(u64, f64, u64); PARTS],
-    squares: f64,
-    costs: (u64, u64, f64, f64),
+    bins: [Bin; BINS],
+    squared_error_sum: f64,
+    costs: CostTotals,
 }
 
 impl Calibration {
-    /// A chance was foretold, and it came or not.
-    pub fn chance(&mut self, foretold: f64, came: bool) {
-        let foretold = foretold.clamp(0.0, 1.0);
-        let part = &mut self.parts[((foretold * PARTS as f64) as usize).min(PARTS - 1)];
-        *part = (part.0 + 1, part.1 + foretold, part.2 + u64::from(came));
-        self.squares += (foretold - f64::from(u8::from(came))).powi(2);
+    /// Records a predicted probability and whether the event occurred.
+    pub fn chance(&mut self, predicted: f64, occurred: bool) {
+        let predicted = predicted.clamp(0.0, 1.0);
+        let bin = &mut self.bins[((predicted * BINS as f64) as usize).min(BINS - 1)];
+        bin.count += 1;
+        bin.predicted_sum += predicted;
+        bin.occurred += u64::from(occurred);
+        self.squared_error_sum += (predicted - f64::from(u8::from(occurred))).powi(2);
     }
 
-    /// A cost was foretold, and came to so much.
-    pub fn cost(&mut self, foretold: Cost, came: f64) {
-        let inside = (came - foretold.mean).abs() <= NINE_IN_TEN * foretold.var.sqrt() + 1.0;
-        let (count, within, sum, all) = self.costs;
-        self.costs = (count + 1, within + u64::from(inside), sum + foretold.mean, all + came);
+    /// Records a predicted cost and the actual one.
+    pub fn cost(&mut self, predicted: Cost, actual: f64) {
+        let within = (actual - predicted.mean).abs() <= INTERVAL_90_DEVIATIONS * predicted.var.sqrt() + 1.0;
+        self.costs.count += 1;
+        self.costs.within_interval += u64::from(within);
+        self.costs.predicted_sum += predicted.mean;
+        self.costs.actual_sum += actual;
     }
 
-    /// Chances by parts of a tenth; those without any are left out.
+    /// Returns the reliability of the predicted probabilities in bins of a tenth, without empty bins.
     pub fn reliability(&self) -> Vec<Reliability> {
-        let of = |(count, sum, came): &(u64, f64, u64)| {
-            let all = *count as f64;
-            (*count > 0).then(|| Reliability { count: *count, foretold: sum / all, came: *came as f64 / all })
+        let reliability_of = |bin: &Bin| {
+            let count = bin.count as f64;
+            (bin.count > 0).then(|| Reliability {
+                count: bin.count,
+                foretold: bin.predicted_sum / count,
+                came: bin.occurred as f64 / count,
+            })
         };
-        self.parts.iter().filter_map(of).collect()
+        self.bins.iter().filter_map(reliability_of).collect()
     }
 
-    /// The mean of the squared errors of chances (Brier, 1950): 0 is perfect, 0.25 is a coin.
+    /// Returns the mean squared error of the predicted probabilities (Brier, 1950): 0 is perfect, 0.25 is that of always
+    /// predicting one half.
     pub fn brier(&self) -> f64 {
-        let count: u64 = self.parts.iter().map(|p| p.0).sum();
-        self.squares / count.max(1) as f64
+        let count: u64 = self.bins.iter().map(|bin| bin.count).sum();
+        self.squared_error_sum / count.max(1) as f64
     }
 
-    /// The share of costs that came within what nine in ten should, and all that came over all that was foretold.
+    /// Returns the share of costs within their 90% interval, and the ratio of the total actual to the total predicted cost.
     pub fn costs(&self) -> (f64, f64) {
-        let (count, within, foretold, came) = self.costs;
-        (within as f64 / count.max(1) as f64, if foretold > 0.0 { came / foretold } else { 1.0 })
+        let totals = &self.costs;
+        let within_share = totals.within_interval as f64 / totals.count.max(1) as f64;
+        let ratio = if totals.predicted_sum > 0.0 { totals.actual_sum / totals.predicted_sum } else { 1.0 };
+        (within_share, ratio)
     }
 }
--- a/crates/placement/src/choices.rs
+++ b/crates/placement/src/choices.rs
@@ -1,33 +1,36 @@
-//! The choice for each pattern, which stays until another is clearly better.
+//! The placement chosen for each pattern and home zone, with hysteresis: a choice is kept until another is clearly better.
+//! At most [`MAX_CHOICES`] choices are kept.
 
-use crate::{Cost, MOST_CHOICES, Micros, Plan, Step, Ways, World, Zone};
+use crate::{Cost, MAX_CHOICES, Micros, Plan, Step, Ways, World, Zone};
 use std::collections::BTreeMap;
 
-/// Another choice has to be better by so many standard deviations of both.
-const SURE: f64 = 1.0;
-/// And by so much of the cost in any case: what is exactly known flips over nothing else.
-const LEAST: f64 = 0.02;
+/// The number of standard deviations of both costs by which another choice must be better.
+const SWITCH_DEVIATIONS: f64 = 1.0;
+/// The share of the current cost by which another choice must be better in any case, so that costs that are known exactly
+/// do not cause a switch for a negligible gain.
+const MIN_RELATIVE_GAIN: f64 = 0.02;
 
-/// What was chosen for a pattern at a home.
+/// The placement chosen for a pattern and a home zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// Steps that are served here.
+    /// The number of leading steps served in the home zone.
     pub cut: usize,
-    /// Where the rest goes.
+    /// The zone of the next step.
     pub zone: Zone,
-    /// Since when.
+    /// When the choice was made.
     pub since: Micros,
 }
 
 /// The choices of one dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Choices {
-    made: BTreeMap<(u64, Zone), Choice>,
-    flips: u64,
+    by_pattern: BTreeMap<(u64, Zone), Choice>,
+    switches: u64,
 }
 
 impl Choices {
-    /// What is to become of a session of this pattern at `home`, with these steps to come. The cost is that of the choice as it stands now.
+    /// Returns the placement of a session of this pattern in zone `home` with these remaining steps. The cost returned is
+    /// that of the placement under the current estimates.
     pub fn decide(
         &mut self,
         now: Micros,
@@ -37,45 +40,45 @@
         world: &impl World,
     ) -> Plan {
         let ways = Ways::of(world, steps);
-        let new = ways.best(home);
-        let held = self.made.get(&(pattern, home)).copied().filter(|c| c.zone < world.zones());
-        if let Some(held) = held {
-            let cut = held.cut.min(steps.len());
-            let zone = if cut == steps.len() { home } else { held.zone };
-            let cost = ways.of_cut(world, steps, home, cut, zone);
-            let least = Cost { mean: new.cost.mean + LEAST * cost.mean, ..new.cost };
-            if !least.is_clearly_under(cost, SURE) {
+        let best = ways.best(home);
+        let current = self.by_pattern.get(&(pattern, home)).copied().filter(|c| c.zone < world.zones());
+        if let Some(current) = current {
+            let cut = current.cut.min(steps.len());
+            let zone = if cut == steps.len() { home } else { current.zone };
+            let cost = ways.cost_of_cut(world, steps, home, cut, zone);
+            let best_with_margin = Cost { mean: best.cost.mean + MIN_RELATIVE_GAIN * cost.mean, ..best.cost };
+            if !best_with_margin.is_clearly_less(cost, SWITCH_DEVIATIONS) {
                 return Plan { cut, zone, cost };
             }
-            self.flips += 1;
+            self.switches += 1;
         }
-        self.made.insert((pattern, home), Choice { cut: new.cut, zone: new.zone, since: now });
-        while self.made.len() > MOST_CHOICES {
-            let oldest = self.made.iter().min_by_key(|(_, c)| c.since).map(|(k, _)| *k);
+        self.by_pattern.insert((pattern, home), Choice { cut: best.cut, zone: best.zone, since: now });
+        while self.by_pattern.len() > MAX_CHOICES {
+            let oldest = self.by_pattern.iter().min_by_key(|(_, c)| c.since).map(|(k, _)| *k);
             if let Some(key) = oldest {
-                self.made.remove(&key);
+                self.by_pattern.remove(&key);
             }
         }
-        new
+        best
     }
 
-    /// A zone is lost: nothing stays chosen that leads there.
-    pub fn lost(&mut self, zone: Zone) {
-        self.made.retain(|_, c| c.zone != zone);
+    /// Removes all choices that lead to a lost zone.
+    pub fn zone_lost(&mut self, zone: Zone) {
+        self.by_pattern.retain(|_, c| c.zone != zone);
     }
 
-    /// Choices that changed.
+    /// Returns how many times a choice was replaced by a better one.
     pub fn flips(&self) -> u64 {
-        self.flips
+        self.switches
     }
 
-    /// Choices that are kept.
+    /// Returns the number of choices kept.
     pub fn len(&self) -> usize {
-        self.made.len()
+        self.by_pattern.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether no choices are kept.
     pub fn is_empty(&self) -> bool {
-        self.made.is_empty()
+        self.by_pattern.is_empty()
     }
 }
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -1,44 +1,44 @@
-//! A cost that is not known exactly.
+//! A cost estimate with its uncertainty.
 
 use std::iter::Sum;
 use std::ops::Add;
 
-/// A cost in microseconds, as the module's estimates are: its mean and its variance.
+/// An estimated cost in microseconds, in the unit of the module's other estimates. The variance is that of the estimate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// What is expected.
+    /// The mean.
     pub mean: f64,
-    /// The square of how far off that usually is: what is not known, not what varies.
+    /// The variance of the estimate of the mean, not that of single observations.
     pub var: f64,
 }
 
 impl Cost {
-    /// One that is known exactly.
+    /// Returns a cost that is known exactly.
     pub fn sure(mean: f64) -> Cost {
         Cost { mean, var: 0.0 }
     }
 
-    /// One that is known to within a standard deviation.
+    /// Returns a cost from its mean and standard deviation.
     pub fn within(mean: f64, deviation: f64) -> Cost {
         Cost { mean, var: deviation * deviation }
     }
 
-    /// The same if it comes with this chance, else nothing. What is uncertain stays what is not known of the mean: whether one session
-    /// happens to make the call is chance, and no reason to wait with a choice for all sessions.
+    /// Returns the expected cost of an event with this probability. The variance stays that of the mean: whether the event
+    /// happens in one session is random, and no reason to delay a choice that applies to all sessions.
     pub fn with_chance(self, chance: f64) -> Cost {
         let chance = chance.clamp(0.0, 1.0);
         Cost { mean: chance * self.mean, var: chance * chance * self.var }
     }
 
-    /// Shared by so many.
-    pub fn shared(self, by: f64) -> Cost {
-        let by = by.max(1.0);
-        Cost { mean: self.mean / by, var: self.var / (by * by) }
+    /// Returns the cost divided by a number of uses, at least 1.
+    pub fn shared(self, uses: f64) -> Cost {
+        let uses = uses.max(1.0);
+        Cost { mean: self.mean / uses, var: self.var / (uses * uses) }
     }
 
-    /// Whether it is smaller by more than what is uncertain of both, `sure` standard deviations.
-    pub fn is_clearly_under(self, other: Cost, sure: f64) -> bool {
-        self.mean + sure * (self.var + other.var).sqrt() < other.mean
+    /// Returns whether the cost is less than another by more than this many standard deviations of their difference.
+    pub fn is_clearly_less(self, other: Cost, deviations: f64) -> bool {
+        self.mean + deviations * (self.var + other.var).sqrt() < other.mean
     }
 }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,11 +1,12 @@
-//! Where the rest of a session should go: to the zone where its pattern's copies stand (transfer), or here, with what is missing loaded
-//! (recompute).
+//! Where the remaining calls of a session should be served: in the zone that holds warm copies of its pattern's functions
+//! (transfer), or in the session's home zone, loading the missing copies (recompute).
 //!
-//! The leading part of a pattern whose copies stand in a zone is a cached prefix. For each way to cut a pattern into what is served here and
-//! what is sent on, both costs are summed with what is uncertain of them; the smallest is found exactly (docs/design/placement.md).
-//! A choice once made stays until another is better by more than what is uncertain. What came is held against what was foretold.
+//! The leading steps of a pattern whose copies are warm in a zone correspond to a cached prefix. For each way to divide a
+//! pattern between the home zone and others, the cost is summed together with its uncertainty, and the minimum is found
+//! exactly (docs/design/placement.md). A choice is kept until another is better by more than the uncertainty of both.
+//! [`Calibration`] compares predictions with what happened.
 //!
-//! Everything is bounded; no I/O, the clock passed in.
+//! All tables are bounded. The crate does no I/O, and the caller passes in the time.
 
 mod calibration;
 mod choices;
@@ -17,20 +18,20 @@
 pub use choices::{Choice, Choices};
 pub use cost::Cost;
 pub use plan::{Plan, Step, Ways, World, brute_force};
-pub use stands::{Stand, Stands, Unusable};
+pub use stands::{InvalidInput, Stands};
 
 /// Microseconds on the host's monotonic clock.
 pub type Micros = u64;
-/// A function, by the number that all dispatchers give it.
+/// A function identifier that all dispatchers share.
 pub type Function = u64;
-/// A zone, by its place in the settings.
+/// A zone, by its index in the settings.
 pub type Zone = usize;
 
-/// Zones that are told apart.
-pub const MOST_ZONES: usize = 16;
-/// Steps of a pattern that count.
-pub const MOST_STEPS: usize = 32;
-/// Functions of which it is kept where they stand.
-pub const MOST_FUNCTIONS: usize = 4_096;
-/// Patterns whose choice is kept.
-pub const MOST_CHOICES: usize = 256;
+/// The maximum number of zones.
+pub const MAX_ZONES: usize = 16;
+/// The maximum number of steps of a pattern that are planned; later ones are ignored.
+pub const MAX_STEPS: usize = 32;
+/// The maximum number of functions whose copies are tracked.
+pub const MAX_FUNCTIONS: usize = 4_096;
+/// The maximum number of choices that are kept.
+pub const MAX_CHOICES: usize = 256;
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,112 +1,123 @@
-//! The best cut of a pattern, exactly.
+//! The exact minimum-cost assignment of a pattern's steps to zones, for at most [`MAX_STEPS`] steps and [`MAX_ZONES`] zones.
 
-use crate::{Cost, Function, MOST_STEPS, MOST_ZONES, Zone};
+use crate::{Cost, Function, MAX_STEPS, MAX_ZONES, Zone};
 
-/// A call that is expected.
+/// An expected call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
-    /// Of which function.
+    /// The function.
     pub function: Function,
-    /// The chance that it comes.
+    /// The probability of the call.
     pub chance: f64,
 }
 
-/// What is known of the zones.
+/// The costs that a plan is made from.
 pub trait World {
-    /// How many zones there are.
+    /// Returns the number of zones.
     fn zones(&self) -> usize;
-    /// What it costs to have a function called in a zone if the call comes: nothing where a copy stands.
+    /// Returns the cost of serving a call of a function in a zone, given that the call is made: that of loading a copy, or
+    /// nothing if a copy is warm.
     fn recompute(&self, function: Function, zone: Zone) -> Cost;
-    /// What it costs a session to go on in another zone: the price and time of the crossing, and the chance that the zone is left.
+    /// Returns the cost of continuing a session in another zone: the price and time of the transfer, and the risk that the
+    /// other zone is abandoned.
     fn transfer(&self, from: Zone, to: Zone) -> Cost;
 }
 
-/// Where a pattern is cut first: the first `cut` steps here, the next in `zone`, and from there on whatever is best.
+/// The start of an assignment: the first `cut` steps are served in the home zone and the next one in `zone`. The steps after
+/// that follow the minimum-cost assignment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Steps that are served here.
+    /// The number of leading steps served in the home zone.
     pub cut: usize,
-    /// Where the next one goes: here, if nothing is sent on.
+    /// The zone of the next step; the home zone if there is no next step.
     pub zone: Zone,
-    /// What all of it is expected to cost.
+    /// The expected cost of all steps.
     pub cost: Cost,
 }
 
-/// What it costs to have a step served in a zone by a session that is somewhere, if the step comes.
-fn served(world: &impl World, step: &Step, from: Zone, zone: Zone) -> Cost {
-    let crossing = if from == zone { Cost::default() } else { world.transfer(from, zone) };
-    (crossing + world.recompute(step.function, zone)).with_chance(step.chance)
+/// Returns the expected cost of serving a step in `zone` for a session that is in `from`.
+fn step_cost(world: &impl World, step: &Step, from: Zone, zone: Zone) -> Cost {
+    let transfer = if from == zone { Cost::default() } else { world.transfer(from, zone) };
+    (transfer + world.recompute(step.function, zone)).with_chance(step.chance)
 }
 
-/// What is left of a session costs, by the step that is next and where the session is: dynamic programming from the last step on, so that
-/// each way of sending the steps to zones is weighed and none is tried twice.
+/// The minimum costs of the remaining steps, by next step and the session's zone. They are computed by dynamic programming
+/// from the last step backwards, which covers every assignment of steps to zones without evaluating any twice.
 pub struct Ways {
     zones: usize,
-    /// By step and zone: the cost of this and all later steps, and where this one goes.
-    left: Vec<Vec<(Cost, Zone)>>,
+    /// By step and zone: the minimum cost of this and all later steps, and the zone of this step.
+    cost_to_go: Vec<Vec<(Cost, Zone)>>,
 }
 
 impl Ways {
-    /// Of these steps; those beyond [`MOST_STEPS`] are passed over.
+    /// Computes the minimum costs of these steps; those beyond [`MAX_STEPS`] are ignored.
     pub fn of(world: &impl World, steps: &[Step]) -> Ways {
-        let steps = &steps[..steps.len().min(MOST_STEPS)];
-        let zones = world.zones().min(MOST_ZONES);
-        let mut left = vec![(0..zones).map(|z| (Cost::default(), z)).collect::<Vec<(Cost, Zone)>>()];
+        let steps = &steps[..steps.len().min(MAX_STEPS)];
+        let zones = world.zones().min(MAX_ZONES);
+        let mut cost_to_go = vec![(0..zones).map(|z| (Cost::default(), z)).collect::<Vec<(Cost, Zone)>>()];
         for step in steps.iter().rev() {
-            let last = &left[left.len() - 1];
+            let later = &cost_to_go[cost_to_go.len() - 1];
             let row: Vec<(Cost, Zone)> = (0..zones)
                 .map(|at| {
-                    let go = |to: Zone| (served(world, step, at, to) + last[to].0, to);
-                    // Of equal ones it stays.
-                    let others = (0..zones).filter(|to| *to != at).map(go);
-                    others.fold(go(at), |best, other| if other.0.mean < best.0.mean { other } else { best })
+                    let option = |to: Zone| (step_cost(world, step, at, to) + later[to].0, to);
+                    // At equal cost the session stays in its zone.
+                    let others = (0..zones).filter(|to| *to != at).map(option);
+                    others
+                        .fold(option(at), |best, other| if other.0.mean < best.0.mean { other } else { best })
                 })
                 .collect();
-            left.push(row);
+            cost_to_go.push(row);
         }
-        left.reverse();
-        Ways { zones, left }
+        cost_to_go.reverse();
+        Ways { zones, cost_to_go }
     }
 
-    /// The best from a zone.
+    /// Returns the minimum-cost plan for a session in zone `home`.
     pub fn best(&self, home: Zone) -> Plan {
-        let steps = self.left.len() - 1;
+        let steps = self.cost_to_go.len() - 1;
         let home = home.min(self.zones.saturating_sub(1));
-        let cut = (0..steps).find(|n| self.left[*n][home].1 != home).unwrap_or(steps);
-        let zone = self.left[cut].get(home).map_or(home, |w| w.1);
-        Plan { cut, zone, cost: self.left[0].get(home).map_or(Cost::default(), |w| w.0) }
+        let cut = (0..steps).find(|step| self.cost_to_go[*step][home].1 != home).unwrap_or(steps);
+        let zone = self.cost_to_go[cut].get(home).map_or(home, |(_, zone)| *zone);
+        Plan { cut, zone, cost: self.cost_to_go[0].get(home).map_or(Cost::default(), |(cost, _)| *cost) }
     }
 
-    /// Where a step goes at best, if the session is there before it.
+    /// Returns the minimum-cost zone of a step for a session that is in zone `at` before it.
     pub fn next(&self, step: usize, at: Zone) -> Zone {
-        self.left.get(step).and_then(|row| row.get(at)).map_or(at, |w| w.1)
+        self.cost_to_go.get(step).and_then(|row| row.get(at)).map_or(at, |(_, zone)| *zone)
     }
 
-    /// What one cut costs, with the best after it.
-    pub fn of_cut(&self, world: &impl World, steps: &[Step], home: Zone, cut: usize, zone: Zone) -> Cost {
-        let steps = &steps[..steps.len().min(self.left.len() - 1)];
+    /// Returns the cost of a given cut and next zone, followed by the minimum-cost assignment.
+    pub fn cost_of_cut(
+        &self,
+        world: &impl World,
+        steps: &[Step],
+        home: Zone,
+        cut: usize,
+        zone: Zone,
+    ) -> Cost {
+        let steps = &steps[..steps.len().min(self.cost_to_go.len() - 1)];
         let cut = cut.min(steps.len());
-        let here: Cost = steps[..cut].iter().map(|s| served(world, s, home, home)).sum();
+        let home_cost: Cost = steps[..cut].iter().map(|s| step_cost(world, s, home, home)).sum();
         match steps.get(cut) {
-            Some(step) => here + served(world, step, home, zone) + self.left[cut + 1][zone].0,
-            None => here,
+            Some(step) => home_cost + step_cost(world, step, home, zone) + self.cost_to_go[cut + 1][zone].0,
+            None => home_cost,
         }
     }
 
-    /// What the rest of a session costs more from each zone than from the best one: a term of an estimate, in microseconds, for a
-    /// worker there.
+    /// Returns for each zone by how much the minimum cost of all steps from there exceeds that from the best zone, in
+    /// microseconds: a term to add to the estimate for a worker in the zone.
     pub fn rests(&self) -> Vec<f64> {
-        let least = self.left[0].iter().map(|w| w.0.mean).fold(f64::INFINITY, f64::min);
-        self.left[0].iter().map(|w| w.0.mean - least).collect()
+        let least = self.cost_to_go[0].iter().map(|(cost, _)| cost.mean).fold(f64::INFINITY, f64::min);
+        self.cost_to_go[0].iter().map(|(cost, _)| cost.mean - least).collect()
     }
 }
 
-/// The least cost of all ways to send steps to zones, by trying each. For tests and measurements.
+/// Returns the minimum cost over all assignments of steps to zones by trying each. For tests and benchmarks.
 pub fn brute_force(world: &impl World, steps: &[Step], home: Zone) -> f64 {
     match steps.split_first() {
         None => 0.0,
         Some((step, rest)) => (0..world.zones())
-            .map(|to| served(world, step, home, to).mean + brute_force(world, rest, to))
+            .map(|to| step_cost(world, step, home, to).mean + brute_force(world, rest, to))
             .fold(f64::INFINITY, f64::min),
     }
 }
