--- a/crates/rig/src/name_service.rs
+++ b/crates/rig/src/name_service.rs
@@ -1,6 +1,7 @@
-//! A name service that answers with the list that a test sets, and as late, cut off or silent as it says.
+//! A stub DNS name service that answers with the worker list that the test sets, over UDP and TCP. Over UDP it can delay,
+//! truncate, garble or withhold its answers as the test says.
 
-use crate::relay::both;
+use crate::relay::bind_udp_and_tcp;
 use crate::stand::until;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -11,93 +12,94 @@
 
 type List = Arc<Mutex<(u32, Vec<(String, SocketAddr, u16)>)>>;
 
-/// An id alone stands in zone `a`; `s1.b` in zone `b`.
+/// Returns the host name of a worker's id: an id without a zone is in zone `a`, `s1.b` in zone `b`.
 fn host(id: &str) -> String {
     if id.contains('.') { format!("{id}.hosts") } else { format!("{id}.a.hosts") }
 }
 
-/// Queries and who sent them, while none is answered.
-type Held = Arc<Mutex<Option<Vec<(Vec<u8>, SocketAddr)>>>>;
+/// Withheld queries and their senders; `None` while queries are answered at once.
+type Withheld = Arc<Mutex<Option<Vec<(Vec<u8>, SocketAddr)>>>>;
 
-/// A name service that answers with a list of ids, addresses and priorities.
+/// A running stub name service, whose list has ids, addresses and priorities.
 pub struct Names {
+    /// Its address, over UDP and TCP.
     pub address: SocketAddr,
     list: List,
-    /// Answers nonsense to so many queries first.
+    /// The number of queries still to be answered with garbage: a truncated answer, then one with a wrong id.
     pub nonsense: Arc<AtomicU32>,
-    /// Sends the first half of each answer before the whole, with the same id.
+    /// Whether the first half of each answer is sent before the whole, with the same id.
     pub spoilt_first: Arc<AtomicBool>,
-    heard: Arc<Mutex<BTreeSet<SocketAddr>>>,
-    deaf: Arc<Mutex<BTreeSet<SocketAddr>>>,
-    /// How long each answer travels, in milliseconds.
+    senders: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    ignored: Arc<Mutex<BTreeSet<SocketAddr>>>,
+    /// The delay of each answer, in milliseconds.
     pub travel_ms: Arc<AtomicU32>,
-    /// Answers over UDP are cut off after so many bytes; 0: none is.
+    /// The size to which answers over UDP are truncated, in bytes; 0 for no truncation.
     pub cut_at: Arc<AtomicU32>,
-    /// Answers that are cut off say so, and the whole is there over TCP.
+    /// Whether truncated answers set the TC flag, so that the client asks for the whole over TCP.
     pub over_tcp: Arc<AtomicBool>,
-    /// Queries that wait for their answers, while answers are held back.
-    held: Held,
+    /// The queries withheld since `hold`.
+    withheld: Withheld,
     socket: UdpSocket,
-    /// When an answer with each number was first sent.
+    /// When an answer with each serial number was first sent.
     first_sent: Arc<Mutex<BTreeMap<u32, Instant>>>,
 }
 
 impl Names {
     pub fn start() -> Names {
-        let (socket, listener) = both();
+        let (socket, listener) = bind_udp_and_tcp();
         let address = socket.local_addr().expect("an address");
         let (list, nonsense) = (List::default(), Arc::new(AtomicU32::new(0)));
         let spoilt_first = Arc::new(AtomicBool::new(false));
-        let (known, odd, spoil) = (list.clone(), nonsense.clone(), spoilt_first.clone());
-        let (heard, deaf) =
+        let (current_list, garbage, half_first) = (list.clone(), nonsense.clone(), spoilt_first.clone());
+        let (senders, ignored) =
             (Arc::<Mutex<BTreeSet<SocketAddr>>>::default(), Arc::<Mutex<BTreeSet<SocketAddr>>>::default());
-        let (hears, ignores) = (heard.clone(), deaf.clone());
+        let (thread_senders, thread_ignored) = (senders.clone(), ignored.clone());
         let first_sent = Arc::<Mutex<BTreeMap<u32, Instant>>>::default();
-        let sent = first_sent.clone();
+        let send_times = first_sent.clone();
         let travel_ms = Arc::new(AtomicU32::new(0));
-        let travel = travel_ms.clone();
+        let delay_ms = travel_ms.clone();
         let (cut_at, over_tcp) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicBool::new(false)));
-        let (cut, says_so) = (cut_at.clone(), over_tcp.clone());
-        let held = Held::default();
-        let (keeps, answers) = (held.clone(), socket.try_clone().expect("the socket"));
+        let (cut_at_bytes, set_flag) = (cut_at.clone(), over_tcp.clone());
+        let withheld = Withheld::default();
+        let (thread_withheld, answer_socket) = (withheld.clone(), socket.try_clone().expect("the socket"));
         serve_over_tcp(listener, list.clone());
         std::thread::spawn(move || {
             let mut query = [0; 512];
             while let Ok((size, from)) = socket.recv_from(&mut query) {
-                hears.lock().expect("who asked").insert(from);
-                if ignores.lock().expect("who is ignored").contains(&from) {
+                thread_senders.lock().expect("the senders").insert(from);
+                if thread_ignored.lock().expect("the ignored senders").contains(&from) {
                     continue;
                 }
-                if let Some(held) = &mut *keeps.lock().expect("what is held") {
-                    held.push((query[..size].to_vec(), from));
+                if let Some(withheld) = &mut *thread_withheld.lock().expect("the withheld queries") {
+                    withheld.push((query[..size].to_vec(), from));
                     continue;
                 }
-                let (serial, list) = known.lock().expect("a list").clone();
-                let good = dns_answer(&query[..size], serial, &list);
-                if odd.load(Ordering::SeqCst) > 0 {
-                    odd.fetch_sub(1, Ordering::SeqCst);
-                    let _ = socket.send_to(&good[..good.len() / 2], from);
-                    let mut forged = good.clone();
+                let (serial, list) = current_list.lock().expect("a list").clone();
+                let answer = dns_answer(&query[..size], serial, &list);
+                if garbage.load(Ordering::SeqCst) > 0 {
+                    garbage.fetch_sub(1, Ordering::SeqCst);
+                    let _ = socket.send_to(&answer[..answer.len() / 2], from);
+                    let mut forged = answer.clone();
                     forged[0] ^= 0xff;
                     let _ = socket.send_to(&forged, from);
                     continue;
                 }
-                if spoil.load(Ordering::SeqCst) {
-                    let _ = socket.send_to(&good[..good.len() / 2], from);
+                if half_first.load(Ordering::SeqCst) {
+                    let _ = socket.send_to(&answer[..answer.len() / 2], from);
                 }
-                sent.lock().expect("what was sent").entry(serial).or_insert_with(Instant::now);
-                let good = match cut.load(Ordering::SeqCst) as usize {
-                    0 => good,
-                    most => cut_off(good, most, says_so.load(Ordering::SeqCst)),
+                send_times.lock().expect("the send times").entry(serial).or_insert_with(Instant::now);
+                let answer = match cut_at_bytes.load(Ordering::SeqCst) as usize {
+                    0 => answer,
+                    max_bytes => truncated(answer, max_bytes, set_flag.load(Ordering::SeqCst)),
                 };
-                let travels = Duration::from_millis(u64::from(travel.load(Ordering::SeqCst)));
-                if travels.is_zero() {
-                    let _ = socket.send_to(&good, from);
+                let delay = Duration::from_millis(u64::from(delay_ms.load(Ordering::SeqCst)));
+                if delay.is_zero() {
+                    let _ = socket.send_to(&answer, from);
                 } else {
                     let socket = socket.try_clone().expect("the socket");
                     std::thread::spawn(move || {
-                        std::thread::sleep(travels);
-                        let _ = socket.send_to(&good, from);
+                        std::thread::sleep(delay);
+                        let _ = socket.send_to(&answer, from);
                     });
                 }
             }
@@ -107,45 +109,45 @@
             list,
             nonsense,
             spoilt_first,
-            heard,
-            deaf,
+            senders,
+            ignored,
             travel_ms,
             cut_at,
             over_tcp,
-            held,
-            socket: answers,
+            withheld,
+            socket: answer_socket,
             first_sent,
         }
     }
 
-    /// From here on says nothing to any address that has asked so far: those paths have fallen silent.
+    /// Answers no more queries from any address that has sent one so far, as if these paths were cut.
     pub fn fall_silent(&self) {
-        let heard = self.heard.lock().expect("who asked").clone();
-        self.deaf.lock().expect("who is ignored").extend(heard);
+        let senders = self.senders.lock().expect("the senders").clone();
+        self.ignored.lock().expect("the ignored senders").extend(senders);
     }
 
-    /// Answers no query from here on, until `let_go`; waits until one is held.
+    /// Withholds answers until `let_go`; waits until one query is withheld.
     pub fn hold(&self) {
-        *self.held.lock().expect("what is held") = Some(Vec::new());
-        until("nothing is asked", || {
-            self.held.lock().expect("what is held").as_ref().is_some_and(|h| !h.is_empty())
+        *self.withheld.lock().expect("the withheld queries") = Some(Vec::new());
+        until("no query arrived", || {
+            self.withheld.lock().expect("the withheld queries").as_ref().is_some_and(|h| !h.is_empty())
         });
     }
 
-    /// Answers all that was held with the list as it is now, and goes on answering.
+    /// Answers all withheld queries with the current list, and later queries at once.
     pub fn let_go(&self) {
-        let held = self.held.lock().expect("what is held").take().unwrap_or_default();
-        self.answer_all(&held);
+        let withheld = self.withheld.lock().expect("the withheld queries").take().unwrap_or_default();
+        self.answer_all(&withheld);
     }
 
-    /// Answers the first query that is held with the list as it is now, and nothing else.
+    /// Answers the oldest withheld query with the current list, and keeps withholding the others.
     pub fn answer_held(&self) {
         let first: Vec<_> = self
-            .held
+            .withheld
             .lock()
-            .expect("what is held")
+            .expect("the withheld queries")
             .iter_mut()
-            .flat_map(|held| held.drain(..).take(1))
+            .flat_map(|withheld| withheld.drain(..).take(1))
             .collect();
         self.answer_all(&first);
     }
@@ -157,31 +159,31 @@
         }
     }
 
-    /// When an answer with this number was first sent; waits until one is.
+    /// Waits until an answer with this serial number has been sent, and returns when the first one was.
     pub fn sent(&self, serial: u32) -> Instant {
-        let first = || self.first_sent.lock().expect("what was sent").get(&serial).copied();
-        until("no answer with that number is sent", || first().is_some());
+        let first = || self.first_sent.lock().expect("the send times").get(&serial).copied();
+        until("no answer with that serial number was sent", || first().is_some());
         first().expect("it was sent")
     }
 
-    /// Sets the whole list.
+    /// Replaces the list and its serial number.
     pub fn set(&self, serial: u32, list: &[(&str, SocketAddr, u16)]) {
         let list = list.iter().map(|(id, a, p)| (id.to_string(), *a, *p)).collect();
         *self.list.lock().expect("a list") = (serial, list);
     }
 }
 
-/// The first bytes of an answer, with or without the flag that tells that it was cut off.
-fn cut_off(mut answer: Vec<u8>, most: usize, says_so: bool) -> Vec<u8> {
+/// Truncates an answer, and sets the TC flag if asked to.
+fn truncated(mut answer: Vec<u8>, max_bytes: usize, set_flag: bool) -> Vec<u8> {
     const TRUNCATED: u8 = 0x02;
-    answer.truncate(most);
-    if says_so {
+    answer.truncate(max_bytes);
+    if set_flag {
         answer[2] |= TRUNCATED;
     }
     answer
 }
 
-/// Answers queries over TCP, each message preceded by its size.
+/// Answers queries over TCP, one per connection, each message preceded by its size.
 fn serve_over_tcp(listener: TcpListener, list: List) {
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -207,7 +209,7 @@
     list_answer(query, serial, &long_ago)
 }
 
-/// An answer that lists ids, addresses, priorities and when each started, in Unix milliseconds.
+/// Encodes a DNS answer that lists ids, addresses, priorities and start times in Unix milliseconds.
 pub fn list_answer(query: &[u8], serial: u32, list: &[(String, SocketAddr, u16, u64)]) -> Vec<u8> {
     let name = |name: &str| {
         let mut out = Vec::new();
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -1,8 +1,9 @@
-//! Every directed link between two processes goes through here: datagrams are lost, delayed, doubled or cut by link;
-//! connections are cut, throttled, reset, or fall silent while they stay up.
+//! A proxy for all messages between dispatchers that injects faults per link: datagrams are lost, delayed, duplicated or cut;
+//! connections are cut, throttled, reset, or kept open while nothing passes. Losses and delays are drawn from a seed.
 //!
-//! Each process has one public address, a socket of the relay. What comes there from one process's real address goes on to
-//! the other's from the sender's public address, so that each sees the others where all see them.
+//! Each process has one public address, a UDP socket and a TCP listener of the relay. A datagram that arrives there from another
+//! process's real address is forwarded from the sender's public address, so that every process has the same address for all
+//! others. The sender of a connection is taken from the process name in its first line.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -14,90 +15,91 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// What is done to datagrams; all links alike, but for those that are cut.
+/// The faults in force. Loss, delay and duplication apply to all links alike.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Links on which nothing passes, from one to the other.
+    /// Directed links, from sender to receiver, on which nothing passes.
     pub cut: BTreeSet<(usize, usize)>,
-    /// So many of a hundred are lost.
+    /// The percentage of datagrams that are lost.
     pub loss: u32,
-    /// They take up to so long; each its own time, so that they overtake each other.
+    /// The longest delay of a datagram. Each has its own delay, so datagrams can overtake each other.
     pub delay: Duration,
-    /// So many of a hundred come twice.
+    /// The percentage of datagrams that are delivered twice.
     pub doubled: u32,
-    /// Connections from the one to the other stay up, and nothing passes that way.
+    /// Directed links on which connections stay open but no data passes.
     pub silent: BTreeSet<(usize, usize)>,
-    /// Connections to this one get a byte at a time, each after so long.
+    /// For each receiver with throttled connections, the delay before each single byte.
     pub throttled: BTreeMap<usize, Duration>,
-    /// Connections to this one are reset after so many bytes from the other.
+    /// For each receiver, the number of bytes after which connections to it are reset.
     pub reset: BTreeMap<usize, usize>,
 }
 
-type Waiting = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
+type DelayQueue = BinaryHeap<Reverse<(Instant, u64, usize, usize, Vec<u8>)>>;
 
 struct Shared {
     sockets: Vec<UdpSocket>,
-    /// Connections that passed through, by the one that began them.
-    passed: Mutex<Vec<usize>>,
-    real: Mutex<Vec<Option<SocketAddr>>>,
+    /// The number of connections opened so far, by sender.
+    opened: Mutex<Vec<usize>>,
+    real_addresses: Mutex<Vec<Option<SocketAddr>>>,
     faults: Mutex<Faults>,
-    waiting: Mutex<(Waiting, u64, Pcg32)>,
-    more: Condvar,
-    over: AtomicBool,
+    delayed: Mutex<(DelayQueue, u64, Pcg32)>,
+    queue_changed: Condvar,
+    stopped: AtomicBool,
 }
 
-/// The relay.
+/// A running relay.
 pub struct Relay {
     shared: Arc<Shared>,
 }
 
 impl Relay {
-    /// For so many processes; the seed decides what is lost and when what comes.
+    /// Starts a relay for `count` processes; losses, duplicates and delays are drawn from the seed.
     pub fn start(count: usize, seed: u64) -> Relay {
-        let (sockets, listeners): (Vec<UdpSocket>, Vec<TcpListener>) = (0..count).map(|_| both()).unzip();
+        let (sockets, listeners): (Vec<UdpSocket>, Vec<TcpListener>) =
+            (0..count).map(|_| bind_udp_and_tcp()).unzip();
         let shared = Arc::new(Shared {
             sockets,
-            passed: Mutex::new(vec![0; count]),
-            real: Mutex::new(vec![None; count]),
+            opened: Mutex::new(vec![0; count]),
+            real_addresses: Mutex::new(vec![None; count]),
             faults: Mutex::default(),
-            waiting: Mutex::new((BinaryHeap::new(), 0, Pcg32::seed_from_u64(seed))),
-            more: Condvar::new(),
-            over: AtomicBool::new(false),
+            delayed: Mutex::new((BinaryHeap::new(), 0, Pcg32::seed_from_u64(seed))),
+            queue_changed: Condvar::new(),
+            stopped: AtomicBool::new(false),
         });
         for (to, listener) in listeners.into_iter().enumerate() {
             let (datagrams, streams) = (shared.clone(), shared.clone());
-            std::thread::spawn(move || datagrams.listen(to));
+            std::thread::spawn(move || datagrams.receive_datagrams(to));
             std::thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
-                    if streams.over.load(Ordering::SeqCst) {
+                    if streams.stopped.load(Ordering::SeqCst) {
                         return;
                     }
                     let shared = streams.clone();
-                    std::thread::spawn(move || shared.connected(to, stream));
+                    std::thread::spawn(move || shared.forward_connection(to, stream));
                 }
             });
         }
         let sender = shared.clone();
-        std::thread::spawn(move || sender.send());
+        std::thread::spawn(move || sender.send_due());
         Relay { shared }
     }
 
-    /// The public address of a process.
+    /// Returns the public address of a process.
     pub fn address(&self, n: usize) -> SocketAddr {
         self.shared.sockets[n].local_addr().expect("an address")
     }
 
-    /// Where a process really is.
+    /// Sets the real address of a process; `None` while it is not running.
     pub fn place(&self, n: usize, real: Option<SocketAddr>) {
-        self.shared.real.lock().expect("addresses")[n] = real;
+        self.shared.real_addresses.lock().expect("addresses")[n] = real;
     }
 
-    /// Changes what is done to datagrams.
+    /// Changes the faults in force.
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.faults.lock().expect("faults"));
     }
 
-    /// Cuts every link from these to those.
+    /// Cuts every link from the first set of processes to the second, in that direction only.
     pub fn cut(&self, from: &[usize], to: &[usize]) {
         self.faults(|f| {
             for a in from {
@@ -106,42 +108,42 @@
         });
     }
 
-    /// Cuts every link between these and those, both ways.
+    /// Cuts every link between the two sets of processes, in both directions.
     pub fn part(&self, here: &[usize], there: &[usize]) {
         self.cut(here, there);
         self.cut(there, here);
     }
 
-    /// Connections that this one began, through here.
+    /// Returns the number of connections that a process has opened through the relay.
     pub fn connections(&self, from: usize) -> usize {
-        self.shared.passed.lock().expect("counts")[from]
+        self.shared.opened.lock().expect("counts")[from]
     }
 
-    /// All passes again.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.faults(|f| *f = Faults::default());
     }
 
-    /// Sends a process bytes that come from the public address of another: what a forged packet is.
+    /// Sends a process a forged packet, whose source is the public address of another process.
     pub fn forge(&self, from: usize, to: usize, packet: &[u8]) {
-        self.shared.post(from, to, packet.to_vec(), Instant::now());
+        self.shared.enqueue(from, to, packet.to_vec(), Instant::now());
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        self.shared.more.notify_all();
-        // Each listener wakes once more, and ends.
+        self.shared.stopped.store(true, Ordering::SeqCst);
+        self.shared.queue_changed.notify_all();
+        // A datagram and a connection wake each listener, which then ends.
         for socket in &self.shared.sockets {
-            let own = socket.local_addr();
-            let _ = own.as_ref().map(|own| (socket.send_to(b"", own), TcpStream::connect(own)));
+            let address = socket.local_addr();
+            let _ = address.as_ref().map(|to| (socket.send_to(b"", to), TcpStream::connect(to)));
         }
     }
 }
 
-/// A port for datagrams and one for connections, of the same number.
-pub(crate) fn both() -> (UdpSocket, TcpListener) {
+/// Returns a UDP socket and a TCP listener on the same port number.
+pub(crate) fn bind_udp_and_tcp() -> (UdpSocket, TcpListener) {
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
         if let Ok(listener) = TcpListener::bind(socket.local_addr().expect("an address")) {
@@ -150,7 +152,7 @@
     }
 }
 
-/// The first line, with its end; who begins a connection says his name in it.
+/// Reads the first line of a connection, with its line end; it ends with the name of the process that opened the connection.
 fn first_line(stream: &mut TcpStream) -> Vec<u8> {
     let (mut line, mut byte) = (Vec::new(), [0]);
     while line.len() < 256 && !line.ends_with(b"\n") && matches!(stream.read(&mut byte), Ok(1)) {
@@ -160,35 +162,35 @@
 }
 
 impl Shared {
-    /// A connection to a process: what goes each way passes as the faults let it.
-    fn connected(&self, to: usize, mut asker: TcpStream) {
-        let line = first_line(&mut asker);
+    /// Forwards a connection to a process in both directions, subject to the faults.
+    fn forward_connection(&self, to: usize, mut client: TcpStream) {
+        let line = first_line(&mut client);
         let text = String::from_utf8_lossy(&line);
         let name = text.trim_end().rsplit(" n").next().and_then(|n| n.parse::<usize>().ok());
         let Some(from) = name.filter(|n| *n < self.sockets.len()) else { return };
-        self.passed.lock().expect("counts")[from] += 1;
-        let real = self.real.lock().expect("addresses")[to];
-        let Some(mut other) = real.and_then(|real| TcpStream::connect(real).ok()) else { return };
+        self.opened.lock().expect("counts")[from] += 1;
+        let real = self.real_addresses.lock().expect("addresses")[to];
+        let Some(mut server) = real.and_then(|real| TcpStream::connect(real).ok()) else { return };
         self.wait_open(from, to);
-        let clones = (asker.try_clone(), other.try_clone());
-        if other.write_all(&line).is_err() {
+        let clones = (client.try_clone(), server.try_clone());
+        if server.write_all(&line).is_err() {
             return;
         }
         if let (Ok(reader), Ok(writer)) = clones {
             std::thread::scope(|scope| {
                 scope.spawn(|| self.pump(from, to, reader, writer));
-                self.pump(to, from, other, asker);
+                self.pump(to, from, server, client);
             });
         }
     }
 
-    /// Waits while nothing passes that way.
+    /// Waits while the link is cut or silent.
     fn wait_open(&self, from: usize, to: usize) {
-        let shut = || {
+        let blocked = || {
             let faults = self.faults.lock().expect("faults");
             faults.silent.contains(&(from, to)) || faults.cut.contains(&(from, to))
         };
-        while shut() && !self.over.load(Ordering::SeqCst) {
+        while blocked() && !self.stopped.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -218,20 +220,20 @@
         let _ = writer.shutdown(std::net::Shutdown::Write);
     }
 
-    fn listen(&self, to: usize) {
+    fn receive_datagrams(&self, to: usize) {
         let mut buffer = [0; 2_048];
         while let Ok((size, from)) = self.sockets[to].recv_from(&mut buffer) {
-            if self.over.load(Ordering::SeqCst) {
+            if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
-            let from = self.real.lock().expect("addresses").iter().position(|r| *r == Some(from));
+            let from = self.real_addresses.lock().expect("addresses").iter().position(|r| *r == Some(from));
             let Some(from) = from else { continue };
             let faults = self.faults.lock().expect("faults").clone();
             if faults.cut.contains(&(from, to)) {
                 continue;
             }
             let (lost, doubled, wait) = {
-                let rng = &mut self.waiting.lock().expect("a queue").2;
+                let rng = &mut self.delayed.lock().expect("a queue").2;
                 let mut below = |most: u64| u64::from(rng.next_u32()) % most.max(1);
                 let wait = Duration::from_micros(below(faults.delay.as_micros() as u64));
                 (below(100) < u64::from(faults.loss), below(100) < u64::from(faults.doubled), wait)
@@ -241,33 +243,35 @@
             }
             let due = Instant::now() + wait;
             for _ in 0..1 + usize::from(doubled) {
-                self.post(from, to, buffer[..size].to_vec(), due);
+                self.enqueue(from, to, buffer[..size].to_vec(), due);
             }
         }
     }
 
-    fn post(&self, from: usize, to: usize, packet: Vec<u8>, due: Instant) {
-        let mut waiting = self.waiting.lock().expect("a queue");
-        waiting.1 += 1;
-        let number = waiting.1;
-        waiting.0.push(Reverse((due, number, from, to, packet)));
-        self.more.notify_one();
+    fn enqueue(&self, from: usize, to: usize, packet: Vec<u8>, due: Instant) {
+        let mut delayed = self.delayed.lock().expect("a queue");
+        delayed.1 += 1;
+        let number = delayed.1;
+        delayed.0.push(Reverse((due, number, from, to, packet)));
+        self.queue_changed.notify_one();
     }
 
-    fn send(&self) {
-        let mut waiting = self.waiting.lock().expect("a queue");
-        while !self.over.load(Ordering::SeqCst) {
+    fn send_due(&self) {
+        let mut delayed = self.delayed.lock().expect("a queue");
+        while !self.stopped.load(Ordering::SeqCst) {
             let now = Instant::now();
-            match waiting.0.peek().map(|next| next.0.0) {
+            match delayed.0.peek().map(|next| next.0.0) {
                 Some(due) if due <= now => {
-                    let Some(Reverse((_, _, from, to, packet))) = waiting.0.pop() else { continue };
-                    let real = self.real.lock().expect("addresses")[to];
+                    let Some(Reverse((_, _, from, to, packet))) = delayed.0.pop() else { continue };
+                    let real = self.real_addresses.lock().expect("addresses")[to];
                     if let Some(real) = real {
                         let _ = self.sockets[from].send_to(&packet, real);
                     }
                 }
-                Some(due) => waiting = self.more.wait_timeout(waiting, due - now).expect("a queue").0,
-                None => waiting = self.more.wait(waiting).expect("a queue"),
+                Some(due) => {
+                    delayed = self.queue_changed.wait_timeout(delayed, due - now).expect("a queue").0
+                }
+                None => delayed = self.queue_changed.wait(delayed).expect("a queue"),
             }
         }
     }
--- a/crates/rig/src/soak/client.rs
+++ b/crates/rig/src/soak/client.rs
@@ -1,6 +1,7 @@
-//! A client of one dispatcher that asks, leaves, takes back, and uses its connection for as long as that stands.
+//! A client of one dispatcher. It sends requests one after the other on a kept-open connection, abandons some of them by a cancel
+//! message or by closing the connection, and records how each one ended. All choices are drawn from its seed.
 
-use super::record::{Class, Dispatcher, End, Micros, Recorder, Request};
+use super::record::{Class, Dispatcher, Micros, Recorder, Request, RequestEnd};
 use super::worker::answer_body;
 use crate::stand::{Client, Reply, fields};
 use rand_pcg::Pcg32;
@@ -10,154 +11,171 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A request that crosses the end of its connection by less than this is sent once more.
-const CROSSES_US: Micros = 50_000;
-/// How much longer than it says a client reads on, to see what comes late.
-const READS_ON: Duration = Duration::from_millis(3_500);
-/// The longest rest between two requests, in milliseconds.
-const MOST_REST_MS: u64 = 60;
-/// A client that finds nobody looks again after this.
-const LOOKS_AGAIN: Duration = Duration::from_millis(20);
-/// Parts of a thousand of the requests that are taken back, or whose client closes its connection.
-const TAKEN_BACK: u64 = 30;
-const CLOSED: u64 = 20;
-/// Functions that the clients of a dispatcher ask for.
-const FUNCTIONS: u64 = 5;
+/// If the connection ends within this time after a request was sent, the close and the request may have crossed on the wire; the
+/// request is then sent once more.
+const CLOSE_RACE_US: Micros = 50_000;
+/// How long a client keeps reading after its stated timeout, to observe late answers.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(3_500);
+/// The longest pause between two requests, in milliseconds.
+const MAX_PAUSE_MS: u64 = 60;
+/// The interval between attempts to connect.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
+/// How many of a thousand requests the client cancels, and for how many it closes its connection.
+const CANCELLED_PER_MILLE: u64 = 30;
+const CLOSED_PER_MILLE: u64 = 20;
+/// The number of functions that the clients of a dispatcher request.
+const FUNCTIONS_PER_DISPATCHER: u64 = 5;
 
-/// Where a dispatcher is, and whether new connections still come.
+/// The address of a dispatcher and whether clients may open new connections to it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Place {
-    /// Its address, once it is ready.
+pub struct Endpoint {
+    /// The address, once the dispatcher is ready.
     pub address: Option<SocketAddr>,
-    /// A new connection may be made.
-    pub open: bool,
+    /// Whether new connections may be opened.
+    pub accepts_connections: bool,
 }
 
-/// What a client is.
+/// The settings of a client.
 #[derive(Clone)]
-pub struct Make {
-    /// Whom it asks.
+pub struct ClientSettings {
+    /// The dispatcher that it connects to.
     pub dispatcher: Dispatcher,
-    /// Its place among all clients, which its ids begin with after the dispatcher's.
+    /// Its number among the clients of the dispatcher, which follows the dispatcher's number in its request ids.
     pub number: u64,
-    /// What it does is drawn from this.
+    /// The seed of its random choices.
     pub seed: u64,
-    /// How long it waits, by class, in milliseconds.
+    /// The timeout of each class, in milliseconds.
     pub deadlines_ms: [u64; 3],
-    /// It writes down that an answer came twice, was lost, or that it had left long ago: a planted fault.
-    pub lies: Option<Lie>,
+    /// The false record that the client writes, to verify that the judge finds it.
+    pub planted: Option<PlantedRecord>,
 }
 
-/// What a client that plants a fault writes down.
+/// A false record that a client writes on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
-    /// Its answers never came.
+pub enum PlantedRecord {
+    /// No answer was received.
     Lost,
-    /// It had left before it sent.
+    /// The request was abandoned before it was sent.
     Gone,
 }
 
-struct Asking {
-    make: Make,
-    place: Arc<Mutex<Place>>,
+struct ClientState {
+    settings: ClientSettings,
+    endpoint: Arc<Mutex<Endpoint>>,
     recorder: Arc<Recorder>,
     random: Pcg32,
     client: Option<Client>,
     connected_to: Option<SocketAddr>,
     seq: i32,
-    count: u64,
+    request_count: u64,
 }
 
-/// Asks until it is over.
-pub fn ask(make: Make, place: Arc<Mutex<Place>>, recorder: Arc<Recorder>, over: &AtomicBool) {
-    let random = Pcg32::seed_from_u64(make.seed);
-    let mut asking =
-        Asking { make, place, recorder, random, client: None, connected_to: None, seq: 0, count: 0 };
+/// Sends requests until `over` is set.
+pub fn run(
+    settings: ClientSettings,
+    endpoint: Arc<Mutex<Endpoint>>,
+    recorder: Arc<Recorder>,
+    over: &AtomicBool,
+) {
+    let random = Pcg32::seed_from_u64(settings.seed);
+    let mut client_state = ClientState {
+        settings,
+        endpoint,
+        recorder,
+        random,
+        client: None,
+        connected_to: None,
+        seq: 0,
+        request_count: 0,
+    };
     while !over.load(Ordering::SeqCst) {
-        let rest = asking.below(MOST_REST_MS);
-        std::thread::sleep(Duration::from_millis(rest));
-        if asking.connect() {
-            asking.ask_once();
+        let pause_ms = client_state.below(MAX_PAUSE_MS);
+        std::thread::sleep(Duration::from_millis(pause_ms));
+        if client_state.connect() {
+            client_state.send_request();
         } else {
-            std::thread::sleep(LOOKS_AGAIN);
+            std::thread::sleep(RECONNECT_INTERVAL);
         }
     }
 }
 
-impl Asking {
-    fn below(&mut self, most: u64) -> u64 {
-        u64::from(self.random.next_u32()) % most
+impl ClientState {
+    fn below(&mut self, max: u64) -> u64 {
+        u64::from(self.random.next_u32()) % max
     }
 
     fn connect(&mut self) -> bool {
         if self.client.is_some() {
             return true;
         }
-        let place = *self.place.lock().expect("a place");
-        let Some(address) = place.address.filter(|_| place.open) else { return false };
+        let endpoint = *self.endpoint.lock().expect("the endpoint lock");
+        let Some(address) = endpoint.address.filter(|_| endpoint.accepts_connections) else { return false };
         self.seq = 0;
         self.connected_to = Some(address);
         self.client = Client::try_connect(address).ok();
         self.client.is_some()
     }
 
-    /// One request, from its sending to its end.
-    fn ask_once(&mut self) {
+    /// Sends one request, or abandons it, and records its end.
+    fn send_request(&mut self) {
         let class = Class::ALL[self.below(3) as usize];
-        self.count += 1;
-        let id = format!("{:04x}{:04x}{:08x}", self.make.dispatcher, self.make.number, self.count);
-        let waits_ms = self.make.deadlines_ms[class as usize];
-        let mut told = fields(class.name(), &id, waits_ms);
-        let function = self.below(FUNCTIONS);
-        let function = format!("{:04x}{function:012x}", self.make.dispatcher);
-        told.insert("row".to_string(), function);
+        self.request_count += 1;
+        let id =
+            format!("{:04x}{:04x}{:08x}", self.settings.dispatcher, self.settings.number, self.request_count);
+        let timeout_ms = self.settings.deadlines_ms[class as usize];
+        let mut request_fields = fields(class.name(), &id, timeout_ms);
+        let function = self.below(FUNCTIONS_PER_DISPATCHER);
+        let function = format!("{:04x}{function:012x}", self.settings.dispatcher);
+        request_fields.insert("row".to_string(), function);
         if class == Class::Keyed {
-            told.insert("dedupe".to_string(), format!("{id}{id}"));
+            request_fields.insert("dedupe".to_string(), format!("{id}{id}"));
         }
         let body = id.clone().into_bytes();
         let mut request = Request {
-            dispatcher: self.make.dispatcher,
+            dispatcher: self.settings.dispatcher,
             id,
             class,
             sent_at: self.recorder.now(),
-            waits: waits_ms * 1_000,
-            end: End::NotTaken,
+            timeout: timeout_ms * 1_000,
+            end: RequestEnd::NotAccepted,
             ended_at: 0,
-            left_at: None,
+            abandoned_at: None,
             answers: 0,
         };
         for attempt in 0..2 {
             self.seq += 1;
             let Some(client) = &mut self.client else { break };
-            if client.try_serve(self.seq, &told, &body).is_err() {
-                // Not all of it could be written: it was not taken.
+            if client.try_serve(self.seq, &request_fields, &body).is_err() {
+                // An incomplete request was not accepted.
                 self.client = None;
-                (request.end, request.ended_at) = (End::NotTaken, self.recorder.now());
+                (request.end, request.ended_at) = (RequestEnd::NotAccepted, self.recorder.now());
                 if attempt == 0 && self.connect() { continue } else { break }
             }
             request.sent_at = self.recorder.now();
-            let lot = self.below(1_000);
-            if lot < TAKEN_BACK + CLOSED {
-                self.leave(&mut request, lot < TAKEN_BACK);
+            let choice = self.below(1_000);
+            if choice < CANCELLED_PER_MILLE + CLOSED_PER_MILLE {
+                self.abandon(&mut request, choice < CANCELLED_PER_MILLE);
                 break;
             }
             self.read(&mut request, &body);
-            let crossed =
-                request.end == End::ConnectionEnded && request.ended_at < request.sent_at + CROSSES_US;
-            if !(attempt == 0 && crossed) {
+            let may_have_crossed = request.end == RequestEnd::ConnectionEnded
+                && request.ended_at < request.sent_at + CLOSE_RACE_US;
+            if !(attempt == 0 && may_have_crossed) {
                 break;
             }
             if !self.connect() {
-                request.end = End::NotTaken;
+                request.end = RequestEnd::NotAccepted;
                 break;
             }
         }
-        if request.end == End::NotTaken && request.ended_at == 0 {
+        if request.end == RequestEnd::NotAccepted && request.ended_at == 0 {
             request.ended_at = self.recorder.now();
         }
-        match self.make.lies {
-            Some(Lie::Lost) => request.end = End::NoAnswer,
-            Some(Lie::Gone) => request.left_at = Some(request.sent_at.saturating_sub(5_000_000)),
+        match self.settings.planted {
+            Some(PlantedRecord::Lost) => request.end = RequestEnd::NoAnswer,
+            Some(PlantedRecord::Gone) => {
+                request.abandoned_at = Some(request.sent_at.saturating_sub(5_000_000))
+            }
             None => {}
         }
         self.recorder.write(|r| r.requests.push(request));
@@ -165,22 +183,22 @@
 
     fn read(&mut self, request: &mut Request, body: &[u8]) {
         let Some(client) = &mut self.client else { return };
-        let patience = Duration::from_micros(request.waits) + READS_ON;
-        let _ = client.stream.set_read_timeout(Some(patience));
-        let began = std::time::Instant::now();
+        let read_timeout = Duration::from_micros(request.timeout) + LATE_ANSWER_WAIT;
+        let _ = client.stream.set_read_timeout(Some(read_timeout));
+        let started = std::time::Instant::now();
         request.end = match client.receive() {
             Some((seq, reply)) => {
                 request.answers = 1;
                 match reply {
-                    _ if seq != self.seq => End::ServedWrong,
-                    Reply::Served(got) if got == answer_body(body) => End::Served,
-                    Reply::Served(_) | Reply::Well(_) => End::ServedWrong,
-                    Reply::Refused(_) => End::Refused,
-                    Reply::Failed | Reply::Exception(_) => End::Failed,
+                    _ if seq != self.seq => RequestEnd::ServedWrong,
+                    Reply::Served(got) if got == answer_body(body) => RequestEnd::Served,
+                    Reply::Served(_) | Reply::Well(_) => RequestEnd::ServedWrong,
+                    Reply::Refused(_) => RequestEnd::Refused,
+                    Reply::Failed | Reply::Exception(_) => RequestEnd::Failed,
                 }
             }
-            None if began.elapsed() >= patience => End::NoAnswer,
-            None => End::ConnectionEnded,
+            None if started.elapsed() >= read_timeout => RequestEnd::NoAnswer,
+            None => RequestEnd::ConnectionEnded,
         };
         request.ended_at = self.recorder.now();
         if request.answers == 0 {
@@ -188,21 +206,21 @@
         }
     }
 
-    /// Takes the request back, or closes the connection.
-    fn leave(&mut self, request: &mut Request, by_word: bool) {
-        let after = self.below(40);
-        std::thread::sleep(Duration::from_millis(after));
+    /// Abandons the request after a short time, by a cancel message or by closing the connection.
+    fn abandon(&mut self, request: &mut Request, by_cancel: bool) {
+        let delay_ms = self.below(40);
+        std::thread::sleep(Duration::from_millis(delay_ms));
         let seq = self.seq;
-        if by_word && let Some(client) = &mut self.client {
+        if by_cancel && let Some(client) = &mut self.client {
             self.seq += 1;
             let _ = client.try_forget(self.seq, seq);
-            self.recorder.fault("request taken back");
+            self.recorder.fault("request cancelled");
         } else {
-            self.recorder.fault("client closes");
+            self.recorder.fault("client closed its connection");
         }
-        // An answer may cross the word, so that the connection is of no more use here.
+        // An answer may cross the cancel message on the wire, so the connection is not used again.
         self.client = None;
-        (request.left_at, request.end) = (Some(self.recorder.now()), End::Left);
+        (request.abandoned_at, request.end) = (Some(self.recorder.now()), RequestEnd::Abandoned);
         request.ended_at = self.recorder.now();
     }
 }
--- a/crates/rig/src/soak/judge.rs
+++ b/crates/rig/src/soak/judge.rs
@@ -1,39 +1,40 @@
-//! Judges the records of a soak by the platform's rules. Pure: records in, breaks out.
+//! Checks the records of a soak against the platform's rules. It is a pure function of the records and the settings' limits; its
+//! tolerances cover the delays of the machine that runs the soak, so that a violation is a fault of a dispatcher.
 
-use super::record::{Arrival, Class, Dispatcher, End, Micros, ProcessEvent, Records, Request};
+use super::record::{Arrival, Class, Dispatcher, Micros, ProcessEvent, Records, Request, RequestEnd};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
-/// What the platform adds to every time limit on sockets.
+/// The tolerance that the platform allows on every time limit at a socket.
 const SLACK_US: Micros = 50_000;
-/// What this machine may take to run a thread of ours: its records are late by as much.
-const MACHINE_US: Micros = 100_000;
-/// After the client's time an answer earns nothing, but is none that was lost, for this long.
+/// How late a thread of the soak may run on a busy machine, by which its records may be late.
+const SCHEDULING_DELAY_US: Micros = 100_000;
+/// An answer within this time after the client's timeout is worthless to the client but does not count as lost.
 const LATE_ANSWER_US: Micros = 500_000;
-/// An attempt may begin this long after its client has left.
-const LEFT_US: Micros = 100_000;
-/// A restarted process is ready within this time.
-const READY_US: Micros = 10_000_000;
+/// An attempt may begin this long after its client abandoned the request.
+const ABANDONED_US: Micros = 100_000;
+/// A started process must be ready within this time.
+const MAX_READY_US: Micros = 10_000_000;
 
-/// A rule of the platform.
+/// A rule of the platform. Its displayed name is the argument of `--plant` and is printed with violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has one final answer in its time.
+    /// Each request gets exactly one final answer, in time.
     Lost,
-    /// Nothing runs more often than its class allows, and nothing that was refused has run.
+    /// No request runs more often than its class allows, and no refused request of the at-most-once class has run.
     Duplicate,
-    /// Nothing is sent to a worker after the grace once it was told to drain or to be gone.
+    /// Nothing is sent to a worker once the drain grace has passed since the dispatcher learned that it drains or was removed.
     Drain,
-    /// A cold worker gets no more than its share.
+    /// A cold worker gets no more requests than its share.
     Failback,
-    /// No attempt begins for a client that has left.
+    /// No attempt begins for a request that its client has abandoned.
     Gone,
-    /// No process ends but by our signals, or panics, or takes too long to be ready.
+    /// No process ends without a signal of the run, exits with an error, panics, or takes too long to be ready.
     Crash,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 6] =
         [Rule::Lost, Rule::Duplicate, Rule::Drain, Rule::Failback, Rule::Gone, Rule::Crash];
 }
@@ -51,48 +52,48 @@
     }
 }
 
-/// A rule that was broken, and how.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// When.
+    /// When it happened.
     pub at: Micros,
-    /// What was seen.
+    /// What was observed.
     pub what: String,
 }
 
-/// The figures of the settings that rules refer to.
+/// The limits in the dispatchers' settings that the rules refer to. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// From the telling of a drain to the last send.
+pub struct RuleLimits {
+    /// The longest time from the notice of a drain to the last send.
     pub drain_grace: Micros,
-    /// How long a worker drops repeats of a key.
+    /// How long a worker drops repeats of the same key.
     pub repeat_window: Micros,
-    /// The window in which a cold worker's requests are counted, and the multiple of its capacity that it bears.
-    pub fall_window: Micros,
-    /// See `fall_window`.
-    pub fall_multiple: f64,
-    /// What a cold worker bears at its start, as a share of its capacity, and when it is warm.
+    /// The window in which a cold worker's requests are counted.
+    pub overload_window: Micros,
+    /// The multiple of its present capacity that a worker can bear within a window.
+    pub overload_multiple: f64,
+    /// The capacity of a cold worker at its start, as a share of its full capacity.
     pub cold_share: f64,
-    /// See `cold_share`.
+    /// The time from its start until a worker is warm.
     pub warm_after: Micros,
 }
 
-/// All breaks of the rules, in the order of the rules.
-pub fn judge(records: &Records, limits: Limits) -> Vec<Break> {
-    let mut breaks = Vec::new();
-    let arrivals = by_request(&records.arrivals);
-    lost(records, &mut breaks);
-    duplicate(records, &arrivals, limits, &mut breaks);
-    drain(records, limits, &mut breaks);
-    failback(records, limits, &mut breaks);
-    gone(records, &arrivals, &mut breaks);
-    crash(records, &mut breaks);
-    breaks
+/// Returns all violations, in the order of the rules.
+pub fn judge(records: &Records, limits: RuleLimits) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let arrivals = arrivals_by_request(&records.arrivals);
+    check_lost(records, &mut violations);
+    check_duplicate(records, &arrivals, limits, &mut violations);
+    check_drain(records, limits, &mut violations);
+    check_failback(records, limits, &mut violations);
+    check_gone(records, &arrivals, &mut violations);
+    check_crash(records, &mut violations);
+    violations
 }
 
-fn by_request(arrivals: &[Arrival]) -> HashMap<&str, Vec<&Arrival>> {
+fn arrivals_by_request(arrivals: &[Arrival]) -> HashMap<&str, Vec<&Arrival>> {
     let mut all = HashMap::<&str, Vec<&Arrival>>::new();
     for arrival in arrivals {
         if let Some((id, _)) = &arrival.request {
@@ -102,7 +103,7 @@
     all
 }
 
-/// Times at which a dispatcher was stopped, from and to.
+/// Returns the periods in which a dispatcher was stopped by SIGSTOP.
 fn pauses(records: &Records, dispatcher: Dispatcher) -> impl Iterator<Item = (Micros, Micros)> + '_ {
     records.processes.iter().filter_map(move |p| match p.event {
         ProcessEvent::Paused(time) if p.dispatcher == dispatcher => Some((p.at, p.at + time)),
@@ -110,9 +111,10 @@
     })
 }
 
-/// How long a dispatcher was stopped between two moments, with what it needs to catch up.
+/// Returns how long a dispatcher was stopped within a period, plus the time to resume after each stop.
 fn paused(records: &Records, dispatcher: Dispatcher, from: Micros, to: Micros) -> Micros {
-    let overlap = |(begin, end): (Micros, Micros)| (end + MACHINE_US).min(to).saturating_sub(begin.max(from));
+    let overlap =
+        |(begin, end): (Micros, Micros)| (end + SCHEDULING_DELAY_US).min(to).saturating_sub(begin.max(from));
     pauses(records, dispatcher).map(overlap).sum()
 }
 
@@ -124,114 +126,122 @@
         .any(|p| p.dispatcher == dispatcher && kill(p.event) && (from..=to).contains(&p.at))
 }
 
-fn lost(records: &Records, breaks: &mut Vec<Break>) {
+fn check_lost(records: &Records, violations: &mut Vec<Violation>) {
     for request in &records.requests {
-        let Some(what) = lost_why(records, request) else { continue };
+        let Some(what) = why_lost(records, request) else { continue };
         let Request { dispatcher, id, class, sent_at, .. } = request;
         let what = format!("n{dispatcher} {id} {} sent at {sent_at}: {what}", class.name());
-        breaks.push(Break { rule: Rule::Lost, at: request.ended_at, what });
+        violations.push(Violation { rule: Rule::Lost, at: request.ended_at, what });
     }
 }
 
-fn lost_why(records: &Records, request: &Request) -> Option<String> {
+fn why_lost(records: &Records, request: &Request) -> Option<String> {
     if request.answers > 1 {
         return Some("a second answer".to_string());
     }
     match request.end {
-        End::Left | End::NotTaken => None,
-        End::ServedWrong => Some("served with what no worker made for it".to_string()),
-        End::ConnectionEnded | End::NoAnswer => {
-            let to = request.ended_at + SLACK_US + MACHINE_US;
+        RequestEnd::Abandoned | RequestEnd::NotAccepted => None,
+        RequestEnd::ServedWrong => Some("served with a body that no worker made for it".to_string()),
+        RequestEnd::ConnectionEnded | RequestEnd::NoAnswer => {
+            let to = request.ended_at + SLACK_US + SCHEDULING_DELAY_US;
             let killed =
                 killed_between(records, request.dispatcher, request.sent_at.saturating_sub(SLACK_US), to);
             (!killed).then(|| format!("{:?}", request.end))
         }
-        End::Served | End::Refused | End::Failed => {
-            let due = request.sent_at + request.waits + LATE_ANSWER_US + SLACK_US + MACHINE_US;
+        RequestEnd::Served | RequestEnd::Refused | RequestEnd::Failed => {
+            let due = request.sent_at + request.timeout + LATE_ANSWER_US + SLACK_US + SCHEDULING_DELAY_US;
             let paused = paused(records, request.dispatcher, request.sent_at, request.ended_at);
             let late = request.ended_at.saturating_sub(due + paused);
-            (late > 0).then(|| format!("answered {late} us later than a late answer may come"))
+            (late > 0).then(|| format!("answered {late} us after the limit for late answers"))
         }
     }
 }
 
-fn duplicate(
+fn check_duplicate(
     records: &Records,
     arrivals: &HashMap<&str, Vec<&Arrival>>,
-    limits: Limits,
-    breaks: &mut Vec<Break>,
+    limits: RuleLimits,
+    violations: &mut Vec<Violation>,
 ) {
     for request in &records.requests {
-        let came = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-        let ran: Vec<&Arrival> = came.iter().filter(|a| a.ran).copied().collect();
+        let received = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+        let ran: Vec<&Arrival> = received.iter().filter(|a| a.ran).copied().collect();
         let what = match request.class {
             Class::Safe => None,
             Class::Unsafe if ran.len() > 1 => Some(format!("ran {} times", ran.len())),
-            Class::Unsafe if request.end == End::Refused && !ran.is_empty() => {
-                Some("was refused and has run".to_string())
+            Class::Unsafe if request.end == RequestEnd::Refused && !ran.is_empty() => {
+                Some("was refused but has run".to_string())
             }
             Class::Unsafe => None,
             Class::Keyed => {
                 let first = ran.iter().map(|a| a.at).min().unwrap_or(0);
-                let past = first + limits.repeat_window + SLACK_US + MACHINE_US;
-                let late = came.iter().find(|a| a.timed && !ran.is_empty() && a.at > past);
-                late.map(|a| format!("came again {} us after it may have run", a.at - first))
+                let window_end = first + limits.repeat_window + SLACK_US + SCHEDULING_DELAY_US;
+                let late =
+                    received.iter().find(|a| a.read_on_arrival && !ran.is_empty() && a.at > window_end);
+                late.map(|a| format!("arrived again {} us after it may have run", a.at - first))
             }
         };
         if let Some(what) = what {
             let what = format!("n{} {} {}: {what}", request.dispatcher, request.id, request.class.name());
-            breaks.push(Break { rule: Rule::Duplicate, at: request.ended_at, what });
+            violations.push(Violation { rule: Rule::Duplicate, at: request.ended_at, what });
         }
     }
 }
 
-/// When each process of each dispatcher was first told of each worker's drain.
-fn first_told(records: &Records) -> HashMap<(Dispatcher, usize, &str), Micros> {
+/// Returns when each process of each dispatcher first received a notice for each worker.
+fn first_notices(records: &Records) -> HashMap<(Dispatcher, usize, &str), Micros> {
     let mut first = HashMap::new();
-    for told in &records.told {
-        let at = first.entry((told.dispatcher, told.life, told.worker.as_str())).or_insert(told.at);
-        *at = told.at.min(*at);
+    for notice in &records.drain_notices {
+        let at = first
+            .entry((notice.dispatcher, notice.process_number, notice.worker.as_str()))
+            .or_insert(notice.at);
+        *at = notice.at.min(*at);
     }
     first
 }
 
-/// Which process of each dispatcher served from when on.
-fn lives(records: &Records) -> BTreeMap<Dispatcher, Vec<(Micros, usize)>> {
-    let mut lives = BTreeMap::<Dispatcher, Vec<(Micros, usize)>>::new();
+/// Returns the start time and number of each dispatcher's processes, in order.
+fn process_starts(records: &Records) -> BTreeMap<Dispatcher, Vec<(Micros, usize)>> {
+    let mut starts = BTreeMap::<Dispatcher, Vec<(Micros, usize)>>::new();
     for record in records.processes.iter().filter(|p| p.event == ProcessEvent::Started) {
-        lives.entry(record.dispatcher).or_default().push((record.at, record.life));
+        starts.entry(record.dispatcher).or_default().push((record.at, record.process_number));
     }
-    lives
+    starts
 }
 
-fn drain(records: &Records, limits: Limits, breaks: &mut Vec<Break>) {
-    let (first, lives) = (first_told(records), lives(records));
-    for arrival in records.arrivals.iter().filter(|a| a.timed) {
-        let started = lives.get(&arrival.dispatcher).map_or(&[][..], Vec::as_slice);
-        let Some((_, life)) = started.iter().rev().find(|(at, _)| *at <= arrival.at) else { continue };
-        let Some(told) = first.get(&(arrival.dispatcher, *life, arrival.worker.as_str())) else { continue };
-        let due = told.saturating_add(limits.drain_grace + SLACK_US);
-        // What was sent before a worker's thread ran is recorded late by as much.
-        if arrival.at > due + MACHINE_US {
-            let kind = arrival.request.as_ref().map_or("an order".to_string(), |(id, _)| id.clone());
-            let late = arrival.at - told;
+fn check_drain(records: &Records, limits: RuleLimits, violations: &mut Vec<Violation>) {
+    let (notices, starts) = (first_notices(records), process_starts(records));
+    for arrival in records.arrivals.iter().filter(|a| a.read_on_arrival) {
+        let started = starts.get(&arrival.dispatcher).map_or(&[][..], Vec::as_slice);
+        let Some((_, process_number)) = started.iter().rev().find(|(at, _)| *at <= arrival.at) else {
+            continue;
+        };
+        let Some(notified_at) = notices.get(&(arrival.dispatcher, *process_number, arrival.worker.as_str()))
+        else {
+            continue;
+        };
+        let due = notified_at.saturating_add(limits.drain_grace + SLACK_US);
+        // A line is recorded late by as much as the worker's thread was delayed.
+        if arrival.at > due + SCHEDULING_DELAY_US {
+            let kind = arrival.request.as_ref().map_or("a load order".to_string(), |(id, _)| id.clone());
+            let late = arrival.at - notified_at;
             let what = format!(
-                "n{} life {life} sent {kind} to {} {late} us after it was told at {told}",
+                "n{} process {process_number} sent {kind} to {} {late} us after the drain notice at {notified_at}",
                 arrival.dispatcher, arrival.worker
             );
-            breaks.push(Break { rule: Rule::Drain, at: arrival.at, what });
+            violations.push(Violation { rule: Rule::Drain, at: arrival.at, what });
         }
     }
 }
 
-/// The most that a warm worker has carried in a window until some moment: what all know of a worker's capacity.
-struct Carried {
-    /// Moments at which the most grew, in order, and to how much.
+/// The largest number of requests that any warm worker has handled in a window so far: the estimate of a worker's capacity.
+struct CapacityEstimate {
+    /// The times at which the maximum grew, in order, and its new values.
     steps: Vec<(Micros, f64)>,
 }
 
-impl Carried {
-    fn by_warm_workers(arrivals: &[&Arrival], window: Micros) -> Carried {
+impl CapacityEstimate {
+    fn from_warm_workers(arrivals: &[&Arrival], window: Micros) -> CapacityEstimate {
         let mut times = HashMap::<&str, Vec<Micros>>::new();
         for arrival in arrivals.iter().filter(|a| a.cold_since.is_none()) {
             times.entry(&arrival.worker).or_default().push(arrival.at);
@@ -254,95 +264,101 @@
                 steps.push((at, count));
             }
         }
-        Carried { steps }
+        CapacityEstimate { steps }
     }
 
-    fn until(&self, at: Micros) -> f64 {
+    fn at(&self, at: Micros) -> f64 {
         let index = self.steps.partition_point(|(moment, _)| *moment <= at);
         index.checked_sub(1).map_or(0.0, |last| self.steps[last].1)
     }
 }
 
-/// Requests that a cold worker got in a window, against what a warm one has carried in one.
-fn failback(records: &Records, limits: Limits, breaks: &mut Vec<Break>) {
+/// Compares the requests of each cold worker in a window with the largest number that a warm worker has handled in one. The
+/// tolerance of two or three square roots and a constant covers the random variation of counts.
+fn check_failback(records: &Records, limits: RuleLimits, violations: &mut Vec<Violation>) {
     let requests: Vec<&Arrival> = records.arrivals.iter().filter(|a| a.request.is_some()).collect();
-    let carried = Carried::by_warm_workers(&requests, limits.fall_window);
+    let capacity = CapacityEstimate::from_warm_workers(&requests, limits.overload_window);
     let mut cold = BTreeMap::<&str, Vec<&Arrival>>::new();
     for arrival in requests.iter().filter(|a| a.cold_since.is_some()) {
         cold.entry(&arrival.worker).or_default().push(arrival);
     }
     for (worker, arrivals) in cold {
         let mut first = 0;
-        for (place, last) in arrivals.iter().enumerate() {
-            while arrivals[first].at + limits.fall_window <= last.at {
+        for (index, last) in arrivals.iter().enumerate() {
+            while arrivals[first].at + limits.overload_window <= last.at {
                 first += 1;
             }
             let age = last.at.saturating_sub(last.cold_since.unwrap_or_default());
             if age >= limits.warm_after {
                 break;
             }
-            let got = (place + 1 - first) as f64;
-            let grown = (1.0 - limits.cold_share) * age as f64 / limits.warm_after as f64;
-            let allowed = limits.fall_multiple * (limits.cold_share + grown) * carried.until(last.at);
-            let roots = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
-            if got > allowed + roots {
-                let what = format!("{worker} got {got} in a window that allows {allowed:.1} + {roots:.1}");
-                breaks.push(Break { rule: Rule::Failback, at: last.at, what });
+            let got = (index + 1 - first) as f64;
+            let warmed_up = (1.0 - limits.cold_share) * age as f64 / limits.warm_after as f64;
+            let allowed = limits.overload_multiple * (limits.cold_share + warmed_up) * capacity.at(last.at);
+            let tolerance =
+                if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
+            if got > allowed + tolerance {
+                let what = format!(
+                    "{worker} got {got} requests in a window that allows {allowed:.1} + {tolerance:.1}"
+                );
+                violations.push(Violation { rule: Rule::Failback, at: last.at, what });
                 break;
             }
         }
     }
 }
 
-fn gone(records: &Records, arrivals: &HashMap<&str, Vec<&Arrival>>, breaks: &mut Vec<Break>) {
+fn check_gone(records: &Records, arrivals: &HashMap<&str, Vec<&Arrival>>, violations: &mut Vec<Violation>) {
     for request in &records.requests {
-        let Some(left) = request.left_at else { continue };
-        let due = left + LEFT_US + SLACK_US + MACHINE_US;
-        let came = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
-        for arrival in came.iter().filter(|a| a.timed && a.at > due) {
+        let Some(abandoned_at) = request.abandoned_at else { continue };
+        let due = abandoned_at + ABANDONED_US + SLACK_US + SCHEDULING_DELAY_US;
+        let received = arrivals.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+        for arrival in received.iter().filter(|a| a.read_on_arrival && a.at > due) {
             let what = format!(
-                "n{} {} sent at {} came to {} {} us after its client left at {left}; it waits {:?} ms of {} us",
+                "n{} {} sent at {} reached {} {} us after its client abandoned it at {abandoned_at}; stated timeout {:?} ms of {} us",
                 request.dispatcher,
                 request.id,
                 request.sent_at,
                 arrival.worker,
-                arrival.at - left,
-                arrival.waits_ms,
-                request.waits
+                arrival.at - abandoned_at,
+                arrival.stated_timeout_ms,
+                request.timeout
             );
-            breaks.push(Break { rule: Rule::Gone, at: arrival.at, what });
+            violations.push(Violation { rule: Rule::Gone, at: arrival.at, what });
         }
     }
 }
 
-fn crash(records: &Records, breaks: &mut Vec<Break>) {
-    for outcry in &records.outcries {
-        breaks.push(Break { rule: Rule::Crash, at: 0, what: outcry.clone() });
+fn check_crash(records: &Records, violations: &mut Vec<Violation>) {
+    for error in &records.process_errors {
+        violations.push(Violation { rule: Rule::Crash, at: 0, what: error.clone() });
     }
-    let ours = |p: &&super::record::ProcessRecord| {
+    let by_the_run = |p: &&super::record::ProcessRecord| {
         matches!(p.event, ProcessEvent::Terminated | ProcessEvent::Killed | ProcessEvent::KilledAtStop)
     };
-    for ended in &records.processes {
-        let same = |p: &&super::record::ProcessRecord| {
-            p.dispatcher == ended.dispatcher && p.life == ended.life && p.at <= ended.at
+    for record in &records.processes {
+        let same_process = |p: &&super::record::ProcessRecord| {
+            p.dispatcher == record.dispatcher
+                && p.process_number == record.process_number
+                && p.at <= record.at
         };
-        let what = match ended.event {
+        let what = match record.event {
             ProcessEvent::Ended(code) => {
-                let asked = records.processes.iter().filter(same).any(|p| ours(&p));
-                (!asked || code.is_some_and(|c| c != 0)).then(|| format!("ended with {code:?}"))
+                let signalled = records.processes.iter().filter(same_process).any(|p| by_the_run(&p));
+                (!signalled || code.is_some_and(|c| c != 0)).then(|| format!("ended with {code:?}"))
             }
             ProcessEvent::Ready => {
-                let started = records.processes.iter().filter(same);
+                let started = records.processes.iter().filter(same_process);
                 let started = started.filter(|p| p.event == ProcessEvent::Started).map(|p| p.at).max();
-                let took = ended.at - started.unwrap_or(ended.at);
-                let stopped = paused(records, ended.dispatcher, ended.at - took, ended.at);
-                (took > READY_US + stopped).then(|| format!("was ready after {took} us"))
+                let took = record.at - started.unwrap_or(record.at);
+                let stopped = paused(records, record.dispatcher, record.at - took, record.at);
+                (took > MAX_READY_US + stopped).then(|| format!("was ready after {took} us"))
             }
             _ => None,
         };
         if let Some(what) = what {
-            let what = format!("n{} life {}: {what}", ended.dispatcher, ended.life);
-            breaks.push(Break { rule: Rule::Crash, at: ended.at, what });
+            let what = format!("n{} process {}: {what}", record.dispatcher, record.process_number);
+            violations.push(Violation { rule: Rule::Crash, at: record.at, what });
         }
     }
 }
--- a/crates/rig/src/soak/mod.rs
+++ b/crates/rig/src/soak/mod.rs
@@ -1,8 +1,9 @@
-//! A seeded soak: real dispatchers, stand-ins that misbehave, signals and failing system calls, and a judge over what clients
-//! and workers have recorded.
+//! A seeded soak test: real dispatchers run against faulty stub workers and name services, under signals and failing system
+//! calls, and the records of clients and workers are checked against the platform's rules.
 //!
-//! [`plan::Plan`] is drawn from the seed alone. [`run::play`] plays it. [`judge::judge`] reads the records and knows nothing of
-//! the dispatchers' own words. `examples/soak.rs` is the command.
+//! [`plan::Plan`] is drawn from the seed alone and [`run::play`] executes it. [`judge::judge`] checks the records that clients,
+//! workers and name services have written, without using any dispatcher's own logs, so that a wrong log cannot hide a fault; only
+//! panics are taken from the processes' standard error. `examples/soak.rs` is the command line.
 
 pub mod client;
 pub mod judge;
--- a/crates/rig/src/soak/plan.rs
+++ b/crates/rig/src/soak/plan.rs
@@ -1,151 +1,152 @@
-//! What a run consists of, drawn from its seed alone.
+//! The plan of a soak run: sizes, settings, fault rates and timed events, all drawn from the run's seed and its length alone.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// Dispatchers of a run, at the most.
-pub const MOST_DISPATCHERS: u64 = 40;
-/// The usual length of a run, in milliseconds.
-pub const USUAL_MS: u64 = 12_000;
-/// Nothing begins in the last part of a run, so that all that was begun can end.
-const TAIL_MS: u64 = 5_000;
-/// And nothing before all stand.
-const HEAD_MS: u64 = 500;
+/// The largest number of dispatchers in a run.
+pub const MAX_DISPATCHERS: u64 = 40;
+/// The length of a run unless the command line gives another, in milliseconds.
+pub const DEFAULT_RUN_MS: u64 = 12_000;
+/// No event begins in this last part of a run, so that the effects of earlier events can end.
+const QUIET_TAIL_MS: u64 = 5_000;
+/// No event begins in this first part of a run, so that all processes are up before the first one.
+const QUIET_HEAD_MS: u64 = 500;
 
-/// Something that happens at a moment of a run. Workers and dispatchers are drawn numbers: the run takes them by the
-/// remainder over those that are there.
+/// An event at a set time of a run. The first number selects a worker or dispatcher: the run takes it modulo the number of
+/// those present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A worker is told to drain, and is gone some time later.
+    /// A worker is listed as draining, and is removed some time later.
     Drain(u64),
-    /// A worker is gone from the list and from its address at once.
-    Vanish(u64),
-    /// A worker comes, cold.
+    /// A worker is removed from the list without a drain; it stops listening some time later.
+    Remove(u64),
+    /// A cold worker is added.
     Add,
-    /// A worker comes, cold, at the address of the last one that went.
-    AddAtOldAddress,
-    /// A worker takes all and answers nothing, for so long.
+    /// A cold worker is added at the address of the worker that stopped last.
+    AddAtReusedAddress,
+    /// A worker accepts requests without answering, for this many milliseconds.
     Hang(u64, u64),
-    /// A worker resets all its connections.
+    /// A worker closes all its connections with a reset.
     Reset(u64),
-    /// A worker closes its idle connections.
-    CloseIdle(u64),
-    /// Connections to a worker come up late, for so long.
-    LateConnections(u64, u64),
-    /// A dispatcher is stopped by SIGSTOP for so long.
+    /// A worker shuts down all its connections.
+    CloseConnections(u64),
+    /// A worker delays the establishment of connections, for this many milliseconds.
+    DelayConnections(u64, u64),
+    /// A dispatcher is stopped by SIGSTOP for this many milliseconds.
     Pause(u64, u64),
-    /// A dispatcher reads its configuration again, with a list of long ago under a high number, or with that of now.
+    /// A dispatcher reloads its configuration: with the initial worker list under a high offset (`true`), or with the current list.
     Reload(u64, bool),
-    /// A dispatcher is sent SIGTERM, SIGKILL at the earliest, and is started again.
+    /// A dispatcher is sent SIGTERM, then SIGKILL at the earliest time that a planned stop allows, and is restarted.
     Stop(u64),
-    /// A dispatcher is killed and started again.
+    /// A dispatcher is sent SIGKILL and restarted.
     Kill(u64),
-    /// The name service says nothing for so long.
-    Silence(u64),
+    /// The name services answer nothing for this many milliseconds.
+    SilenceNames(u64),
 }
 
-/// How the name service misbehaves, in parts of a thousand of its answers.
+/// Fault rates of the name service, per thousand answers unless a field says otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceFaults {
-    /// Never sent.
+    /// Answers that are never sent.
     pub lost: u64,
-    /// Sent up to `late_ms` later.
+    /// Answers that are sent up to `late_ms` late.
     pub late: u64,
-    /// See `late`.
+    /// The longest delay of a late answer, in milliseconds.
     pub late_ms: u64,
-    /// Sent twice, the second time later.
+    /// Answers that are sent twice, the second time later.
     pub doubled: u64,
-    /// Sent in half.
+    /// Answers of which only the first half is sent.
     pub cut: u64,
-    /// With an error code.
+    /// Answers with an error code.
     pub error: u64,
-    /// With an older state, under the number that it had then, also of the process before.
+    /// Answers with an older list under the serial number that it had then, which may be one of the previous process.
     pub stale: u64,
-    /// With an id at two addresses.
+    /// Answers that list one id at two addresses.
     pub doubted: u64,
-    /// Draining entries that make each answer larger.
+    /// The number of draining entries added to each answer to make it larger.
     pub padding: usize,
 }
 
-/// A run.
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The seed.
     pub seed: u64,
-    /// How many dispatchers, and workers at the start.
+    /// The number of dispatchers.
     pub dispatchers: usize,
-    /// See `dispatchers`.
+    /// The number of workers at the start.
     pub workers: usize,
-    /// Clients of each dispatcher.
+    /// The number of clients of each dispatcher.
     pub clients: usize,
-    /// Clients more of the first dispatcher: a crowd.
-    pub crowd: usize,
-    /// The time of each class, in milliseconds.
+    /// The number of additional clients of the first dispatcher, which unbalance the load.
+    pub extra_clients: usize,
+    /// The deadline of each class, in milliseconds.
     pub deadlines_ms: [u64; 3],
-    /// Executors' limit on idle connections, in milliseconds.
-    pub keepalive_ms: u64,
-    /// How long a connection may take to come up, in milliseconds.
-    pub connect_ms: u64,
-    /// The name service.
+    /// The dispatchers' limit on idle connections to executors, in milliseconds.
+    pub keep_alive_ms: u64,
+    /// The dispatchers' connect timeout, in milliseconds.
+    pub connect_timeout_ms: u64,
+    /// The fault rates of the name services.
     pub service: ServiceFaults,
-    /// Calls of the system that fail, in parts of a thousand, from and to.
-    pub failing_calls: u64,
-    /// See `failing_calls`.
-    pub failing_ms: (u64, u64),
-    /// A step of the wall clock, and when after a process's start; 0: none.
+    /// How many of a thousand system calls fail.
+    pub failing_calls_per_mille: u64,
+    /// When calls fail, from and to, in milliseconds after a process's start.
+    pub failing_period_ms: (u64, u64),
+    /// The step of the wall clock, in milliseconds; 0 for none.
     pub clock_step_ms: i64,
-    /// See `clock_step_ms`.
+    /// When the wall clock steps, in milliseconds after a process's start.
     pub clock_step_at_ms: u64,
-    /// Folders outlast their process.
-    pub lasting_folder: bool,
-    /// How long the run lasts.
+    /// Whether a dispatcher's state directory outlives its process and serves the next one.
+    pub persistent_state_dir: bool,
+    /// The length of the run, in milliseconds.
     pub length_ms: u64,
-    /// What happens, in order.
+    /// The events and their times in milliseconds, in order of time.
     pub events: Vec<(u64, Event)>,
 }
 
-struct Draw(Pcg32);
+struct SeededDraw(Pcg32);
 
-impl Draw {
-    fn below(&mut self, most: u64) -> u64 {
-        u64::from(self.0.next_u32()) % most.max(1)
+impl SeededDraw {
+    fn below(&mut self, max: u64) -> u64 {
+        u64::from(self.0.next_u32()) % max.max(1)
     }
 
-    fn between(&mut self, least: u64, most: u64) -> u64 {
-        least + self.below(most - least + 1)
+    fn between(&mut self, min: u64, max: u64) -> u64 {
+        min + self.below(max - min + 1)
     }
 
-    fn one_in(&mut self, many: u64) -> bool {
-        self.below(many) == 0
+    fn one_in(&mut self, n: u64) -> bool {
+        self.below(n) == 0
     }
 }
 
 impl Plan {
-    /// The run of a seed, of this length.
+    /// Draws the plan of a run from its seed, for a run of this length. The order of the draws is part of the meaning of a seed:
+    /// a change makes recorded seeds produce other runs.
     pub fn draw(seed: u64, length_ms: u64) -> Plan {
-        let mut draw = Draw(Pcg32::seed_from_u64(seed));
-        let handful = draw.one_in(2);
+        let mut draw = SeededDraw(Pcg32::seed_from_u64(seed));
+        let small_group = draw.one_in(2);
         let dispatchers =
-            if handful { draw.between(1, 6) } else { draw.between(7, MOST_DISPATCHERS) } as usize;
+            if small_group { draw.between(1, 6) } else { draw.between(7, MAX_DISPATCHERS) } as usize;
         let deadlines_ms = [draw.between(500, 2_000), draw.between(500, 2_000), draw.between(500, 2_000)];
         let service = Plan::service(&mut draw);
-        let shim = draw.one_in(2);
+        let calls_fail = draw.one_in(2);
         let steps = [-3_600_000, -5_000, 5_000, 3_600_000];
         let mut plan = Plan {
             seed,
             dispatchers,
             workers: draw.between(3, 8) as usize,
-            clients: if handful { draw.between(2, 6) } else { draw.between(1, 2) } as usize,
-            crowd: if draw.one_in(3) { draw.between(20, 50) as usize } else { 0 },
+            clients: if small_group { draw.between(2, 6) } else { draw.between(1, 2) } as usize,
+            extra_clients: if draw.one_in(3) { draw.between(20, 50) as usize } else { 0 },
             deadlines_ms,
-            keepalive_ms: draw.between(1_500, 15_000),
-            connect_ms: draw.between(100, 1_000),
+            keep_alive_ms: draw.between(1_500, 15_000),
+            connect_timeout_ms: draw.between(100, 1_000),
             service,
-            failing_calls: if shim { draw.between(2, 40) } else { 0 },
-            failing_ms: (500, length_ms),
+            failing_calls_per_mille: if calls_fail { draw.between(2, 40) } else { 0 },
+            failing_period_ms: (500, length_ms),
             clock_step_ms: if draw.one_in(2) { steps[draw.below(4) as usize] } else { 0 },
             clock_step_at_ms: draw.below(length_ms),
-            lasting_folder: draw.one_in(2),
+            persistent_state_dir: draw.one_in(2),
             length_ms,
             events: Vec::new(),
         };
@@ -153,50 +154,50 @@
         plan
     }
 
-    fn service(draw: &mut Draw) -> ServiceFaults {
-        let mut some = |most: u64| if draw.one_in(2) { draw.below(most + 1) } else { 0 };
+    fn service(draw: &mut SeededDraw) -> ServiceFaults {
+        let mut rate_up_to = |max: u64| if draw.one_in(2) { draw.below(max + 1) } else { 0 };
         ServiceFaults {
-            lost: some(300),
-            late: some(500),
-            late_ms: some(2_000),
-            doubled: some(100),
-            cut: some(100),
-            error: some(100),
-            stale: some(60),
-            doubted: some(60),
-            padding: some(120) as usize,
+            lost: rate_up_to(300),
+            late: rate_up_to(500),
+            late_ms: rate_up_to(2_000),
+            doubled: rate_up_to(100),
+            cut: rate_up_to(100),
+            error: rate_up_to(100),
+            stale: rate_up_to(60),
+            doubted: rate_up_to(60),
+            padding: rate_up_to(120) as usize,
         }
     }
 
-    fn events(draw: &mut Draw, length_ms: u64, dispatchers: u64) -> Vec<(u64, Event)> {
+    fn events(draw: &mut SeededDraw, length_ms: u64, dispatchers: u64) -> Vec<(u64, Event)> {
         let count = length_ms / 1_000 + dispatchers / 2 + draw.below(8);
-        let last = length_ms.saturating_sub(TAIL_MS).max(HEAD_MS + 1);
+        let last_ms = length_ms.saturating_sub(QUIET_TAIL_MS).max(QUIET_HEAD_MS + 1);
         let mut events: Vec<(u64, Event)> = Vec::new();
         for _ in 0..count {
-            let at = draw.between(HEAD_MS, last);
-            let who = draw.below(1 << 16);
+            let at_ms = draw.between(QUIET_HEAD_MS, last_ms);
+            let selector = draw.below(1 << 16);
             let event = match draw.below(20) {
-                0..=3 => Event::Drain(who),
-                4 => Event::Vanish(who),
+                0..=3 => Event::Drain(selector),
+                4 => Event::Remove(selector),
                 5..=7 => Event::Add,
-                8 => Event::AddAtOldAddress,
-                9 => Event::Hang(who, draw.between(500, 3_000)),
-                10 => Event::Reset(who),
-                11 => Event::CloseIdle(who),
-                12 => Event::LateConnections(who, draw.between(200, 1_500)),
-                13..=14 => Event::Pause(who, draw.between(100, 2_000)),
-                15 => Event::Reload(who, draw.one_in(2)),
-                16..=17 => Event::Stop(who),
-                18 => Event::Kill(who),
-                _ => Event::Silence(draw.between(300, 2_500)),
+                8 => Event::AddAtReusedAddress,
+                9 => Event::Hang(selector, draw.between(500, 3_000)),
+                10 => Event::Reset(selector),
+                11 => Event::CloseConnections(selector),
+                12 => Event::DelayConnections(selector, draw.between(200, 1_500)),
+                13..=14 => Event::Pause(selector, draw.between(100, 2_000)),
+                15 => Event::Reload(selector, draw.one_in(2)),
+                16..=17 => Event::Stop(selector),
+                18 => Event::Kill(selector),
+                _ => Event::SilenceNames(draw.between(300, 2_500)),
             };
-            events.push((at, event));
-            // Signals come in series too.
+            events.push((at_ms, event));
+            // Signals in quick succession are also tested.
             if matches!(event, Event::Stop(_) | Event::Reload(..) | Event::Pause(..)) && draw.one_in(3) {
-                events.push((at + draw.below(30), Event::Reload(who, draw.one_in(2))));
+                events.push((at_ms + draw.below(30), Event::Reload(selector, draw.one_in(2))));
             }
         }
-        events.sort_by_key(|(at, _)| *at);
+        events.sort_by_key(|(at_ms, _)| *at_ms);
         events
     }
 }
--- a/crates/rig/src/soak/record.rs
+++ b/crates/rig/src/soak/record.rs
@@ -1,10 +1,11 @@
-//! What clients, workers and name services write down while a soak runs: the judge reads nothing else.
+//! The records that clients, workers, name services and the run itself write during a soak. All times come from one clock. The
+//! judge reads nothing else.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// A dispatcher, by its place.
+/// A dispatcher, by its index.
 pub type Dispatcher = usize;
 /// Microseconds since the run began.
 pub type Micros = u64;
@@ -12,19 +13,19 @@
 /// The classes of requests, as the settings of a soak name them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
-    /// May be repeated at will.
+    /// May run any number of times.
     Safe,
-    /// Is dropped by key when it comes again within the repeat window.
+    /// Repeats with the same key are dropped within the repeat window.
     Keyed,
-    /// May run once at most.
+    /// May run at most once.
     Unsafe,
 }
 
 impl Class {
-    /// All of them.
+    /// All classes.
     pub const ALL: [Class; 3] = [Class::Safe, Class::Keyed, Class::Unsafe];
 
-    /// Its name in the settings.
+    /// Returns the name of the class in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Class::Safe => "flow-read",
@@ -33,168 +34,169 @@
         }
     }
 
-    /// The class of that name.
-    pub fn named(name: &str) -> Option<Class> {
+    /// Returns the class with this name.
+    pub fn from_name(name: &str) -> Option<Class> {
         Class::ALL.into_iter().find(|class| class.name() == name)
     }
 }
 
-/// How a request ended for its client.
+/// How a request ended for its client. The names are printed with violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Served with the body that a worker makes of this request.
     Served,
     /// Served with another body.
     ServedWrong,
-    /// Refused: trying again is harmless.
+    /// Refused: the request has not run, so a retry is safe.
     Refused,
-    /// Failed.
+    /// Answered with a failure.
     Failed,
     /// The connection ended without an answer.
     ConnectionEnded,
-    /// No answer came for far longer than the client waits.
+    /// No answer arrived until well after the client's timeout.
     NoAnswer,
-    /// The client had left before.
-    Left,
-    /// It was never taken: no connection stood, or it crossed the end of one and found no other.
-    NotTaken,
+    /// The client abandoned the request before an answer.
+    Abandoned,
+    /// The request was not accepted: there was no connection, or the connection was closed while the request was being sent and
+    /// no other could be opened.
+    NotAccepted,
 }
 
-/// A request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Which dispatcher was asked.
+    /// The dispatcher that the client was connected to.
     pub dispatcher: Dispatcher,
     /// The client's id for it.
     pub id: String,
     /// Its class.
     pub class: Class,
-    /// When its last byte was written, and how long the client waits.
+    /// When its last byte was written.
     pub sent_at: Micros,
-    /// See `sent_at`.
-    pub waits: Micros,
-    /// How and when it ended.
-    pub end: End,
-    /// See `end`.
+    /// The client's timeout.
+    pub timeout: Micros,
+    /// How the request ended.
+    pub end: RequestEnd,
+    /// When the request ended.
     pub ended_at: Micros,
-    /// When the client took it back or closed its connection.
-    pub left_at: Option<Micros>,
-    /// Answers with its number that came.
+    /// When the client cancelled the request or closed its connection.
+    pub abandoned_at: Option<Micros>,
+    /// The number of answers received.
     pub answers: u32,
 }
 
-/// A line that came to a worker.
+/// A line that a worker received.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The worker's id.
     pub worker: String,
     /// The dispatcher that sent it.
     pub dispatcher: Dispatcher,
-    /// The request, if it is one; an order to load has none.
+    /// The id and class of the request; `None` for an order to load a function.
     pub request: Option<(String, Class)>,
-    /// When it was read.
+    /// When the line was read.
     pub at: Micros,
-    /// It surely came then, and had not waited in the system's queue.
-    pub timed: bool,
-    /// How long the dispatcher said that it waits, in milliseconds, which tells when it wrote the line.
-    pub waits_ms: Option<u64>,
-    /// Whether the worker ran it, or may have.
+    /// Whether the line was read as soon as it arrived. If not, it may have waited in the accept queue, and its time proves nothing.
+    pub read_on_arrival: bool,
+    /// The remaining time that the dispatcher stated, in milliseconds, from which the time of writing follows.
+    pub stated_timeout_ms: Option<u64>,
+    /// Whether the worker ran the request or may have run it.
     pub ran: bool,
-    /// The worker had just started and was cold, and when it had started.
+    /// When the worker started, if it started cold.
     pub cold_since: Option<Micros>,
 }
 
-/// An answer that told a dispatcher that a worker drains or is gone.
+/// An answer that listed a worker as draining, or from which a removed worker was absent.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// The dispatcher, and which of its processes, counted from 0.
+pub struct DrainNotice {
+    /// The dispatcher that received the answer.
     pub dispatcher: Dispatcher,
-    /// See `dispatcher`.
-    pub life: usize,
+    /// The dispatcher's process, counted from 0 over its restarts.
+    pub process_number: usize,
     /// The worker.
     pub worker: String,
     /// When the answer was delivered.
     pub at: Micros,
 }
 
-/// What became of a process.
+/// A change in the state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// It is started.
+    /// Started.
     Started,
-    /// It has said that it is ready.
+    /// Reported that it is ready.
     Ready,
-    /// It is stopped by SIGSTOP for so long.
+    /// Stopped by SIGSTOP for this long.
     Paused(Micros),
-    /// It is sent SIGTERM.
+    /// Sent SIGTERM.
     Terminated,
-    /// It is sent SIGKILL without a warning.
+    /// Sent SIGKILL without a SIGTERM before it.
     Killed,
-    /// It is sent SIGKILL at the earliest that a planned stop allows.
+    /// Sent SIGKILL at the earliest time that a planned stop allows.
     KilledAtStop,
-    /// It has ended, and with this code.
+    /// Exited with this code; `None` if a signal ended it.
     Ended(Option<i32>),
 }
 
-/// Something that became of a process.
+/// A timed [`ProcessEvent`].
 #[derive(Clone, Debug)]
 pub struct ProcessRecord {
-    /// The dispatcher, and which of its processes.
+    /// The dispatcher.
     pub dispatcher: Dispatcher,
-    /// See `dispatcher`.
-    pub life: usize,
-    /// When.
+    /// The dispatcher's process, counted from 0 over its restarts.
+    pub process_number: usize,
+    /// When it happened.
     pub at: Micros,
-    /// What.
+    /// What happened.
     pub event: ProcessEvent,
 }
 
-/// All that was recorded.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// By clients.
+    /// Written by clients.
     pub requests: Vec<Request>,
-    /// By workers.
+    /// Written by workers.
     pub arrivals: Vec<Arrival>,
-    /// By name services.
-    pub told: Vec<Told>,
-    /// By the run.
+    /// Written by name services.
+    pub drain_notices: Vec<DrainNotice>,
+    /// Written by the run.
     pub processes: Vec<ProcessRecord>,
-    /// What processes said that none may say, such as a panic.
-    pub outcries: Vec<String>,
-    /// Faults that were put in, by kind.
+    /// Panics in the processes' standard error, and processes that never became ready.
+    pub process_errors: Vec<String>,
+    /// The number of injected faults, by kind.
     pub faults: BTreeMap<&'static str, u64>,
 }
 
-/// Where all write, with one clock.
+/// The shared store of records, with the clock of the run.
 pub struct Recorder {
-    began: Instant,
+    started: Instant,
     records: Mutex<Records>,
 }
 
 impl Default for Recorder {
     fn default() -> Recorder {
-        Recorder { began: Instant::now(), records: Mutex::default() }
+        Recorder { started: Instant::now(), records: Mutex::default() }
     }
 }
 
 impl Recorder {
-    /// The time now.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
-    /// Writes something down.
+    /// Adds to the records.
     pub fn write(&self, change: impl FnOnce(&mut Records)) {
         change(&mut self.records.lock().expect("the records"));
     }
 
-    /// Counts a fault of this kind.
+    /// Counts an injected fault of this kind.
     pub fn fault(&self, kind: &'static str) {
         self.write(|r| *r.faults.entry(kind).or_default() += 1);
     }
 
-    /// All that was written until now.
+    /// Returns a copy of all records so far.
     pub fn records(&self) -> Records {
         self.records.lock().expect("the records").clone()
     }
--- a/crates/rig/src/soak/run.rs
+++ b/crates/rig/src/soak/run.rs
@@ -1,10 +1,12 @@
-//! Plays a plan: processes, stand-ins, signals.
+//! Executes a plan: starts the dispatchers, the stub workers, the name services and the clients, applies the plan's events at
+//! their times, stops everything and has the records judged. One loop on the calling thread applies all events; clients and stubs
+//! run on threads of their own.
 
-use super::client::{self, Lie, Place};
-use super::judge::{self, Break, Limits, Rule};
+use super::client::{self, Endpoint, PlantedRecord};
+use super::judge::{self, Rule, RuleLimits, Violation};
 use super::plan::{Event, Plan};
 use super::record::{Dispatcher, Micros, ProcessEvent, ProcessRecord, Recorder, Records};
-use super::service::{Entry, History, Service};
+use super::service::{Entry, ListHistory, Service};
 use super::worker::{self, Worker};
 use crate::stand::{self, Client, Program, Reply};
 use rustix::process::{Pid, Signal, kill_process};
@@ -18,64 +20,65 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// SIGKILL comes so long after SIGTERM and the longest time of a class, which counts as this at the most.
+/// SIGKILL follows SIGTERM after this and the longest deadline of a class.
 const KILL_AFTER_US: Micros = 700_000;
-const MOST_LONGEST_US: Micros = 3_000_000;
-/// New connections come for so long after SIGTERM.
+/// The upper limit on the longest deadline in that sum.
+const MAX_LONGEST_DEADLINE_US: Micros = 3_000_000;
+/// Clients may open new connections for this long after SIGTERM.
 const CONNECTIONS_AFTER_STOP_US: Micros = 300_000;
-/// A dispatcher stands again so long after its end.
-const RESTART_US: Micros = 300_000;
-/// A worker that drains is gone from the list after so long.
-const DRAIN_LASTS_US: Micros = 2_500_000;
-/// A worker that is gone from the list stands for so long, to see what still comes.
-const STANDS_ON_US: Micros = 2_500_000;
-/// The loop of a run looks this often for what is due.
+/// A dispatcher is restarted this long after its end.
+const RESTART_DELAY_US: Micros = 300_000;
+/// A draining worker is removed from the list after this.
+const DRAIN_DURATION_US: Micros = 2_500_000;
+/// A worker keeps running this long after its removal from the list, to record what is still sent to it.
+const RUNS_AFTER_REMOVAL_US: Micros = 2_500_000;
+/// The interval at which the run's loop checks for due events.
 const TICK: Duration = Duration::from_millis(2);
-/// Workers that a run keeps at the least.
-const LEAST_WORKERS: usize = 2;
-/// A planted fault writes down so many requests for each that comes to a cold worker.
-const PLANTED_LOAD: usize = 100;
-/// How long a process may take to say that it is ready.
-const READY_PATIENCE: Duration = Duration::from_secs(20);
-
-/// What a run starts its processes from.
+/// The number of ready workers that no event may reduce further.
+const MIN_READY_WORKERS: usize = 2;
+/// A planted violation of `failback` records each request to a cold worker this many times.
+const PLANTED_RECORDS_PER_REQUEST: usize = 100;
+/// How long to wait for a process to report that it is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// The files that the processes of a run are started from.
 #[derive(Clone, Debug)]
 pub struct Build {
-    /// The program.
+    /// The dispatcher's executable.
     pub program: PathBuf,
-    /// The library that makes calls of the system fail; without it none does.
+    /// The preloaded library that fails system calls; `None` for no such faults.
     pub shim: Option<PathBuf>,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Outcome {
-    /// What was recorded.
+    /// All records.
     pub records: Records,
-    /// The rules that were broken.
-    pub breaks: Vec<Break>,
-    /// Where the processes' events are.
+    /// The violations that the judge found.
+    pub violations: Vec<Violation>,
+    /// The directory with the processes' standard error.
     pub logs: PathBuf,
 }
 
-/// What is due at a moment, beside the plan's events.
-enum Later {
-    CloseDoor(Dispatcher),
-    KillAtStop(Dispatcher, usize),
+/// An action that an earlier event scheduled.
+enum DeferredAction {
+    RefuseConnections(Dispatcher),
+    KillAfterTerm(Dispatcher, usize),
     Restart(Dispatcher),
-    GoOn(u32),
-    Delist(String),
-    EndWorker(String),
+    Resume(u32),
+    RemoveFromList(String),
+    StopWorker(String),
 }
 
-struct Member {
+struct DispatcherState {
     service: Service,
     program: Option<Program>,
-    life: usize,
-    place: Arc<Mutex<Place>>,
-    folder: Option<PathBuf>,
+    process_number: usize,
+    endpoint: Arc<Mutex<Endpoint>>,
+    state_dir: Option<PathBuf>,
     paused_until: Micros,
-    /// It is being stopped or is about to stand again.
-    busy: bool,
+    /// It is being stopped, started or restarted, so that no event selects it.
+    in_transition: bool,
 }
 
 struct Run {
@@ -83,52 +86,52 @@
     build: Build,
     plant: Option<Rule>,
     recorder: Arc<Recorder>,
-    history: Arc<History>,
+    list_history: Arc<ListHistory>,
     workers: BTreeMap<String, Worker>,
     old_addresses: Vec<SocketAddr>,
     next_worker: usize,
-    members: Vec<Member>,
-    later: Vec<(Micros, Later)>,
-    over: Arc<AtomicBool>,
+    dispatchers: Vec<DispatcherState>,
+    deferred: Vec<(Micros, DeferredAction)>,
+    stopped: Arc<AtomicBool>,
     starting: Vec<(Dispatcher, usize, JoinHandle<bool>)>,
     logs: PathBuf,
 }
 
-/// Plays a plan to its end and judges it; with `plant` a stand-in breaks that rule on purpose.
+/// Executes a plan and judges its records. With `plant` a stub breaks that rule on purpose, to verify that the judge finds it.
 pub fn play(plan: Plan, build: Build, plant: Option<Rule>) -> Outcome {
     let limits = limits(&plan);
     let mut run = Run::set_up(plan, build, plant);
     let clients = run.clients();
-    run.events();
-    run.over.store(true, Ordering::SeqCst);
+    run.apply_events();
+    run.stopped.store(true, Ordering::SeqCst);
     clients.into_iter().for_each(|c| c.join().expect("a client ends"));
     run.finish();
     let mut records = run.recorder.records();
-    records.outcries.extend(outcries(&run.logs));
-    let breaks = judge::judge(&records, limits);
-    Outcome { records, breaks, logs: run.logs.clone() }
+    records.process_errors.extend(panics(&run.logs));
+    let violations = judge::judge(&records, limits);
+    Outcome { records, violations, logs: run.logs.clone() }
 }
 
-fn limits(plan: &Plan) -> Limits {
-    Limits {
+fn limits(plan: &Plan) -> RuleLimits {
+    RuleLimits {
         drain_grace: 250_000,
         repeat_window: plan.deadlines_ms[1] * 1_000,
-        fall_window: 1_500_000,
-        fall_multiple: 2.0,
+        overload_window: 1_500_000,
+        overload_multiple: 2.0,
         cold_share: 0.15,
         warm_after: 6_000_000,
     }
 }
 
-/// Lines of the processes' standard error that none may write.
-fn outcries(logs: &PathBuf) -> Vec<String> {
+/// Returns the panics in the processes' standard error.
+fn panics(logs: &PathBuf) -> Vec<String> {
     let files = std::fs::read_dir(logs).into_iter().flatten().flatten();
     let texts = files.filter_map(|f| Some((f.file_name(), std::fs::read_to_string(f.path()).ok()?)));
-    let panics = |(name, text): (std::ffi::OsString, String)| {
+    let panic_lines = |(name, text): (std::ffi::OsString, String)| {
         let lines = text.lines().filter(|l| l.contains("panicked at"));
         lines.map(|l| format!("{}: {l}", name.display())).collect::<Vec<String>>()
     };
-    texts.flat_map(panics).collect()
+    texts.flat_map(panic_lines).collect()
 }
 
 fn unix_ms() -> u64 {
@@ -141,71 +144,72 @@
         let mut run = Run {
             plant,
             recorder: recorder.clone(),
-            history: Arc::default(),
+            list_history: Arc::default(),
             workers: BTreeMap::new(),
             old_addresses: Vec::new(),
             next_worker: 0,
-            members: Vec::new(),
-            later: Vec::new(),
-            over: Arc::default(),
+            dispatchers: Vec::new(),
+            deferred: Vec::new(),
+            stopped: Arc::default(),
             starting: Vec::new(),
             logs: stand::folder(),
             plan,
             build,
         };
-        let entries = (0..run.plan.workers).map(|_| run.begin_worker(None, false)).collect();
-        run.history = Arc::new(History::new(entries));
+        let entries = (0..run.plan.workers).map(|_| run.start_worker(None, false)).collect();
+        run.list_history = Arc::new(ListHistory::new(entries));
         for n in 0..run.plan.dispatchers {
-            let both = (run.history.clone(), recorder.clone());
-            let lies = run.plant == Some(Rule::Drain);
+            let shared = (run.list_history.clone(), recorder.clone());
+            let false_notices = run.plant == Some(Rule::Drain);
             let seed = run.plan.seed << 8 | n as u64;
-            let service = Service::start(n, run.plan.service, seed, both, lies);
-            let folder = run.plan.lasting_folder.then(stand::folder);
-            let (place, program) = (Arc::default(), None);
-            run.members.push(Member {
+            let service = Service::start(n, run.plan.service, seed, shared, false_notices);
+            let state_dir = run.plan.persistent_state_dir.then(stand::folder);
+            let (endpoint, program) = (Arc::default(), None);
+            run.dispatchers.push(DispatcherState {
                 service,
                 program,
-                life: 0,
-                place,
-                folder,
+                process_number: 0,
+                endpoint,
+                state_dir,
                 paused_until: 0,
-                busy: false,
+                in_transition: false,
             });
             run.start(n);
         }
         while !run.starting.is_empty() {
-            run.see_who_is_ready();
+            run.collect_ready();
             std::thread::sleep(TICK);
         }
         run
     }
 
-    fn begin_worker(&mut self, address: Option<SocketAddr>, cold: bool) -> Entry {
+    fn start_worker(&mut self, address: Option<SocketAddr>, cold: bool) -> Entry {
         let id = format!("s{}", self.next_worker);
         self.next_worker += 1;
-        let make = |address| worker::Make {
+        let settings = |address| worker::WorkerSettings {
             id: id.clone(),
             address,
             cold,
             seed: self.plan.seed << 8 | self.next_worker as u64,
-            copies: match self.plant {
+            records_per_line: match self.plant {
                 Some(Rule::Duplicate) => 2,
-                Some(Rule::Failback) if cold => PLANTED_LOAD,
+                Some(Rule::Failback) if cold => PLANTED_RECORDS_PER_REQUEST,
                 _ => 1,
             },
         };
-        // An old address may have been taken by somebody else since.
-        let worker = Worker::start(make(address), self.recorder.clone());
-        let worker = worker.or_else(|_| Worker::start(make(None), self.recorder.clone())).expect("a worker");
+        // Another process may have taken the old address since.
+        let worker = Worker::start(settings(address), self.recorder.clone());
+        let worker =
+            worker.or_else(|_| Worker::start(settings(None), self.recorder.clone())).expect("a worker");
         let started_ms = if cold { unix_ms() } else { 0 };
         let entry = Entry { id: id.clone(), address: worker.address, draining: false, started_ms };
         self.workers.insert(id, worker);
         entry
     }
 
-    fn note(&self, dispatcher: Dispatcher, life: usize, event: ProcessEvent) {
+    fn record_process(&self, dispatcher: Dispatcher, process_number: usize, event: ProcessEvent) {
         let at = self.recorder.now();
-        self.recorder.write(|r| r.processes.push(ProcessRecord { dispatcher, life, at, event }));
+        self.recorder.write(|r| r.processes.push(ProcessRecord { dispatcher, process_number, at, event }));
     }
 
     fn config(&self, n: Dispatcher, entries: &[Entry], offset: u64) -> Value {
@@ -229,9 +233,9 @@
         let limits = limits(plan);
         json!({
             "name": format!("n{n}"), "listen": "127.0.0.1:0",
-            "seed": format!("{:016x}", plan.seed << 16 | (n as u64) << 8 | self.members[n].life as u64),
+            "seed": format!("{:016x}", plan.seed << 16 | (n as u64) << 8 | self.dispatchers[n].process_number as u64),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
-            "names": self.members[n].service.address.to_string(),
+            "names": self.dispatchers[n].service.address.to_string(),
             "known": {"offset": offset, "batch": [
                 {"offset": offset, "topology": {"generation": 1, "reset": true, "instances": instances}}]},
             "settings": {
@@ -239,10 +243,10 @@
                 "tick_us": 4000, "lanes": lanes,
                 "orgs": [{"name": "acme", "quota_per_s": 10_000.0}],
                 "limits": {"cancel": true, "may_duplicate": plan.seed.is_multiple_of(2), "send_cap": 3, "retry_after": true,
-                           "max_retry_after_us": 200_000, "connect_timeout_us": plan.connect_ms * 1_000,
-                           "keepalive_us": plan.keepalive_ms * 1_000, "streams_per_conn": 32, "max_open": 1000},
-                "rules": {"cold_share": limits.cold_share, "fall_multiple": limits.fall_multiple,
-                          "fall_us": limits.fall_window, "warm_after_us": limits.warm_after,
+                           "max_retry_after_us": 200_000, "connect_timeout_us": plan.connect_timeout_ms * 1_000,
+                           "keepalive_us": plan.keep_alive_ms * 1_000, "streams_per_conn": 32, "max_open": 1000},
+                "rules": {"cold_share": limits.cold_share, "fall_multiple": limits.overload_multiple,
+                          "fall_us": limits.overload_window, "warm_after_us": limits.warm_after,
                           "stop_sending_within_us": limits.drain_grace},
                 "family_info": {"keep_alive_us": 3_000_000, "tells_warm": true, "miss_mode": "load",
                                 "notes_peers_in_hand": true, "orders": true, "load_window_us": 5_000_000,
@@ -250,315 +254,327 @@
     }
 
     fn start(&mut self, n: Dispatcher) {
-        let life = self.members[n].life;
-        let entries = self.members[n].service.begin_life(life);
+        let process_number = self.dispatchers[n].process_number;
+        let entries = self.dispatchers[n].service.start_numbering(process_number);
         let config = self.config(n, &entries, 1);
         let mut command = stand::tied(&self.build.program);
-        let log = File::create(self.logs.join(format!("n{n}-{life}.log"))).expect("a log");
+        let log = File::create(self.logs.join(format!("n{n}-{process_number}.log"))).expect("a log");
         command.arg("run").stderr(log);
         if let Some(shim) = &self.build.shim {
             let plan = &self.plan;
-            let told = format!(
+            let shim_settings = format!(
                 "seed={};per_mille={};from_ms={};to_ms={};step_at_ms={};step_ms={}",
                 plan.seed << 8 | n as u64,
-                plan.failing_calls,
-                plan.failing_ms.0,
-                plan.failing_ms.1,
+                plan.failing_calls_per_mille,
+                plan.failing_period_ms.0,
+                plan.failing_period_ms.1,
                 plan.clock_step_at_ms,
                 plan.clock_step_ms
             );
-            command.env("LD_PRELOAD", shim).env("OCHREWARD_SHIM", told);
+            command.env("LD_PRELOAD", shim).env("OCHREWARD_SHIM", shim_settings);
         }
-        self.note(n, life, ProcessEvent::Started);
-        let folder = self.members[n].folder.clone();
-        let program = match &folder {
-            Some(folder) => Program::launched_in(command, folder, &config),
+        self.record_process(n, process_number, ProcessEvent::Started);
+        let state_dir = self.dispatchers[n].state_dir.clone();
+        let program = match &state_dir {
+            Some(state_dir) => Program::launched_in(command, state_dir, &config),
             None => Program::launched(command, &config),
         };
         let address = program.address;
-        let member = &mut self.members[n];
-        member.program = Some(program);
-        member.busy = true;
-        let ready = std::thread::spawn(move || is_ready(address));
-        self.starting.push((n, life, ready));
+        let dispatcher = &mut self.dispatchers[n];
+        dispatcher.program = Some(program);
+        dispatcher.in_transition = true;
+        let ready = std::thread::spawn(move || wait_until_ready(address));
+        self.starting.push((n, process_number, ready));
     }
 
-    fn see_who_is_ready(&mut self) {
+    fn collect_ready(&mut self) {
         let mut index = 0;
         while index < self.starting.len() {
             if !self.starting[index].2.is_finished() {
                 index += 1;
                 continue;
             }
-            let (n, life, ready) = self.starting.remove(index);
-            let member = &mut self.members[n];
-            if life != member.life {
+            let (n, process_number, ready) = self.starting.remove(index);
+            let dispatcher = &mut self.dispatchers[n];
+            if process_number != dispatcher.process_number {
                 continue;
             }
-            member.busy = false;
+            dispatcher.in_transition = false;
             if ready.join().unwrap_or(false) {
-                let address = member.program.as_ref().map(|p| p.address);
-                *member.place.lock().expect("a place") = Place { address, open: true };
-                self.note(n, life, ProcessEvent::Ready);
+                let address = dispatcher.program.as_ref().map(|p| p.address);
+                *dispatcher.endpoint.lock().expect("the endpoint lock") =
+                    Endpoint { address, accepts_connections: true };
+                self.record_process(n, process_number, ProcessEvent::Ready);
             } else {
-                let outcry = format!("n{n} life {life} was never ready");
-                self.recorder.write(|r| r.outcries.push(outcry));
+                let error = format!("n{n} process {process_number} did not become ready");
+                self.recorder.write(|r| r.process_errors.push(error));
             }
         }
     }
 
     fn clients(&self) -> Vec<JoinHandle<()>> {
         let mut clients = Vec::new();
-        for (n, member) in self.members.iter().enumerate() {
-            let crowd = if n == 0 { self.plan.crowd } else { 0 };
-            for number in 0..(self.plan.clients + crowd) as u64 {
-                let lies = match self.plant {
-                    Some(Rule::Lost) => Some(Lie::Lost),
-                    Some(Rule::Gone) => Some(Lie::Gone),
+        for (n, dispatcher) in self.dispatchers.iter().enumerate() {
+            let extra = if n == 0 { self.plan.extra_clients } else { 0 };
+            for number in 0..(self.plan.clients + extra) as u64 {
+                let planted = match self.plant {
+                    Some(Rule::Lost) => Some(PlantedRecord::Lost),
+                    Some(Rule::Gone) => Some(PlantedRecord::Gone),
                     _ => None,
                 };
                 let seed = self.plan.seed << 20 | (n as u64) << 10 | number;
                 let deadlines_ms = self.plan.deadlines_ms;
-                let make = client::Make { dispatcher: n, number, seed, deadlines_ms, lies };
-                let (place, recorder) = (member.place.clone(), self.recorder.clone());
-                let over = self.over.clone();
-                clients.push(std::thread::spawn(move || client::ask(make, place, recorder, &over)));
+                let settings = client::ClientSettings { dispatcher: n, number, seed, deadlines_ms, planted };
+                let (endpoint, recorder) = (dispatcher.endpoint.clone(), self.recorder.clone());
+                let stopped = self.stopped.clone();
+                clients.push(std::thread::spawn(move || client::run(settings, endpoint, recorder, &stopped)));
             }
         }
         clients
     }
 
-    fn events(&mut self) {
-        let began = self.recorder.now();
+    fn apply_events(&mut self) {
+        let started = self.recorder.now();
         let mut events = std::mem::take(&mut self.plan.events).into_iter().peekable();
-        while self.recorder.now() < began + self.plan.length_ms * 1_000 {
+        while self.recorder.now() < started + self.plan.length_ms * 1_000 {
             let now = self.recorder.now();
-            while let Some((_, event)) = events.next_if(|(at, _)| began + at * 1_000 <= now) {
-                self.happen(event);
+            while let Some((_, event)) = events.next_if(|(at, _)| started + at * 1_000 <= now) {
+                self.apply_event(event);
             }
-            self.do_what_is_due(now);
-            self.see_who_is_ready();
-            self.look_for_ends();
+            self.run_due_actions(now);
+            self.collect_ready();
+            self.detect_exits();
             std::thread::sleep(TICK);
         }
     }
 
-    fn do_what_is_due(&mut self, now: Micros) {
+    fn run_due_actions(&mut self, now: Micros) {
         let mut index = 0;
-        while index < self.later.len() {
-            if self.later[index].0 > now {
+        while index < self.deferred.len() {
+            if self.deferred[index].0 > now {
                 index += 1;
                 continue;
             }
-            let (_, later) = self.later.swap_remove(index);
-            self.do_later(later);
+            let (_, deferred) = self.deferred.swap_remove(index);
+            self.run_deferred(deferred);
         }
     }
 
-    fn after(&mut self, time: Micros, later: Later) {
-        self.later.push((self.recorder.now() + time, later));
+    fn schedule(&mut self, time: Micros, deferred: DeferredAction) {
+        self.deferred.push((self.recorder.now() + time, deferred));
     }
 
-    fn do_later(&mut self, later: Later) {
-        match later {
-            Later::CloseDoor(n) => self.members[n].place.lock().expect("a place").open = false,
-            Later::KillAtStop(n, life) => self.kill_at_stop(n, life),
-            Later::Restart(n) => {
-                self.members[n].life += 1;
+    fn run_deferred(&mut self, deferred: DeferredAction) {
+        match deferred {
+            DeferredAction::RefuseConnections(n) => {
+                self.dispatchers[n].endpoint.lock().expect("the endpoint lock").accepts_connections = false
+            }
+            DeferredAction::KillAfterTerm(n, process_number) => self.kill_after_term(n, process_number),
+            DeferredAction::Restart(n) => {
+                self.dispatchers[n].process_number += 1;
                 self.start(n);
             }
-            Later::GoOn(pid) => signal(pid, Signal::CONT),
-            Later::Delist(id) => {
-                self.history.change(|entries| entries.retain(|e| e.id != id));
-                self.after(STANDS_ON_US, Later::EndWorker(id));
+            DeferredAction::Resume(pid) => signal(pid, Signal::CONT),
+            DeferredAction::RemoveFromList(id) => {
+                self.list_history.change(|entries| entries.retain(|e| e.id != id));
+                self.schedule(RUNS_AFTER_REMOVAL_US, DeferredAction::StopWorker(id));
             }
-            Later::EndWorker(id) => {
+            DeferredAction::StopWorker(id) => {
                 if let Some(mut worker) = self.workers.remove(&id) {
-                    worker.end();
+                    worker.stop();
                     self.old_addresses.push(worker.address);
                 }
             }
         }
     }
 
-    /// A worker that is listed as ready, by a drawn number, if enough are left.
-    fn ready_worker(&self, who: u64) -> Option<String> {
-        let (_, entries) = self.history.now();
+    /// Selects a worker that is listed as ready; `None` if too few would be left.
+    fn ready_worker(&self, selector: u64) -> Option<String> {
+        let (_, entries) = self.list_history.now();
         let ready: Vec<&Entry> = entries.iter().filter(|e| !e.draining).collect();
-        (ready.len() > LEAST_WORKERS).then(|| ready[who as usize % ready.len()].id.clone())
+        (ready.len() > MIN_READY_WORKERS).then(|| ready[selector as usize % ready.len()].id.clone())
     }
 
-    /// A worker that stands, by a drawn number.
-    fn standing_worker(&self, who: u64) -> Option<&Worker> {
-        self.workers.values().nth(who as usize % self.workers.len().max(1))
+    /// Selects a running worker, listed or not.
+    fn running_worker(&self, selector: u64) -> Option<&Worker> {
+        self.workers.values().nth(selector as usize % self.workers.len().max(1))
     }
 
-    /// A dispatcher that serves and is neither stopped nor started, by a drawn number.
-    fn serving(&self, who: u64) -> Option<Dispatcher> {
-        let n = who as usize % self.members.len();
-        let member = &self.members[n];
-        let stands = !member.busy && member.program.is_some() && self.recorder.now() > member.paused_until;
-        stands.then_some(n)
+    /// Selects a dispatcher; `None` if it is paused, stopping or starting.
+    fn serving_dispatcher(&self, selector: u64) -> Option<Dispatcher> {
+        let n = selector as usize % self.dispatchers.len();
+        let dispatcher = &self.dispatchers[n];
+        let selectable = !dispatcher.in_transition
+            && dispatcher.program.is_some()
+            && self.recorder.now() > dispatcher.paused_until;
+        selectable.then_some(n)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         let now = self.recorder.now();
         match event {
-            Event::Drain(who) => {
-                let Some(id) = self.ready_worker(who) else { return };
+            Event::Drain(selector) => {
+                let Some(id) = self.ready_worker(selector) else { return };
                 self.recorder.fault("worker drains");
-                self.history.change(|entries| {
+                self.list_history.change(|entries| {
                     entries.iter_mut().filter(|e| e.id == id).for_each(|e| e.draining = true);
                 });
-                self.after(DRAIN_LASTS_US, Later::Delist(id));
+                self.schedule(DRAIN_DURATION_US, DeferredAction::RemoveFromList(id));
             }
-            Event::Vanish(who) => {
-                let Some(id) = self.ready_worker(who) else { return };
-                self.recorder.fault("worker vanishes");
-                self.do_later(Later::Delist(id));
+            Event::Remove(selector) => {
+                let Some(id) = self.ready_worker(selector) else { return };
+                self.recorder.fault("worker removed without drain");
+                self.run_deferred(DeferredAction::RemoveFromList(id));
             }
             Event::Add => self.add_worker(None),
-            Event::AddAtOldAddress => {
+            Event::AddAtReusedAddress => {
                 let old = self.old_addresses.pop();
                 self.add_worker(old);
             }
-            Event::Hang(who, ms) => {
+            Event::Hang(selector, ms) => {
                 self.recorder.fault("worker hangs");
-                self.standing_worker(who).into_iter().for_each(|w| w.hang(now + ms * 1_000));
+                self.running_worker(selector).into_iter().for_each(|w| w.hang(now + ms * 1_000));
             }
-            Event::Reset(who) => {
+            Event::Reset(selector) => {
                 self.recorder.fault("worker resets connections");
-                self.standing_worker(who).into_iter().for_each(Worker::reset);
+                self.running_worker(selector).into_iter().for_each(Worker::reset);
             }
-            Event::CloseIdle(who) => {
+            Event::CloseConnections(selector) => {
                 self.recorder.fault("worker closes connections");
-                self.standing_worker(who).into_iter().for_each(Worker::close);
+                self.running_worker(selector).into_iter().for_each(Worker::close);
             }
-            Event::LateConnections(who, ms) => {
-                self.recorder.fault("connections up late");
-                self.standing_worker(who).into_iter().for_each(|w| w.late_connections(now + ms * 1_000));
+            Event::DelayConnections(selector, ms) => {
+                self.recorder.fault("connections delayed");
+                self.running_worker(selector).into_iter().for_each(|w| w.delay_connections(now + ms * 1_000));
             }
-            Event::Pause(who, ms) => self.pause(who, ms * 1_000),
-            Event::Reload(who, of_long_ago) => self.reload(who, of_long_ago),
-            Event::Stop(who) => self.stop(who),
-            Event::Kill(who) => self.kill(who),
-            Event::Silence(ms) => {
+            Event::Pause(selector, ms) => self.pause(selector, ms * 1_000),
+            Event::Reload(selector, initial_list) => self.reload(selector, initial_list),
+            Event::Stop(selector) => self.stop(selector),
+            Event::Kill(selector) => self.kill(selector),
+            Event::SilenceNames(ms) => {
                 self.recorder.fault("name service silent");
-                self.members.iter().for_each(|m| m.service.silence(now + ms * 1_000));
+                self.dispatchers.iter().for_each(|m| m.service.silence_until(now + ms * 1_000));
             }
         }
     }
 
     fn add_worker(&mut self, address: Option<SocketAddr>) {
-        self.recorder.fault(if address.is_some() { "worker at an old address" } else { "worker comes" });
-        let entry = self.begin_worker(address, true);
-        self.history.change(|entries| entries.push(entry));
+        self.recorder.fault(if address.is_some() {
+            "worker added at an old address"
+        } else {
+            "worker added"
+        });
+        let entry = self.start_worker(address, true);
+        self.list_history.change(|entries| entries.push(entry));
     }
 
-    fn pause(&mut self, who: u64, time: Micros) {
-        let Some(n) = self.serving(who) else { return };
-        let Some(pid) = self.members[n].program.as_ref().map(|p| p.child.id()) else { return };
+    fn pause(&mut self, selector: u64, time: Micros) {
+        let Some(n) = self.serving_dispatcher(selector) else { return };
+        let Some(pid) = self.dispatchers[n].program.as_ref().map(|p| p.child.id()) else { return };
         self.recorder.fault("SIGSTOP");
-        self.members[n].paused_until = self.recorder.now() + time;
-        self.note(n, self.members[n].life, ProcessEvent::Paused(time));
+        self.dispatchers[n].paused_until = self.recorder.now() + time;
+        self.record_process(n, self.dispatchers[n].process_number, ProcessEvent::Paused(time));
         signal(pid, Signal::STOP);
-        self.after(time, Later::GoOn(pid));
+        self.schedule(time, DeferredAction::Resume(pid));
     }
 
-    fn reload(&mut self, who: u64, of_long_ago: bool) {
-        let n = who as usize % self.members.len();
-        let (_, now) = self.history.now();
-        let entries = if of_long_ago { self.history.version(0) } else { now };
-        let offset = if of_long_ago { 1_000 } else { 1 };
+    fn reload(&mut self, selector: u64, initial_list: bool) {
+        let n = selector as usize % self.dispatchers.len();
+        let (_, now) = self.list_history.now();
+        let entries = if initial_list { self.list_history.version(0) } else { now };
+        let offset = if initial_list { 1_000 } else { 1 };
         let config = self.config(n, &entries, offset);
-        let Some(program) = &self.members[n].program else { return };
+        let Some(program) = &self.dispatchers[n].program else { return };
         if std::fs::write(&program.path, config.to_string()).is_ok() {
-            self.recorder.fault(if of_long_ago { "SIGHUP, an old list" } else { "SIGHUP" });
+            self.recorder.fault(if initial_list { "SIGHUP, an old list" } else { "SIGHUP" });
             signal(program.child.id(), Signal::HUP);
         }
     }
 
-    fn stop(&mut self, who: u64) {
-        let Some(n) = self.serving(who) else { return };
-        let Some(pid) = self.members[n].program.as_ref().map(|p| p.child.id()) else { return };
+    fn stop(&mut self, selector: u64) {
+        let Some(n) = self.serving_dispatcher(selector) else { return };
+        let Some(pid) = self.dispatchers[n].program.as_ref().map(|p| p.child.id()) else { return };
         self.recorder.fault("SIGTERM");
-        let life = self.members[n].life;
-        self.members[n].busy = true;
-        self.note(n, life, ProcessEvent::Terminated);
+        let process_number = self.dispatchers[n].process_number;
+        self.dispatchers[n].in_transition = true;
+        self.record_process(n, process_number, ProcessEvent::Terminated);
         signal(pid, Signal::TERM);
-        let longest = self.plan.deadlines_ms.iter().max().copied().unwrap_or_default() * 1_000;
-        self.after(CONNECTIONS_AFTER_STOP_US, Later::CloseDoor(n));
-        self.after(longest.min(MOST_LONGEST_US) + KILL_AFTER_US, Later::KillAtStop(n, life));
+        let longest_deadline = self.plan.deadlines_ms.iter().max().copied().unwrap_or_default() * 1_000;
+        self.schedule(CONNECTIONS_AFTER_STOP_US, DeferredAction::RefuseConnections(n));
+        self.schedule(
+            longest_deadline.min(MAX_LONGEST_DEADLINE_US) + KILL_AFTER_US,
+            DeferredAction::KillAfterTerm(n, process_number),
+        );
     }
 
-    fn kill_at_stop(&mut self, n: Dispatcher, life: usize) {
-        let Some(mut program) = self.members[n].program.take() else { return };
+    fn kill_after_term(&mut self, n: Dispatcher, process_number: usize) {
+        let Some(mut program) = self.dispatchers[n].program.take() else { return };
         match program.child.try_wait() {
-            Ok(Some(status)) => self.note(n, life, ProcessEvent::Ended(status.code())),
+            Ok(Some(status)) => self.record_process(n, process_number, ProcessEvent::Ended(status.code())),
             _ => {
-                self.recorder.fault("SIGKILL at the earliest");
-                self.note(n, life, ProcessEvent::KilledAtStop);
+                self.recorder.fault("SIGKILL at the stop deadline");
+                self.record_process(n, process_number, ProcessEvent::KilledAtStop);
                 program.kill();
             }
         }
-        self.members[n].place.lock().expect("a place").address = None;
-        self.after(RESTART_US, Later::Restart(n));
+        self.dispatchers[n].endpoint.lock().expect("the endpoint lock").address = None;
+        self.schedule(RESTART_DELAY_US, DeferredAction::Restart(n));
     }
 
-    fn kill(&mut self, who: u64) {
-        let Some(n) = self.serving(who) else { return };
-        let Some(program) = self.members[n].program.take() else { return };
+    fn kill(&mut self, selector: u64) {
+        let Some(n) = self.serving_dispatcher(selector) else { return };
+        let Some(program) = self.dispatchers[n].program.take() else { return };
         self.recorder.fault("SIGKILL");
-        self.members[n].busy = true;
-        self.note(n, self.members[n].life, ProcessEvent::Killed);
+        self.dispatchers[n].in_transition = true;
+        self.record_process(n, self.dispatchers[n].process_number, ProcessEvent::Killed);
         program.kill();
-        *self.members[n].place.lock().expect("a place") = Place::default();
-        self.after(RESTART_US, Later::Restart(n));
+        *self.dispatchers[n].endpoint.lock().expect("the endpoint lock") = Endpoint::default();
+        self.schedule(RESTART_DELAY_US, DeferredAction::Restart(n));
     }
 
-    /// A process that has ended without a signal of ours.
-    fn look_for_ends(&mut self) {
+    /// Records processes that ended without a signal of the run, and schedules their restart.
+    fn detect_exits(&mut self) {
         if self.plant == Some(Rule::Crash) {
             self.plant = None;
-            let pid = self.members[0].program.as_ref().map(|p| p.child.id());
+            let pid = self.dispatchers[0].program.as_ref().map(|p| p.child.id());
             pid.into_iter().for_each(|pid| signal(pid, Signal::KILL));
         }
-        for n in 0..self.members.len() {
-            let member = &mut self.members[n];
-            if member.busy {
+        for n in 0..self.dispatchers.len() {
+            let dispatcher = &mut self.dispatchers[n];
+            if dispatcher.in_transition {
                 continue;
             }
-            let ended = member.program.as_mut().and_then(|p| p.child.try_wait().ok().flatten());
+            let ended = dispatcher.program.as_mut().and_then(|p| p.child.try_wait().ok().flatten());
             if let Some(status) = ended {
-                let life = member.life;
-                member.program = None;
-                member.busy = true;
-                *member.place.lock().expect("a place") = Place::default();
-                self.note(n, life, ProcessEvent::Ended(status.code()));
-                self.after(RESTART_US, Later::Restart(n));
+                let process_number = dispatcher.process_number;
+                dispatcher.program = None;
+                dispatcher.in_transition = true;
+                *dispatcher.endpoint.lock().expect("the endpoint lock") = Endpoint::default();
+                self.record_process(n, process_number, ProcessEvent::Ended(status.code()));
+                self.schedule(RESTART_DELAY_US, DeferredAction::Restart(n));
             }
         }
     }
 
-    /// Ends all processes as a planned stop does.
+    /// Stops all processes by SIGTERM and waits as long as a planned stop allows.
     fn finish(&mut self) {
-        for (_, later) in std::mem::take(&mut self.later) {
-            if let Later::GoOn(pid) = later {
+        for (_, deferred) in std::mem::take(&mut self.deferred) {
+            if let DeferredAction::Resume(pid) = deferred {
                 signal(pid, Signal::CONT);
             }
         }
-        for n in 0..self.members.len() {
-            let life = self.members[n].life;
-            let Some(program) = &self.members[n].program else { continue };
+        for n in 0..self.dispatchers.len() {
+            let process_number = self.dispatchers[n].process_number;
+            let Some(program) = &self.dispatchers[n].program else { continue };
             let pid = program.child.id();
-            self.note(n, life, ProcessEvent::Terminated);
+            self.record_process(n, process_number, ProcessEvent::Terminated);
             signal(pid, Signal::TERM);
         }
-        let longest = self.plan.deadlines_ms.iter().max().copied().unwrap_or_default() * 1_000;
-        let until = self.recorder.now() + longest + KILL_AFTER_US;
-        for n in 0..self.members.len() {
-            let life = self.members[n].life;
-            let Some(mut program) = self.members[n].program.take() else { continue };
+        let longest_deadline = self.plan.deadlines_ms.iter().max().copied().unwrap_or_default() * 1_000;
+        let until = self.recorder.now() + longest_deadline + KILL_AFTER_US;
+        for n in 0..self.dispatchers.len() {
+            let process_number = self.dispatchers[n].process_number;
+            let Some(mut program) = self.dispatchers[n].program.take() else { continue };
             let ended = loop {
                 if let Ok(Some(status)) = program.child.try_wait() {
                     break Some(status.code());
@@ -569,7 +585,7 @@
                 std::thread::sleep(TICK);
             };
             match ended {
-                Some(code) => self.note(n, life, ProcessEvent::Ended(code)),
+                Some(code) => self.record_process(n, process_number, ProcessEvent::Ended(code)),
                 None => program.kill(),
             }
         }
@@ -582,10 +598,10 @@
     }
 }
 
-/// Asks a process whether it is well until it says yes.
-fn is_ready(address: SocketAddr) -> bool {
-    let began = std::time::Instant::now();
-    while began.elapsed() < READY_PATIENCE {
+/// Polls a process's health check until it reports ready; returns false after the timeout.
+fn wait_until_ready(address: SocketAddr) -> bool {
+    let started = std::time::Instant::now();
+    while started.elapsed() < READY_TIMEOUT {
         if let Ok(mut client) = Client::try_connect(address)
             && client.stream.set_read_timeout(Some(Duration::from_secs(3))).is_ok()
             && client.try_other("isWell", 1).is_ok()
--- a/crates/rig/src/soak/service.rs
+++ b/crates/rig/src/soak/service.rs
@@ -1,8 +1,10 @@
-//! The name service of one dispatcher: the list that all share, numbered anew for each process, told with faults.
+//! The stub name service of one dispatcher. All services answer from one shared list of workers; each numbers its versions anew
+//! for each process of its dispatcher, and injects the faults of the plan into its answers over UDP. It records when an answer
+//! tells the process that a worker drains or has been removed.
 
 use super::plan::ServiceFaults;
-use super::record::{Dispatcher, Micros, Recorder, Told};
-use crate::relay::both;
+use super::record::{Dispatcher, DrainNotice, Micros, Recorder};
+use crate::relay::bind_udp_and_tcp;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -13,39 +15,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How often the thread of a service looks for what is due.
+/// The longest wait of the service's thread before it sends the answers that are due.
 const TICK: Duration = Duration::from_millis(2);
-/// A message over UDP holds this much at the most; what is longer is cut off and says so.
-const MOST_DATAGRAM: usize = 60_000;
-/// How far back a state lies that is told late, in versions.
-const MOST_STALE: u64 = 4;
+/// The largest answer sent over UDP, in bytes; a longer one is truncated.
+const MAX_DATAGRAM_BYTES: usize = 60_000;
+/// The greatest age of a stale list, in versions.
+const MAX_STALE_VERSIONS: u64 = 4;
 
-/// A worker as the list names it.
+/// A worker's entry in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// Its id.
     pub id: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// It drains.
+    /// Whether it is draining.
     pub draining: bool,
-    /// When it started, in Unix milliseconds; 0: long ago.
+    /// When it started, in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
 }
 
-/// The list through time; version 0 is that of the start.
+/// All versions of the list; version 0 is the initial one.
 #[derive(Default)]
-pub struct History {
+pub struct ListHistory {
     versions: Mutex<Vec<Vec<Entry>>>,
 }
 
-impl History {
-    /// A list that was this at the start.
-    pub fn new(entries: Vec<Entry>) -> History {
-        History { versions: Mutex::new(vec![entries]) }
+impl ListHistory {
+    /// Returns a history with this initial list.
+    pub fn new(entries: Vec<Entry>) -> ListHistory {
+        ListHistory { versions: Mutex::new(vec![entries]) }
     }
 
-    /// Changes the list: a new version.
+    /// Appends a changed copy of the list as a new version.
     pub fn change(&self, change: impl FnOnce(&mut Vec<Entry>)) {
         let mut versions = self.versions.lock().expect("the list");
         let mut next = versions.last().cloned().unwrap_or_default();
@@ -53,20 +55,20 @@
         versions.push(next);
     }
 
-    /// The number of the version of now, and its entries.
+    /// Returns the number of the current version and its entries.
     pub fn now(&self) -> (u64, Vec<Entry>) {
         let versions = self.versions.lock().expect("the list");
         (versions.len() as u64 - 1, versions.last().cloned().unwrap_or_default())
     }
 
-    /// The entries of a version.
-    pub fn version(&self, number: u64) -> Vec<Entry> {
+    /// Returns the entries of a version.
+    pub fn version(&self, process_number: u64) -> Vec<Entry> {
         let versions = self.versions.lock().expect("the list");
-        versions.get(number as usize).cloned().unwrap_or_default()
+        versions.get(process_number as usize).cloned().unwrap_or_default()
     }
 
-    /// Ids that were in a version from `from` on and are not in this one.
-    fn gone_since(&self, from: u64, entries: &[Entry]) -> Vec<String> {
+    /// Returns the ids that are in any version from `from` on and not among these entries.
+    fn removed_since(&self, from: u64, entries: &[Entry]) -> Vec<String> {
         let versions = self.versions.lock().expect("the list");
         let present: BTreeSet<&str> = entries.iter().map(|e| e.id.as_str()).collect();
         let seen: BTreeSet<&str> =
@@ -75,45 +77,48 @@
     }
 }
 
-/// The numbering of a process: its start's version is event 1.
+/// The serial numbers that a process sees: the version current at its start has serial number 1.
 #[derive(Clone, Copy, Debug, Default)]
-struct Life {
-    number: usize,
+struct Numbering {
+    process_number: usize,
     first_version: u64,
 }
 
-/// An answer on its way: when it is due, its bytes, to whom, and what it tells to be draining or gone.
-type Due = Reverse<(Micros, u64, Vec<u8>, SocketAddr, usize, Vec<String>)>;
+/// A delayed answer: when it is due, its order number, its bytes, the address it goes to, the process it was made for, and the
+/// workers that it shows to be draining or removed.
+type DelayedAnswer = Reverse<(Micros, u64, Vec<u8>, SocketAddr, usize, Vec<String>)>;
 
 struct Shared {
     dispatcher: Dispatcher,
     faults: ServiceFaults,
-    history: Arc<History>,
+    history: Arc<ListHistory>,
     recorder: Arc<Recorder>,
-    life: Mutex<(Life, Life)>,
+    /// The numberings of the current process and of the one before it.
+    numberings: Mutex<(Numbering, Numbering)>,
     silent_until: AtomicU64,
-    over: AtomicBool,
-    /// Tells processes nothing, and claims that it did: a planted fault.
-    lies: bool,
+    stopped: AtomicBool,
+    /// Whether it records drain notices that it never sent: a planted fault.
+    false_notices: bool,
 }
 
-/// A name service.
+/// A running stub name service.
 pub struct Service {
-    /// Where it is asked.
+    /// Its address, over UDP and TCP.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Service {
-    /// The service of a dispatcher. One that lies claims a drain that it never told, which a judge must find.
+    /// Starts the service of a dispatcher. With `false_notices` it records drains that it never announced, so that the judge must
+    /// find a violation.
     pub fn start(
         dispatcher: Dispatcher,
         faults: ServiceFaults,
         seed: u64,
-        (history, recorder): (Arc<History>, Arc<Recorder>),
-        lies: bool,
+        (history, recorder): (Arc<ListHistory>, Arc<Recorder>),
+        false_notices: bool,
     ) -> Service {
-        let (socket, listener) = both();
+        let (socket, listener) = bind_udp_and_tcp();
         socket.set_read_timeout(Some(TICK)).expect("a time-out");
         let address = socket.local_addr().expect("an address");
         let shared = Arc::new(Shared {
@@ -121,68 +126,72 @@
             faults,
             history,
             recorder,
-            life: Mutex::default(),
+            numberings: Mutex::default(),
             silent_until: AtomicU64::new(0),
-            over: AtomicBool::new(false),
-            lies,
+            stopped: AtomicBool::new(false),
+            false_notices,
         });
-        let (asked, streams) = (shared.clone(), shared.clone());
-        std::thread::spawn(move || asked.serve(&socket, seed));
-        std::thread::spawn(move || streams.serve_streams(&listener));
+        let (udp, tcp) = (shared.clone(), shared.clone());
+        std::thread::spawn(move || udp.serve(&socket, seed));
+        std::thread::spawn(move || tcp.serve_streams(&listener));
         Service { address, shared }
     }
 
-    /// A process begins: the version of now is event 1 of its numbering. What it is told by its configuration.
-    pub fn begin_life(&self, number: usize) -> Vec<Entry> {
+    /// Starts the numbering of a new process, in which the current version has serial number 1, and returns the list for its
+    /// configuration.
+    pub fn start_numbering(&self, process_number: usize) -> Vec<Entry> {
         let (version, entries) = self.shared.history.now();
-        let mut life = self.shared.life.lock().expect("the numbering");
-        life.1 = life.0;
-        life.0 = Life { number, first_version: version };
-        // Its configuration tells it what drains, and what is gone.
-        let drains = entries.iter().filter(|e| e.draining).map(|e| e.id.clone());
-        let gone = self.shared.history.gone_since(0, &entries);
-        self.shared.tell(number, drains.chain(gone).collect());
+        let mut numberings = self.shared.numberings.lock().expect("the numbering");
+        numberings.1 = numberings.0;
+        numberings.0 = Numbering { process_number, first_version: version };
+        // The configuration shows which workers are draining and which are absent.
+        let draining_or_removed = entries.iter().filter(|e| e.draining).map(|e| e.id.clone());
+        let gone = self.shared.history.removed_since(0, &entries);
+        self.shared.record_notices(process_number, draining_or_removed.chain(gone).collect());
         entries
     }
 
-    /// Says nothing until then.
-    pub fn silence(&self, until: Micros) {
+    /// Answers no query until this time.
+    pub fn silence_until(&self, until: Micros) {
         self.shared.silent_until.fetch_max(until, Ordering::SeqCst);
     }
 }
 
 impl Drop for Service {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        // The listener wakes and ends.
+        self.shared.stopped.store(true, Ordering::SeqCst);
+        // The connection wakes the listener, which then ends.
         let _ = std::net::TcpStream::connect(self.address);
     }
 }
 
-/// An answer as it is sent, and the workers that it tells to be draining or gone.
+/// An answer, and the workers that it shows to be draining or removed.
 struct Answer {
     bytes: Vec<u8>,
-    drains: Vec<String>,
+    draining_or_removed: Vec<String>,
 }
 
 impl Shared {
     fn serve(&self, socket: &UdpSocket, seed: u64) {
-        let mut random = Pcg32::seed_from_u64(seed);
-        let (mut waiting, mut count) = (BinaryHeap::<Due>::new(), 0u64);
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let (mut delayed, mut answer_count) = (BinaryHeap::<DelayedAnswer>::new(), 0u64);
         let mut query = [0; 512];
-        while !self.over.load(Ordering::SeqCst) {
+        while !self.stopped.load(Ordering::SeqCst) {
             if let Ok((size, from)) = socket.recv_from(&mut query) {
-                count += 1;
-                self.answer(&query[..size], from, &mut random, count, &mut waiting);
+                answer_count += 1;
+                self.answer(&query[..size], from, &mut rng, answer_count, &mut delayed);
             }
             let now = self.recorder.now();
-            while waiting.peek().is_some_and(|next| next.0.0 <= now) {
-                let Some(Reverse((_, _, bytes, to, life, drains))) = waiting.pop() else { break };
+            while delayed.peek().is_some_and(|next| next.0.0 <= now) {
+                let Some(Reverse((_, _, bytes, to, process_number, draining_or_removed))) = delayed.pop()
+                else {
+                    break;
+                };
                 if now < self.silent_until.load(Ordering::SeqCst) {
                     continue;
                 }
                 let _ = socket.send_to(&bytes, to);
-                self.tell(life, drains);
+                self.record_notices(process_number, draining_or_removed);
             }
         }
     }
@@ -191,87 +200,104 @@
         &self,
         query: &[u8],
         from: SocketAddr,
-        random: &mut Pcg32,
-        count: u64,
-        waiting: &mut BinaryHeap<Due>,
+        rng: &mut Pcg32,
+        answer_count: u64,
+        delayed: &mut BinaryHeap<DelayedAnswer>,
     ) {
         let now = self.recorder.now();
         if now < self.silent_until.load(Ordering::SeqCst) {
             return;
         }
         let faults = self.faults;
-        let mut happens = |per_mille: u64, kind: &'static str| {
-            let happens = u64::from(random.next_u32()) % 1_000 < per_mille;
-            if happens {
+        let mut inject = |per_mille: u64, kind: &'static str| {
+            let inject = u64::from(rng.next_u32()) % 1_000 < per_mille;
+            if inject {
                 self.recorder.fault(kind);
             }
-            happens
+            inject
         };
-        if happens(faults.lost, "answer lost") {
+        if inject(faults.lost, "answer lost") {
             return;
         }
-        let (stale, cut) = (happens(faults.stale, "answer stale"), happens(faults.cut, "answer cut"));
-        let (error, doubted) =
-            (happens(faults.error, "answer error"), happens(faults.doubted, "answer doubted"));
-        let (late, doubled) =
-            (happens(faults.late, "answer late"), happens(faults.doubled, "answer doubled"));
-        let mut delay = || u64::from(random.next_u32()) % (faults.late_ms + 1) * 1_000;
-        let (first, second) = (if late { delay() } else { 0 }, delay());
-        let back = 1 + u64::from(random.next_u32()) % MOST_STALE;
-        let life = self.life.lock().expect("the numbering").0.number;
-        let mut answer = self.compose(query, if stale { back } else { 0 }, doubted);
+        let (stale, cut) = (inject(faults.stale, "answer stale"), inject(faults.cut, "answer cut"));
+        let (error, duplicate_id) = (
+            inject(faults.error, "answer error"),
+            inject(faults.doubted, "answer with an id at two addresses"),
+        );
+        let (late, doubled) = (inject(faults.late, "answer late"), inject(faults.doubled, "answer doubled"));
+        let mut delay = || u64::from(rng.next_u32()) % (faults.late_ms + 1) * 1_000;
+        let (first_delay, second_delay) = (if late { delay() } else { 0 }, delay());
+        let versions_back = 1 + u64::from(rng.next_u32()) % MAX_STALE_VERSIONS;
+        let process_number = self.numberings.lock().expect("the numbering").0.process_number;
+        let mut answer = self.compose(query, if stale { versions_back } else { 0 }, duplicate_id);
         if error {
             const SERVER_FAILURE: u8 = 2;
             answer.bytes[3] |= SERVER_FAILURE;
-            answer.drains.clear();
+            answer.draining_or_removed.clear();
         }
-        if cut || answer.bytes.len() > MOST_DATAGRAM {
-            answer.bytes.truncate((answer.bytes.len() / 2).min(MOST_DATAGRAM));
-            // What such an answer holds is left to the program: nothing of it counts as told here.
-            answer.drains.clear();
+        if cut || answer.bytes.len() > MAX_DATAGRAM_BYTES {
+            answer.bytes.truncate((answer.bytes.len() / 2).min(MAX_DATAGRAM_BYTES));
+            // The program may use or discard a truncated answer, so it counts as no notice.
+            answer.draining_or_removed.clear();
         }
         if answer.bytes.len() > 8_192 {
             self.recorder.fault("answer over 8,192 bytes");
         }
         if doubled {
-            let (bytes, drains) = (answer.bytes.clone(), Vec::new());
-            waiting.push(Reverse((now + first + second, count << 1 | 1, bytes, from, life, drains)));
+            let (bytes, draining_or_removed) = (answer.bytes.clone(), Vec::new());
+            delayed.push(Reverse((
+                now + first_delay + second_delay,
+                answer_count << 1 | 1,
+                bytes,
+                from,
+                process_number,
+                draining_or_removed,
+            )));
         }
-        waiting.push(Reverse((now + first, count << 1, answer.bytes, from, life, answer.drains)));
+        delayed.push(Reverse((
+            now + first_delay,
+            answer_count << 1,
+            answer.bytes,
+            from,
+            process_number,
+            answer.draining_or_removed,
+        )));
     }
 
-    /// The answer to a query, with the state of so many versions ago.
-    fn compose(&self, query: &[u8], back: u64, doubted: bool) -> Answer {
+    /// Returns the answer to a query with the list of `versions_back` versions ago; with `duplicate_id` it lists the first id at two
+    /// addresses.
+    fn compose(&self, query: &[u8], versions_back: u64, duplicate_id: bool) -> Answer {
         let (version, _) = self.history.now();
-        let told = version.saturating_sub(back);
-        let entries = self.history.version(told);
-        let (life, before) = *self.life.lock().expect("the numbering");
-        // A state from before the process started has the number that it had for the process before.
-        let numbering = if told < life.first_version { before } else { life };
-        let serial = 1 + told.saturating_sub(numbering.first_version);
-        let mut drains: Vec<String> = entries.iter().filter(|e| e.draining).map(|e| e.id.clone()).collect();
-        if back == 0 && !doubted {
-            drains.extend(self.history.gone_since(life.first_version, &entries));
+        let sent_version = version.saturating_sub(versions_back);
+        let entries = self.history.version(sent_version);
+        let (current, previous) = *self.numberings.lock().expect("the numbering");
+        // A version from before the process's start keeps the serial number that it had for the previous process.
+        let numbering = if sent_version < current.first_version { previous } else { current };
+        let serial = 1 + sent_version.saturating_sub(numbering.first_version);
+        let mut draining_or_removed: Vec<String> =
+            entries.iter().filter(|e| e.draining).map(|e| e.id.clone()).collect();
+        if versions_back == 0 && !duplicate_id {
+            draining_or_removed.extend(self.history.removed_since(current.first_version, &entries));
         }
         let mut listed: Vec<(String, SocketAddr, u16, u64)> =
             entries.iter().map(|e| (e.id.clone(), e.address, u16::from(e.draining), e.started_ms)).collect();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
-        listed.extend((0..self.faults.padding).map(|n| (format!("pad{n}"), nowhere, 1, 0)));
-        if let (true, Some(first)) = (doubted, listed.first().cloned()) {
-            listed.push((first.0, nowhere, first.2, first.3));
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 9));
+        listed.extend((0..self.faults.padding).map(|n| (format!("pad{n}"), unused_address, 1, 0)));
+        if let (true, Some(first)) = (duplicate_id, listed.first().cloned()) {
+            listed.push((first.0, unused_address, first.2, first.3));
         }
-        if self.lies {
-            drains.extend(entries.iter().take(1).map(|e| e.id.clone()));
+        if self.false_notices {
+            draining_or_removed.extend(entries.iter().take(1).map(|e| e.id.clone()));
         }
-        Answer { bytes: crate::stand::list_answer(query, serial as u32, &listed), drains }
+        Answer { bytes: crate::stand::list_answer(query, serial as u32, &listed), draining_or_removed }
     }
 
-    fn tell(&self, life: usize, drains: Vec<String>) {
+    fn record_notices(&self, process_number: usize, draining_or_removed: Vec<String>) {
         let at = self.recorder.now();
         self.recorder.write(|r| {
-            r.told.extend(drains.into_iter().map(|worker| Told {
+            r.drain_notices.extend(draining_or_removed.into_iter().map(|worker| DrainNotice {
                 dispatcher: self.dispatcher,
-                life,
+                process_number,
                 worker,
                 at,
             }));
@@ -280,7 +306,7 @@
 
     fn serve_streams(&self, listener: &TcpListener) {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            if self.over.load(Ordering::SeqCst) {
+            if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
             let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
