--- a/crates/rig/src/crossing.rs
+++ b/crates/rig/src/crossing.rs
@@ -1,5 +1,5 @@
-//! What stands between dispatchers and workers: each dispatcher reaches each worker at an address of its own, so that the one can be
-//! cut off from the other, one way and both ways. A cut is silence: connections stay up, and nothing passes.
+//! TCP proxies between dispatchers and workers. Each pair has a listener of its own, so that any dispatcher can be cut off from any
+//! worker, in one direction or both. A cut is silent: connections stay open, and no data passes until it is healed.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -8,40 +8,41 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Ways that are cut: the dispatcher, the worker, and whether that towards the worker.
+/// Directions that are cut: the dispatcher, the worker, and whether it is the direction towards the worker.
 type Cuts = BTreeSet<(usize, usize, bool)>;
 
 struct Shared {
     cuts: Mutex<Cuts>,
-    over: AtomicBool,
+    stopped: AtomicBool,
 }
 
-/// All ways.
+/// The running proxies.
 pub struct Crossing {
     shared: Arc<Shared>,
     addresses: Vec<Vec<SocketAddr>>,
 }
 
 impl Crossing {
-    /// Ways from so many dispatchers to these workers.
+    /// Starts a proxy from each of `dispatchers` dispatchers to each of these workers.
     pub fn start(dispatchers: usize, workers: &[SocketAddr]) -> Crossing {
-        let shared = Arc::new(Shared { cuts: Mutex::default(), over: AtomicBool::new(false) });
-        let way = |from: usize, (worker, to): (usize, &SocketAddr)| {
+        let shared = Arc::new(Shared { cuts: Mutex::default(), stopped: AtomicBool::new(false) });
+        let start_proxy = |from: usize, (worker, to): (usize, &SocketAddr)| {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
             let (address, shared, to) = (listener.local_addr().expect("an address"), shared.clone(), *to);
-            std::thread::spawn(move || shared.listen(&listener, from, worker, to));
+            std::thread::spawn(move || shared.accept(&listener, from, worker, to));
             address
         };
-        let ways = |from: usize| workers.iter().enumerate().map(|w| way(from, w)).collect();
-        Crossing { addresses: (0..dispatchers).map(ways).collect(), shared }
+        let proxies = |from: usize| workers.iter().enumerate().map(|w| start_proxy(from, w)).collect();
+        Crossing { addresses: (0..dispatchers).map(proxies).collect(), shared }
     }
 
-    /// Where a dispatcher reaches the workers.
+    /// Returns the addresses at which a dispatcher reaches the workers.
     pub fn addresses(&self, dispatcher: usize) -> &[SocketAddr] {
         &self.addresses[dispatcher]
     }
 
-    /// Cuts these dispatchers off from these workers: the way there, the way back, or both.
+    /// Cuts the connections of these dispatchers to these workers; in `ways`, true is the direction towards the worker and false the
+    /// one back.
     pub fn cut(&self, dispatchers: &[usize], workers: &[usize], ways: &[bool]) {
         let mut cuts = self.shared.cuts.lock().expect("cuts");
         for d in dispatchers {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// All passes again.
+    /// Removes all cuts.
     pub fn heal(&self) {
         self.shared.cuts.lock().expect("cuts").clear();
     }
@@ -57,57 +58,57 @@
 
 impl Drop for Crossing {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
-        // Each listener wakes once more, and ends.
+        self.shared.stopped.store(true, Ordering::SeqCst);
+        // A connection wakes each listener, which then ends.
         self.addresses.iter().flatten().for_each(|a| drop(TcpStream::connect(a)));
     }
 }
 
 impl Shared {
-    fn listen(self: Arc<Shared>, listener: &TcpListener, from: usize, worker: usize, to: SocketAddr) {
+    fn accept(self: Arc<Shared>, listener: &TcpListener, from: usize, worker: usize, to: SocketAddr) {
         for stream in listener.incoming().map_while(Result::ok) {
-            if self.over.load(Ordering::SeqCst) {
+            if self.stopped.load(Ordering::SeqCst) {
                 return;
             }
             let shared = self.clone();
-            std::thread::spawn(move || shared.pass(stream, from, worker, to));
+            std::thread::spawn(move || shared.forward(stream, from, worker, to));
         }
     }
 
-    /// Waits while the way is cut.
-    fn wait(&self, way: (usize, usize, bool)) {
-        let shut = || self.cuts.lock().expect("cuts").contains(&way);
-        while shut() && !self.over.load(Ordering::SeqCst) {
+    /// Waits while the direction is cut.
+    fn wait(&self, direction: (usize, usize, bool)) {
+        let is_cut = || self.cuts.lock().expect("cuts").contains(&direction);
+        while is_cut() && !self.stopped.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    fn pass(&self, asker: TcpStream, from: usize, worker: usize, to: SocketAddr) {
+    fn forward(&self, dispatcher_side: TcpStream, from: usize, worker: usize, to: SocketAddr) {
         self.wait((from, worker, true));
-        // A worker that is gone refuses, which comes out as a reset here.
-        let Ok(other) = TcpStream::connect(to) else {
-            let _ = rustix::net::sockopt::set_socket_linger(&asker, Some(Duration::ZERO));
+        // The worker refuses connections: the dispatcher sees a reset.
+        let Ok(worker_side) = TcpStream::connect(to) else {
+            let _ = rustix::net::sockopt::set_socket_linger(&dispatcher_side, Some(Duration::ZERO));
             return;
         };
-        let _ = (asker.set_nodelay(true), other.set_nodelay(true));
-        let clones = (asker.try_clone(), other.try_clone());
+        let _ = (dispatcher_side.set_nodelay(true), worker_side.set_nodelay(true));
+        let clones = (dispatcher_side.try_clone(), worker_side.try_clone());
         if let (Ok(reader), Ok(writer)) = clones {
             std::thread::scope(|scope| {
                 scope.spawn(|| self.pump((from, worker, true), reader, writer));
-                self.pump((from, worker, false), other, asker);
+                self.pump((from, worker, false), worker_side, dispatcher_side);
             });
         }
     }
 
-    fn pump(&self, way: (usize, usize, bool), mut reader: TcpStream, mut writer: TcpStream) {
+    fn pump(&self, direction: (usize, usize, bool), mut reader: TcpStream, mut writer: TcpStream) {
         let mut buffer = [0; 8_192];
         while let Ok(size @ 1..) = reader.read(&mut buffer) {
-            self.wait(way);
+            self.wait(direction);
             if writer.write_all(&buffer[..size]).is_err() {
                 break;
             }
         }
-        self.wait(way);
+        self.wait(direction);
         let _ = (reader.shutdown(Shutdown::Both), writer.shutdown(Shutdown::Both));
     }
 }
--- a/crates/rig/src/fit.rs
+++ b/crates/rig/src/fit.rs
@@ -1,48 +1,49 @@
-//! How a figure grows with the size of a group: a straight line by least squares over the size and over its logarithm, and
-//! which of the two, or neither, describes what was measured.
+//! Fits the growth of a measured value with the size of a group: a least-squares line over the size and one over its logarithm, of
+//! which the one with the smaller residual is taken, or a constant where neither changes enough.
 
 use serde::{Deserialize, Serialize};
 
-/// A figure whose fitted change over the sizes measured is less than this share of its mean counts as flat.
+/// A value whose fitted change over the measured sizes is at most this share of its mean counts as flat.
 const FLAT_SHARE: f64 = 0.15;
 
-/// How a figure grows.
+/// How a value grows with the size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Growth {
-    /// Not at all, beside what it varies by anyway.
+    /// Not beyond its usual variation.
     Flat,
     /// By the same amount each time the size doubles.
     Logarithmic,
-    /// By the same amount for each member.
+    /// By the same amount for each additional member.
     Linear,
 }
 
-/// The line that fits best.
+/// The curve that fits best.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Which kind of line it is.
+    /// The kind of growth.
     pub growth: Growth,
-    /// The figure at size zero, or at size one for a logarithmic line, or the mean for a flat one.
+    /// The fitted value at size zero, at size one for logarithmic growth, or the mean for flat growth.
     pub constant: f64,
-    /// What is added for each member, or for each factor of e; 0 for a flat line.
+    /// The increase for each member, or for each factor of e for logarithmic growth; 0 for flat growth.
     pub slope: f64,
-    /// The root mean square of what the line misses, as a share of the figures' mean.
+    /// The root mean square of the residuals, as a share of the mean.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Fits points of size and figure; `None` for fewer than two sizes, or for figures that are no numbers.
+    /// Fits points of size and value; `None` for fewer than two different sizes, a size that is not positive, or a value that is not
+    /// finite.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         let usable =
             points.iter().all(|(size, figure)| *size > 0.0 && size.is_finite() && figure.is_finite());
         if !usable {
             return None;
         }
-        let linear = line(points, |size| size)?;
-        let logarithmic = line(points, f64::ln)?;
+        let linear = least_squares(points, |size| size)?;
+        let logarithmic = least_squares(points, f64::ln)?;
         let mean = points.iter().map(|(_, figure)| figure).sum::<f64>() / points.len() as f64;
-        let share = |residual: f64| if mean == 0.0 { 0.0 } else { residual / mean.abs() };
+        let relative = |residual: f64| if mean == 0.0 { 0.0 } else { residual / mean.abs() };
         let (better, growth, span) = if logarithmic.residual < linear.residual {
             (logarithmic, Growth::Logarithmic, span(points, f64::ln))
         } else {
@@ -50,12 +51,22 @@
         };
         if (better.slope * span).abs() <= FLAT_SHARE * mean.abs() {
             let residual = root_mean_square(points, |_| mean);
-            return Some(Fit { growth: Growth::Flat, constant: mean, slope: 0.0, residual: share(residual) });
+            return Some(Fit {
+                growth: Growth::Flat,
+                constant: mean,
+                slope: 0.0,
+                residual: relative(residual),
+            });
         }
-        Some(Fit { growth, constant: better.constant, slope: better.slope, residual: share(better.residual) })
+        Some(Fit {
+            growth,
+            constant: better.constant,
+            slope: better.slope,
+            residual: relative(better.residual),
+        })
     }
 
-    /// The figure that the line gives at a size.
+    /// Returns the fitted value at a size.
     pub fn at(&self, size: f64) -> f64 {
         match self.growth {
             Growth::Flat => self.constant,
@@ -81,7 +92,7 @@
     (squares.sum::<f64>() / points.len() as f64).sqrt()
 }
 
-fn line(points: &[(f64, f64)], scale: impl Fn(f64) -> f64) -> Option<Line> {
+fn least_squares(points: &[(f64, f64)], scale: impl Fn(f64) -> f64) -> Option<Line> {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(size, _)| scale(*size)).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, figure)| figure).sum::<f64>() / count;
@@ -89,8 +100,9 @@
     if points.len() < 2 || spread == 0.0 {
         return None;
     }
-    let both = points.iter().map(|(size, figure)| (scale(*size) - mean_x) * (figure - mean_y)).sum::<f64>();
-    let slope = both / spread;
+    let covariance =
+        points.iter().map(|(size, figure)| (scale(*size) - mean_x) * (figure - mean_y)).sum::<f64>();
+    let slope = covariance / spread;
     let constant = mean_y - slope * mean_x;
     let residual = root_mean_square(points, |size| constant + slope * scale(size));
     Some(Line { constant, slope, residual })
--- a/crates/rig/src/history.rs
+++ b/crates/rig/src/history.rs
@@ -1,4 +1,5 @@
-//! What all processes said, merged by time, and what is judged over it.
+//! The events that all processes write to standard error, merged by the time of reading, and the check that no process panicked and
+//! that no dispatcher without faults was declared failed.
 
 use serde_json::Value;
 use std::fmt;
@@ -6,43 +7,43 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// One event: of a process, or of the rig.
+/// An event of a process or of the test kit.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Since the beginning, in milliseconds.
+    /// The time since the start of the history, in milliseconds.
     pub ms: u128,
-    /// The process, or `rig`.
+    /// The process's name, or `rig` for the test kit.
     pub who: String,
-    /// What it said.
+    /// The event: the JSON of its line, or the line itself as a string.
     pub what: Value,
 }
 
 /// The merged history.
 #[derive(Clone)]
 pub struct History {
-    began: Instant,
+    started: Instant,
     entries: Arc<Mutex<Vec<Entry>>>,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { began: Instant::now(), entries: Arc::default() }
+        History { started: Instant::now(), entries: Arc::default() }
     }
 }
 
 impl History {
-    /// Notes an event.
+    /// Appends an event.
     pub fn note(&self, who: &str, what: Value) {
-        let entry = Entry { ms: self.began.elapsed().as_millis(), who: who.to_string(), what };
+        let entry = Entry { ms: self.started.elapsed().as_millis(), who: who.to_string(), what };
         self.entries.lock().expect("entries").push(entry);
     }
 
-    /// Follows what a process writes, line by line, to its end.
+    /// Reads a process's output line by line on a thread of its own, and appends each line, until the output ends.
     pub fn follow(&self, who: &str, from: impl Read + Send + 'static) {
         let (history, who) = (self.clone(), who.to_string());
         std::thread::spawn(move || {
             for line in BufReader::new(from).lines().map_while(Result::ok) {
-                // Seen at once: the test may wait for a word of a process that is gone.
+                // Printed at once: the test may be waiting for this process and never get to print the history.
                 if line.contains("panicked at") {
                     eprintln!("{who}: {line}");
                 }
@@ -52,12 +53,12 @@
         });
     }
 
-    /// All that was said, in order.
+    /// Returns all events, in order of arrival.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().expect("entries").clone()
     }
 
-    /// Events in which these words stand, of any process.
+    /// Returns the number of events, of any process, whose JSON contains this text.
     pub fn count(&self, words: &str) -> usize {
         self.entries().iter().filter(|e| e.what.to_string().contains(words)).count()
     }
@@ -73,32 +74,35 @@
     }
 }
 
-/// What a history must not hold.
+/// A violation found in a history.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unsound {
     /// A process panicked.
     #[error("{who} panicked, {text}: read its last events above")]
     Panicked {
-        /// Which one.
+        /// The process.
         who: String,
-        /// What it said.
+        /// The panic's message.
         text: String,
     },
-    /// One that was never faulty was held failed by one that was never faulty.
-    #[error("at {ms} ms {by} held {whom} failed, and neither was faulty: read what {by} saw of {whom}")]
+    /// A dispatcher without faults was declared failed by another one without faults.
+    #[error(
+        "at {ms} ms {by} declared {whom} failed, though neither was faulty: read the events of {by} about {whom}"
+    )]
     Accused {
-        /// When.
+        /// The time of the event, in milliseconds.
         ms: u128,
-        /// Who did.
+        /// The dispatcher that did so.
         by: String,
-        /// Whom.
+        /// The dispatcher that was declared failed.
         whom: String,
     },
 }
 
-/// No panic of any process, and nobody that was never faulty was held failed by one that was never faulty.
+/// Checks that no process panicked, and that no dispatcher without faults was declared failed by another one without faults.
+/// `faulty` says which dispatchers had faults, by index; `name` gives their names in the history.
 pub fn judge(history: &History, faulty: &[bool], name: impl Fn(usize) -> String) -> Result<(), Unsound> {
-    let of = |who: &str| (0..faulty.len()).find(|n| name(*n) == who);
+    let index_of = |who: &str| (0..faulty.len()).find(|n| name(*n) == who);
     for entry in history.entries() {
         let text = entry.what.to_string();
         if text.contains("panicked at") {
@@ -106,8 +110,8 @@
         }
         let fields = &entry.what["fields"];
         let failed = fields["message"] == "a peer's state changed" && fields["state"] == "Failed";
-        let whom = fields["peer"].as_str().and_then(of);
-        if let (true, Some(whom), Some(by)) = (failed, whom, of(&entry.who))
+        let whom = fields["peer"].as_str().and_then(index_of);
+        if let (true, Some(whom), Some(by)) = (failed, whom, index_of(&entry.who))
             && !faulty[whom]
             && !faulty[by]
         {
--- a/crates/rig/src/history/tests.rs
+++ b/crates/rig/src/history/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn the_judge_can_say_no() {
+fn judge_reports_panics_and_false_failure_verdicts() {
     let (history, name) = (History::default(), |n: usize| format!("n{n}"));
     history.note(
         "n0",
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,6 +1,6 @@
-//! For tests alone, never linked into the dispatcher: starts real processes of it on loopback, plays everything that they
-//! talk to, and puts faults between them. What is waited for is what is observed, with generous bounds; what must hold is
-//! judged over the merged history of all processes.
+//! The test kit for the dispatcher, never linked into it: starts real dispatcher processes on loopback, stubs every service that
+//! they talk to, and injects faults between them. Tests wait for observed conditions with generous timeouts instead of fixed
+//! delays, and check invariants over the merged event history of all processes.
 #![forbid(unsafe_code)]
 
 pub mod capacity;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that ask without end and keep their books.
+//! Clients that send one request after the other to a dispatcher, at a fixed pace, and count how each one ends.
 
 use crate::stand::{Client, Reply, fields, function};
 use crate::worker::Worker;
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Requests of an unsafe class that were sent out more than once, over all workers.
+/// Returns the ids of requests of the at-most-once class that ran more than once, over all workers.
 pub fn run_twice(workers: &[Worker]) -> Vec<String> {
     let mut all = BTreeMap::<String, u32>::new();
     for worker in workers {
@@ -21,41 +21,41 @@
     all.into_iter().filter(|(_, count)| *count > 1).map(|(rid, _)| rid).collect()
 }
 
-/// The rest between two requests of a client.
+/// The pause of a client between two requests.
 pub const PACE: Duration = Duration::from_millis(20);
 
-/// A client's books.
+/// The counts of a client.
 #[derive(Default)]
 pub struct Books {
-    /// Requests sent.
+    /// Requests that were sent.
     pub asked: AtomicU64,
-    /// Served, with the body that was sent.
+    /// Requests that were served with the body that was sent.
     pub served: AtomicU64,
-    /// Refused or failed.
+    /// Requests that were refused or failed.
     pub other: AtomicU64,
-    /// Requests open when a connection ended.
+    /// Requests that were open when their connection ended.
     pub broken: AtomicU64,
-    /// Served and refused, by class.
+    /// Served and refused requests, by class.
     pub classes: [[AtomicU64; 2]; 3],
-    /// Requests of the class that is never repeated that are open, or about to be sent.
+    /// At-most-once requests that are open or about to be sent.
     pub alerts: AtomicU64,
 }
 
-/// The classes that clients ask for in turn.
+/// The classes that clients request in turn.
 pub const CLASSES: [&str; 3] = ["flow-read", "level-log", "alert-send"];
-/// The place there of the class that is never repeated.
-const ALERT: usize = 2;
+/// The index of the at-most-once class in `CLASSES`.
+const ALERT_CLASS: usize = 2;
 
-/// How a client behaves.
+/// The behaviour of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct Manner {
-    /// It stays away for so long when it is refused.
+    /// The pause after a refusal.
     pub stays_away: Duration,
-    /// The time of a load that it tells, in milliseconds.
+    /// The load time that its requests state, in milliseconds.
     pub load_ms: u64,
-    /// How long it waits for an answer, in milliseconds.
+    /// The timeout that its requests state, in milliseconds.
     pub ttl_ms: u64,
-    /// It asks for so many functions in turn. Where there are many, each worker is home to some of them.
+    /// The number of functions that it requests in turn. With many, each worker is home to some of them.
     pub functions: u64,
 }
 
@@ -65,120 +65,129 @@
     }
 }
 
-/// A client of one dispatcher, wherever that is at the moment.
+/// A client of one dispatcher, whose address may change.
 pub struct Asker {
     books: Arc<Books>,
     to: Arc<Mutex<Option<SocketAddr>>>,
-    words: Arc<Words>,
+    instructions: Arc<Instructions>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-/// What a client is told by the test.
+/// The test's instructions to a client.
 #[derive(Default)]
-struct Words {
-    /// It ends.
-    over: AtomicBool,
-    /// It asks for nothing that is never repeated.
+struct Instructions {
+    /// The client ends.
+    stopped: AtomicBool,
+    /// The client sends no at-most-once requests.
     no_alerts: AtomicBool,
 }
 
 impl Asker {
-    /// Asks from now on, one request after the other, each with a number of its own under `salt`.
+    /// Starts a client. Its request ids begin with `salt`, followed by the request's number.
     pub fn start(salt: u64, to: Option<SocketAddr>, manner: Manner) -> Asker {
-        let (books, words) = (Arc::<Books>::default(), Arc::<Words>::default());
+        let (books, instructions) = (Arc::<Books>::default(), Arc::<Instructions>::default());
         let to = Arc::new(Mutex::new(to));
-        let (own, place, told) = (books.clone(), to.clone(), words.clone());
-        let thread = Some(std::thread::spawn(move || ask(salt, manner, &own, &place, &told)));
-        Asker { books, to, words, thread }
+        let (thread_books, address, thread_instructions) = (books.clone(), to.clone(), instructions.clone());
+        let thread = Some(std::thread::spawn(move || {
+            send_requests(salt, manner, &thread_books, &address, &thread_instructions)
+        }));
+        Asker { books, to, instructions, thread }
     }
 
-    /// The dispatcher is somewhere else now, or nowhere.
+    /// Sets the dispatcher's address; `None` while it is not running.
     pub fn moved(&self, to: Option<SocketAddr>) {
         *self.to.lock().expect("an address") = to;
     }
 
-    /// Ends, and gives the books: asked, served, other, broken.
+    /// Ends the client and returns its counts: sent, served, refused or failed, and lost with a connection.
     pub fn end(mut self) -> [u64; 4] {
-        self.words.over.store(true, Ordering::SeqCst);
+        self.instructions.stopped.store(true, Ordering::SeqCst);
         self.thread.take().into_iter().for_each(|t| t.join().expect("a client"));
         let b = &self.books;
         [&b.asked, &b.served, &b.other, &b.broken].map(|n| n.load(Ordering::SeqCst))
     }
 
-    /// From now on it asks for nothing that is never repeated, or does again.
+    /// Stops or resumes at-most-once requests.
     pub fn hold_alerts(&self, held: bool) {
-        self.words.no_alerts.store(held, Ordering::SeqCst);
+        self.instructions.no_alerts.store(held, Ordering::SeqCst);
     }
 
-    /// Whether anything that is never repeated is open; while alerts are held, a no is for good.
+    /// Returns whether an at-most-once request is open. While they are held, it stays false once it is false.
     pub fn has_alert_open(&self) -> bool {
         self.books.alerts.load(Ordering::SeqCst) > 0
     }
 
-    /// Served and refused until now, by class.
+    /// Returns the served and refused requests so far, by class.
     pub fn classes(&self) -> [[u64; 2]; 3] {
         std::array::from_fn(|c| std::array::from_fn(|n| self.books.classes[c][n].load(Ordering::SeqCst)))
     }
 
-    /// Requests served until now.
+    /// Returns the number of requests served so far.
     pub fn served(&self) -> u64 {
         self.books.served.load(Ordering::SeqCst)
     }
 }
 
-fn ask(salt: u64, manner: Manner, books: &Books, place: &Mutex<Option<SocketAddr>>, words: &Words) {
-    let (mut number, mut client, mut at, mut seq) = (0_u64, None::<Client>, None, 0);
-    let bump = |cell: &AtomicU64| {
+fn send_requests(
+    salt: u64,
+    manner: Manner,
+    books: &Books,
+    address: &Mutex<Option<SocketAddr>>,
+    instructions: &Instructions,
+) {
+    let (mut number, mut client, mut connected_to, mut seq) = (0_u64, None::<Client>, None, 0);
+    let increment = |cell: &AtomicU64| {
         cell.fetch_add(1, Ordering::SeqCst);
     };
-    while !words.over.load(Ordering::SeqCst) {
-        // What was open has had its answer, or lost its connection.
+    while !instructions.stopped.load(Ordering::SeqCst) {
+        // The previous request has been answered or has lost its connection.
         books.alerts.store(0, Ordering::SeqCst);
-        // A pace, not a wait for something: a client has other things to do as well.
+        // This sets the rate of requests; it does not wait for a condition.
         std::thread::sleep(PACE);
-        let to = *place.lock().expect("an address");
-        if to != at || client.is_none() {
-            (at, seq) = (to, 0);
+        let to = *address.lock().expect("an address");
+        if to != connected_to || client.is_none() {
+            (connected_to, seq) = (to, 0);
             client = to.and_then(|to| Client::try_connect(to).ok());
         }
-        let Some(open) = &mut client else { continue };
+        let Some(connection) = &mut client else { continue };
         number += 1;
         seq += 1;
-        let mut place_of_class = (number % 3) as usize;
-        if place_of_class == ALERT {
-            // Counted before the word is read: whoever says it and then finds none open will find none later.
+        let mut class_index = (number % 3) as usize;
+        if class_index == ALERT_CLASS {
+            // Counted before the flag is read, so that a test which sets the flag and then finds none open will find none later.
             books.alerts.store(1, Ordering::SeqCst);
-            if words.no_alerts.load(Ordering::SeqCst) {
+            if instructions.no_alerts.load(Ordering::SeqCst) {
                 books.alerts.store(0, Ordering::SeqCst);
-                place_of_class = 0;
+                class_index = 0;
             }
         }
-        let class = CLASSES[place_of_class];
+        let class = CLASSES[class_index];
         let id = format!("{salt:04x}{number:012x}");
         let body = id.clone().into_bytes();
-        let mut told = fields(class, &id, manner.ttl_ms);
-        told.insert("row".to_string(), function(number / CLASSES.len() as u64 % manner.functions));
-        told.insert("info".to_string(), format!("memory_mb:512;lanes:2;load_ms:{}", manner.load_ms));
-        if open.try_serve(seq, &told, &body).is_err() {
+        let mut request_fields = fields(class, &id, manner.ttl_ms);
+        request_fields.insert("row".to_string(), function(number / CLASSES.len() as u64 % manner.functions));
+        request_fields
+            .insert("info".to_string(), format!("memory_mb:512;lanes:2;load_ms:{}", manner.load_ms));
+        if connection.try_serve(seq, &request_fields, &body).is_err() {
             client = None;
             continue;
         }
-        bump(&books.asked);
-        match open.receive() {
+        increment(&books.asked);
+        match connection.receive() {
             Some((got, Reply::Served(answer))) if got == seq && answer == body => {
-                bump(&books.served);
-                bump(&books.classes[place_of_class][0]);
+                increment(&books.served);
+                increment(&books.classes[class_index][0]);
             }
             Some((got, reply)) => {
-                assert_eq!(got, seq, "an answer to what was not asked, or a second one");
-                bump(&books.other);
+                assert_eq!(got, seq, "an answer with an unexpected sequence number, or a second answer");
+                increment(&books.other);
                 if matches!(reply, Reply::Refused(_)) {
-                    bump(&books.classes[place_of_class][1]);
+                    increment(&books.classes[class_index][1]);
                     std::thread::sleep(manner.stays_away);
                 }
             }
             None => {
-                bump(&books.broken);
+                increment(&books.broken);
                 client = None;
             }
         }
--- a/crates/rig/src/stand.rs
+++ b/crates/rig/src/stand.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for everything that a dispatcher talks to, and the dispatcher itself as a process.
+//! The dispatcher as a child process, its configuration, and a stub executor whose lines the test answers itself. Names are
+//! re-exported for the stub name service and the client. Every wait is bounded by [`PATIENCE`].
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -18,18 +19,19 @@
 pub use crate::name_service::{Names, list_answer};
 pub use crate::thrift_client::{Client, Reply, call, fields, message};
 
-/// Far longer than anything here takes: only a failure waits for it.
+/// The timeout of every wait: far longer than any step takes, so that only a failure reaches it.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
+/// The function that most tests request.
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// One of many functions; the first is the one that most ask for.
+/// Returns the name of the `n`th function; the first is [`FUNCTION`].
 pub fn function(n: u64) -> String {
-    let first = u64::from_str_radix(FUNCTION, 16).expect("hex");
-    format!("{:016x}", first.wrapping_add(n))
+    let base = u64::from_str_radix(FUNCTION, 16).expect("hex");
+    format!("{:016x}", base.wrapping_add(n))
 }
 
-/// Writes a file that no other test writes, and returns its path.
+/// Writes a new temporary file with a unique name and returns its path.
 pub fn file(text: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -40,7 +42,7 @@
     path
 }
 
-/// A new folder of its own.
+/// Creates a new temporary directory and returns its path.
 pub fn folder() -> PathBuf {
     let path = file("").with_extension("d");
     std::fs::create_dir_all(&path).expect("a folder");
@@ -49,36 +51,37 @@
 
 // ---- The dispatcher ----
 
-/// The program, which cargo has built beside the test or benchmark that runs.
+/// Returns the dispatcher's executable, which cargo has built next to the running test or benchmark.
 pub fn binary() -> PathBuf {
     try_binary().expect("the program, built beside this")
 }
 
-/// The same, if it is there.
+/// Returns the dispatcher's executable, if it has been built.
 pub fn try_binary() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     own.ancestors().skip(1).take(3).map(|dir| dir.join("ochreward")).find(|path| path.is_file())
 }
 
-/// A command that the kernel ends with the thread that starts it, however that ends, and also while it stands still.
+/// Returns a command whose process the kernel kills when the thread that started it ends, in whatever way, even while the process
+/// is stopped by a signal.
 pub fn tied(program: impl AsRef<std::ffi::OsStr>) -> Command {
     let mut command = Command::new("setpriv");
     command.args(["--pdeathsig", "KILL", "--"]).arg(program);
     command
 }
 
-/// The program, started as a process.
+/// A running dispatcher process.
 pub struct Program {
     pub child: Child,
-    /// What it says first, up to where it listens.
+    /// The address at which it accepts clients, from its first lines of output.
     pub address: SocketAddr,
-    /// Its configuration file.
+    /// The path of its configuration file.
     pub path: PathBuf,
-    /// Where it answers operators.
+    /// The address of its admin endpoint, if it has one.
     pub door: Option<SocketAddr>,
-    /// Where it takes stations.
+    /// The address at which it accepts stations, if it does.
     pub stations: Option<SocketAddr>,
-    /// Where other dispatchers reach it.
+    /// The address at which it receives messages from other dispatchers, if it does.
     pub peers: Option<SocketAddr>,
     lines: Receiver<String>,
 }
@@ -94,21 +97,21 @@
         Program::spawn(command, config)
     }
 
-    /// One that takes stations, and where.
+    /// Starts a dispatcher that accepts stations, and returns it with its address for them.
     pub fn run_with_stations(words: &[&str], config: &Value) -> (Program, SocketAddr) {
         let program = Program::run(words, config);
         let stations = program.stations.expect("it takes stations");
         (program, stations)
     }
 
-    /// With so many descriptors and no more.
+    /// Starts a dispatcher with this limit on file descriptors.
     pub fn limited(descriptors: u32, config: &Value) -> Program {
         let mut command = tied("/bin/sh");
         command.args(["-c", &format!("ulimit -n {descriptors}; exec {}", binary().display())]);
         Program::spawn(command, config)
     }
 
-    /// One of the processes of a dispatcher: they share a folder, and the socket that clients connect to.
+    /// Starts one of several processes of the same dispatcher, which share a state directory and the listening socket.
     pub fn beside(socket: &TcpListener, folder: &Path, config: &Value) -> Program {
         Program::beside_with(&[], socket, folder, config)
     }
@@ -117,7 +120,7 @@
         Program::beside_told(words, socket, folder, config, Stdio::inherit())
     }
 
-    /// The same, with its events somewhere else than on our standard error.
+    /// Like `beside_with`, with the process's standard error directed to `events`.
     pub fn beside_told(
         words: &[&str],
         socket: &TcpListener,
@@ -127,7 +130,7 @@
     ) -> Program {
         let mut command = tied("/bin/sh");
         command.stderr(events);
-        // The shell puts the socket where the program is told to find it.
+        // The shell moves the socket from standard input to the descriptor named in ROUTER_INHERITED_FD.
         let script = format!("exec 7<&0 </dev/null; exec {} \"$@\"", binary().display());
         command.args(["-c", &script, "sh"]).args(words);
         command.stdin(Stdio::from(OwnedFd::from(socket.try_clone().expect("a socket"))));
@@ -135,12 +138,12 @@
         Program::launch(command, config)
     }
 
-    /// A command of the test's own.
+    /// Starts the dispatcher by a command that the caller has prepared.
     pub fn launched(command: Command, config: &Value) -> Program {
         Program::spawn(command, config)
     }
 
-    /// The same with a folder that outlasts it.
+    /// Like `launched`, with a state directory that outlives the process.
     pub fn launched_in(mut command: Command, folder: &Path, config: &Value) -> Program {
         command.env_remove("ROUTER_OPS").env_remove("ROUTER_INHERITED_FD").env("TMPDIR", folder);
         Program::launch(command, config)
@@ -160,60 +163,62 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let (tell, lines) = channel();
+        let (line_sender, lines) = channel();
         let stdout = BufReader::new(child.stdout.take().expect("piped"));
-        std::thread::spawn(move || stdout.lines().map_while(Result::ok).try_for_each(|line| tell.send(line)));
+        std::thread::spawn(move || {
+            stdout.lines().map_while(Result::ok).try_for_each(|line| line_sender.send(line))
+        });
         let address = |line: &str| line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address");
-        let mut first = lines.recv_timeout(PATIENCE).expect("a first line");
+        let mut output = lines.recv_timeout(PATIENCE).expect("a first line");
         let (mut door, mut stations, mut peers) = (None, None, None);
-        if first.contains("answers operators") {
-            door = Some(address(&first));
-            first = lines.recv_timeout(PATIENCE).expect("a line");
+        if output.contains("answers operators") {
+            door = Some(address(&output));
+            output = lines.recv_timeout(PATIENCE).expect("a line");
         }
-        if first.contains("takes stations") {
-            stations = Some(address(&first));
-            first = lines.recv_timeout(PATIENCE).expect("a line");
+        if output.contains("takes stations") {
+            stations = Some(address(&output));
+            output = lines.recv_timeout(PATIENCE).expect("a line");
         }
-        if first.contains("meets others") {
-            peers = Some(address(&first));
-            first = lines.recv_timeout(PATIENCE).expect("a line");
+        if output.contains("meets others") {
+            peers = Some(address(&output));
+            output = lines.recv_timeout(PATIENCE).expect("a line");
         }
-        Program { child, address: address(&first), path, door, stations, peers, lines }
+        Program { child, address: address(&output), path, door, stations, peers, lines }
     }
 
-    /// Calls the door; the status of its answer.
+    /// Sends a request to the admin endpoint and returns the status code.
     pub fn call(&self, method: &str, path: &str) -> u16 {
         self.send_to_door(&format!("{method} {path} HTTP/1.1\r\nHost: door\r\n\r\n"))
     }
 
-    /// Sends the door these words; the status of its answer.
+    /// Sends these bytes to the admin endpoint and returns the status code.
     pub fn send_to_door(&self, words: &str) -> u16 {
-        let text = self.asked_at_door(words).expect("an answer");
+        let text = self.admin_request(words).expect("an answer");
         text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or_else(|| panic!("no status: {text}"))
     }
 
-    /// What it knows of its peers, if it speaks to any.
+    /// Returns its report on peers, if peering is configured.
     pub fn peers_report(&self) -> Option<Value> {
-        let text = self.asked_at_door("GET /_peers HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
+        let text = self.admin_request("GET /_peers HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
         let (head, body) = text.split_once("\r\n\r\n")?;
         head.contains(" 200 ").then(|| serde_json::from_str(body.trim_end()).ok()).flatten()
     }
 
-    /// What it knows of budgets and the level, if it has any.
+    /// Returns its report on budgets and the overload level, if these are configured.
     pub fn budgets_report(&self) -> Option<Value> {
-        let text = self.asked_at_door("GET /_budgets HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
+        let text = self.admin_request("GET /_budgets HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
         let (head, body) = text.split_once("\r\n\r\n")?;
         head.contains(" 200 ").then(|| serde_json::from_str(body.trim_end()).ok()).flatten()
     }
 
-    /// What it knows of zones, if it watches any.
+    /// Returns its report on zones, if zones are configured.
     pub fn zones_report(&self) -> Option<Value> {
-        let text = self.asked_at_door("GET /_zones HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
+        let text = self.admin_request("GET /_zones HTTP/1.1\r\nHost: door\r\n\r\n").ok()?;
         let (head, body) = text.split_once("\r\n\r\n")?;
         head.contains(" 200 ").then(|| serde_json::from_str(body.trim_end()).ok()).flatten()
     }
 
-    fn asked_at_door(&self, words: &str) -> std::io::Result<String> {
+    fn admin_request(&self, words: &str) -> std::io::Result<String> {
         let mut stream = TcpStream::connect(self.door.expect("a door"))?;
         stream.set_read_timeout(Some(PATIENCE))?;
         stream.write_all(words.as_bytes())?;
@@ -222,11 +227,11 @@
         Ok(text)
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until it reports that it is ready.
     pub fn until_ready(&self) {
         let began = std::time::Instant::now();
         while self.call("GET", "/_ready") != 200 {
-            assert!(began.elapsed() < PATIENCE, "never ready");
+            assert!(began.elapsed() < PATIENCE, "the dispatcher did not become ready");
         }
     }
 
@@ -235,31 +240,32 @@
         rustix::process::kill_process(pid, signal).expect("a signal");
     }
 
-    /// The next line that it prints.
+    /// Returns the next line of its standard output.
     pub fn line(&self) -> String {
         self.lines.recv_timeout(PATIENCE).expect("a line")
     }
 
-    /// Stops it, so that what is done until `go_on` comes to one turn of its loop. The kernel tells when it stands.
+    /// Stops the process, so that everything sent to it until `go_on` is handled in one iteration of its event loop. Returns once
+    /// the kernel reports it as stopped.
     pub fn stand_still(&self) {
         self.signal(rustix::process::Signal::STOP);
         let process = procfs::process::Process::new(self.child.id() as i32).expect("a process");
-        until("it never stands still", || process.stat().expect("its state").state == 'T');
+        until("the process was not stopped", || process.stat().expect("its state").state == 'T');
     }
 
-    /// Lets it go on, once all that it was sent meanwhile has come to its end of the connections. Danger: on a busy machine a close
-    /// that was sent is still on its way, and would be seen a turn later than what was sent before it.
+    /// Resumes the process once everything sent to it meanwhile has arrived at its sockets. Without this wait, on a busy machine a
+    /// close still in transit would be handled an iteration later than the data sent before it.
     pub fn go_on(&self) {
-        let own = self.ends();
-        until("what was sent never arrives", || {
-            let on_its_way = |e: &TcpNetEntry| e.tx_queue > 0 && own.contains(&e.remote_address);
-            !procfs::net::tcp().expect("the system's connections").iter().any(on_its_way)
+        let local_addresses = self.local_addresses();
+        until("data sent to the stopped process did not arrive", || {
+            let in_transit = |e: &TcpNetEntry| e.tx_queue > 0 && local_addresses.contains(&e.remote_address);
+            !procfs::net::tcp().expect("the system's connections").iter().any(in_transit)
         });
         self.signal(rustix::process::Signal::CONT);
     }
 
-    /// Its ends of connections, and where it listens.
-    fn ends(&self) -> BTreeSet<SocketAddr> {
+    /// Returns the local addresses of its TCP sockets.
+    fn local_addresses(&self) -> BTreeSet<SocketAddr> {
         let process = procfs::process::Process::new(self.child.id() as i32).expect("a process");
         let socket = |fd: FDInfo| if let FDTarget::Socket(inode) = fd.target { Some(inode) } else { None };
         let fds = process.fd().expect("its descriptors");
@@ -268,21 +274,22 @@
         all.iter().filter(|e| sockets.contains(&e.inode)).map(|e| e.local_address).collect()
     }
 
-    /// Waits until a connection to it from there has been reset at its end: nothing else tells that a reset has come.
+    /// Waits until the connection to it from this address has been reset at its end. The kernel's connection table is the only
+    /// place where the arrival of a reset shows.
     pub fn until_reset(&self, from: SocketAddr) {
-        until("the reset never arrives", || {
+        until("the reset did not arrive", || {
             let all = procfs::net::tcp().expect("the system's connections");
             !all.iter().any(|e| e.remote_address == from && e.local_address.port() == self.address.port())
         });
     }
 
-    /// Its counters, asked for by signal.
+    /// Requests its counters by SIGUSR1 and returns them.
     pub fn counters(&self) -> BTreeMap<String, u64> {
         self.signal(rustix::process::Signal::USR1);
         counters(&self.line())
     }
 
-    /// Waits for its end after SIGTERM: the exit code, and the counters printed at exit.
+    /// Sends SIGTERM, waits for the exit, and returns the exit code and the counters printed at exit.
     pub fn end(mut self) -> (Option<i32>, BTreeMap<String, u64>) {
         self.signal(rustix::process::Signal::TERM);
         let last = self.line();
@@ -308,12 +315,12 @@
     pairs.split(' ').filter_map(pair).collect()
 }
 
-/// Waits until the program's counter `name` is above 0; `never` says what failed if it stays there.
+/// Waits until the counter `name` is above 0; `never` is the failure message.
 pub fn until_counted(program: &Program, name: &str, never: &str) {
     until(never, || program.counters()[name] > 0);
 }
 
-/// Waits until something holds; says what never came.
+/// Waits until a condition holds; `never` is the failure message.
 pub fn until(never: &str, holds: impl Fn() -> bool) {
     let began = std::time::Instant::now();
     while !holds() {
@@ -322,12 +329,12 @@
     }
 }
 
-/// A configuration with these executors known, all of them ready.
+/// Returns a configuration whose initial list has these executors, all ready.
 pub fn config(executors: &[&Executor], names: &Names) -> Value {
     config_at(&executors.iter().map(|e| e.address).collect::<Vec<_>>(), names)
 }
 
-/// The same, by their addresses.
+/// Returns a configuration whose initial list has ready executors at these addresses.
 pub fn config_at(executors: &[SocketAddr], names: &Names) -> Value {
     let instance = |(i, address): (usize, &SocketAddr)| {
         json!({"instanceId": format!("s{i}"), "hostPort": address.to_string(), "zone": "a", "machineType": "std",
@@ -359,7 +366,7 @@
 
 // ---- Executors ----
 
-/// A line that an executor was sent, and the connection it came on.
+/// A line that an executor received, and its connection.
 pub struct Line {
     pub value: Value,
     pub connection: TcpStream,
@@ -374,11 +381,11 @@
         assert!(self.try_answer(verb, attrs, body), "an answer sent");
     }
 
-    /// The same where the dispatcher may have gone; false if it has.
+    /// Sends an answer to a dispatcher that may have exited; returns whether it could be written.
     pub fn try_answer(&mut self, verb: &str, attrs: Value, body: &[u8]) -> bool {
         let content = STANDARD.encode(body);
         let line = json!({"verb": verb, "rid": self.value["rid"], "attrs": attrs, "content": content});
-        // In one piece: several small ones wait for each other's acknowledgement.
+        // One write: with several small ones, Nagle's algorithm delays each until the one before is acknowledged.
         self.connection.write_all(format!("{line}\n").as_bytes()).is_ok()
     }
 
@@ -391,7 +398,7 @@
     }
 }
 
-/// An executor that leaves each line to the test.
+/// A stub executor that passes each received line to the test.
 pub struct Executor {
     pub address: SocketAddr,
     lines: Receiver<Line>,
@@ -401,16 +408,16 @@
     pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
         let address = listener.local_addr().expect("an address");
-        let (tell, lines) = channel();
+        let (line_sender, lines) = channel();
         std::thread::spawn(move || {
             for connection in listener.incoming().map_while(Result::ok) {
-                let tell: Sender<Line> = tell.clone();
+                let line_sender: Sender<Line> = line_sender.clone();
                 std::thread::spawn(move || {
                     let reader = BufReader::new(connection.try_clone().expect("a connection"));
                     for line in reader.lines().map_while(Result::ok) {
                         let value = serde_json::from_str(&line).expect("JSON");
                         let connection = connection.try_clone().expect("a connection");
-                        if tell.send(Line { value, connection }).is_err() {
+                        if line_sender.send(Line { value, connection }).is_err() {
                             return;
                         }
                     }
@@ -420,12 +427,12 @@
         Executor { address, lines }
     }
 
-    /// The next line, whenever it comes; none once nobody can send one.
+    /// Returns the next line, waiting without a limit; `None` once no connection can deliver one.
     pub fn line(&self) -> Option<Line> {
         self.lines.recv().ok()
     }
 
-    /// The next request; halts are passed over.
+    /// Returns the next request, skipping lines with other verbs.
     pub fn next(&self) -> Line {
         loop {
             let line = self.lines.recv_timeout(PATIENCE).expect("a line");
@@ -435,12 +442,12 @@
         }
     }
 
-    /// A request, if one has come.
+    /// Returns a request if one has arrived.
     pub fn poll(&self) -> Option<Line> {
         self.lines.try_iter().find(|l| l.verb() == "go")
     }
 
-    /// The requests that have come and were not asked for.
+    /// Returns the number of requests that have arrived and were not yet read.
     pub fn left(&self) -> usize {
         self.lines.try_iter().filter(|l| l.verb() == "go").count()
     }
--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -1,5 +1,5 @@
-//! Subscribers of a control service without a dispatcher around them: the program's own state machine on real sockets,
-//! many of them on one thread. They say yes to every check and apply every version at once.
+//! Subscribers of a control service without dispatchers: the dispatcher's own subscriber state machine on real sockets, many of
+//! them on one thread. They accept every check and apply every version at once.
 
 use ochreward_net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
 use ochreward_stream::subscriber::Options;
@@ -12,29 +12,29 @@
 use std::sync::mpsc::Sender;
 use std::time::Instant;
 
-/// What they are.
+/// The settings of a set of subscribers.
 pub struct Setup {
-    /// How many.
+    /// The number of subscribers.
     pub count: usize,
-    /// Their instances' names begin with this.
+    /// The prefix of their instance names.
     pub prefix: String,
-    /// The control service.
+    /// The address of the control service.
     pub service: SocketAddr,
-    /// The first and the last wait between connections, in milliseconds.
+    /// The first and the longest backoff between connections, in milliseconds.
     pub backoff: (u64, u64),
 }
 
-/// What happened to one of them.
+/// An event of a subscriber.
 pub enum Event {
-    /// A stream is up.
+    /// A stream was established.
     Up(Instant),
-    /// A version runs.
+    /// A version was applied and acknowledged.
     Ran(Instant),
 }
 
-struct Frames;
+struct FrameParser;
 
-impl Callbacks for Frames {
+impl Callbacks for FrameParser {
     type Out = Vec<FromService>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
@@ -47,22 +47,22 @@
     }
 }
 
-struct One {
+struct SubscriberConnection {
     subscriber: Subscriber,
-    link: Option<Link<Frames>>,
+    link: Option<Link<FrameParser>>,
 }
 
-/// All of them, on one thread.
+/// A set of subscribers that one thread drives.
 pub struct Subscribers {
     poll: Poll,
     start: Instant,
-    streams: Vec<One>,
+    streams: Vec<SubscriberConnection>,
 }
 
 impl Subscribers {
-    /// As many as the setup says; nothing is connected yet.
+    /// Creates the subscribers; they connect when `run` is called.
     pub fn new(setup: &Setup) -> Subscribers {
-        let one = |n: usize| {
+        let connection = |n: usize| {
             let options = Options {
                 instance: format!("{}{n:03}", setup.prefix),
                 labels: BTreeMap::new(),
@@ -74,70 +74,81 @@
                 has_base: true,
                 seed: n as u64,
             };
-            One { subscriber: Subscriber::new(options, 0, Memory::default(), None, None), link: None }
+            SubscriberConnection {
+                subscriber: Subscriber::new(options, 0, Memory::default(), None, None),
+                link: None,
+            }
         };
         Subscribers {
             poll: Poll::new().expect("a poll"),
             start: Instant::now(),
-            streams: (0..setup.count).map(one).collect(),
+            streams: (0..setup.count).map(connection).collect(),
         }
     }
 
-    /// Streams until it is told to stop.
-    pub fn run(&mut self, tell: &Sender<Event>, stop: &AtomicBool) {
-        let mut happened: Vec<Ready> = Vec::new();
+    /// Drives the subscribers until `stop` is set, and reports their events.
+    pub fn run(&mut self, events: &Sender<Event>, stop: &AtomicBool) {
+        let mut poll_events: Vec<Ready> = Vec::new();
         while !stop.load(Ordering::SeqCst) {
-            self.poll.wait(5_000, &mut happened).expect("a wait");
+            self.poll.wait(5_000, &mut poll_events).expect("a wait");
             let now = self.start.elapsed().as_micros() as u64;
-            for ready in happened.drain(..) {
-                let one = &mut self.streams[ready.token.slot as usize];
-                let Some(link) = one.link.as_mut().filter(|l| l.io.token() == ready.token) else { continue };
-                let rising = link.io.connecting();
-                let mut said = Vec::new();
-                let ended = link.ready(&mut self.poll, ready, &mut said).is_err() || link.io.ended;
-                if rising && !ended && !link.io.connecting() {
-                    one.subscriber.connected_now(now);
-                    let _ = tell.send(Event::Up(Instant::now()));
+            for ready in poll_events.drain(..) {
+                let connection = &mut self.streams[ready.token.slot as usize];
+                let Some(link) = connection.link.as_mut().filter(|l| l.io.token() == ready.token) else {
+                    continue;
+                };
+                let was_connecting = link.io.connecting();
+                let mut messages = Vec::new();
+                let ended = link.ready(&mut self.poll, ready, &mut messages).is_err() || link.io.ended;
+                if was_connecting && !ended && !link.io.connecting() {
+                    connection.subscriber.connected_now(now);
+                    let _ = events.send(Event::Up(Instant::now()));
                 }
-                said.into_iter().for_each(|m| one.subscriber.received(now, m));
+                messages.into_iter().for_each(|m| connection.subscriber.received(now, m));
                 if ended {
-                    one.link = None;
-                    one.subscriber.lost(now);
+                    connection.link = None;
+                    connection.subscriber.lost(now);
                 }
             }
             for slot in 0..self.streams.len() {
-                let one = &mut self.streams[slot];
-                if now >= one.subscriber.due() {
-                    one.subscriber.advance(now, Health::default());
+                let connection = &mut self.streams[slot];
+                if now >= connection.subscriber.due() {
+                    connection.subscriber.advance(now, Health::default());
                 }
-                carry(&mut self.poll, one, slot, now, tell);
+                perform_steps(&mut self.poll, connection, slot, now, events);
             }
         }
     }
 }
 
-fn carry(poll: &mut Poll, one: &mut One, slot: usize, now: u64, tell: &Sender<Event>) {
-    while let Some(step) = one.subscriber.steps.pop_front() {
+fn perform_steps(
+    poll: &mut Poll,
+    connection: &mut SubscriberConnection,
+    slot: usize,
+    now: u64,
+    events: &Sender<Event>,
+) {
+    while let Some(step) = connection.subscriber.steps.pop_front() {
         match step {
             Step::Connect(to) => {
                 let token = poll.token(0, slot);
-                match Link::connect(poll, to, token, Frames, (1 << 19, 1 << 19)) {
-                    Ok(link) => one.link = Some(link),
-                    Err(_) => one.subscriber.lost(now),
+                match Link::connect(poll, to, token, FrameParser, (1 << 19, 1 << 19)) {
+                    Ok(link) => connection.link = Some(link),
+                    Err(_) => connection.subscriber.lost(now),
                 }
             }
-            Step::Disconnect(_) => one.link = None,
+            Step::Disconnect(_) => connection.link = None,
             Step::Send(message) => {
                 if matches!(message, ToService::Ack { .. }) {
-                    let _ = tell.send(Event::Ran(Instant::now()));
+                    let _ = events.send(Event::Ran(Instant::now()));
                 }
-                if let Some(link) = &mut one.link {
+                if let Some(link) = &mut connection.link {
                     let _ = link.io.queue(&wire::frame(&message));
                     let _ = link.flush(poll);
                 }
             }
-            Step::Check(ticket, _) => one.subscriber.checked(ticket, Ok(())),
-            Step::Apply(ticket, _) => one.subscriber.applied(now, ticket, Ok(())),
+            Step::Check(ticket, _) => connection.subscriber.checked(ticket, Ok(())),
+            Step::Apply(ticket, _) => connection.subscriber.applied(now, ticket, Ok(())),
             _ => {}
         }
     }
--- a/crates/rig/src/thrift_client.rs
+++ b/crates/rig/src/thrift_client.rs
@@ -1,11 +1,11 @@
-//! A client of a dispatcher on the platform's wire.
+//! A blocking client for the dispatcher's Thrift protocol, and the encoding of its messages.
 
 use crate::stand::{FUNCTION, PATIENCE};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// What a client was answered.
+/// An answer to a client.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
     Served(Vec<u8>),
@@ -15,28 +15,28 @@
     Exception(String),
 }
 
-/// A client on a connection.
+/// A client with one connection. Methods named `try_` return errors, for a dispatcher that may have exited; the others panic.
 pub struct Client {
     pub stream: TcpStream,
 }
 
-fn string(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_string(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u32).to_be_bytes());
     out.extend(bytes);
 }
 
-/// A framed message.
+/// Encodes a framed message.
 pub fn call(kind: u8, method: &str, seq: i32, arguments: &[u8]) -> Vec<u8> {
     let mut message = vec![0x80, 1, 0, kind];
-    string(&mut message, method.as_bytes());
+    put_string(&mut message, method.as_bytes());
     message.extend(seq.to_be_bytes());
     message.extend(arguments);
     let mut out = Vec::new();
-    string(&mut out, &message);
+    put_string(&mut out, &message);
     out
 }
 
-/// The fields of a request.
+/// Returns the usual fields of a request.
 pub fn fields(class: &str, id: &str, ttl_ms: u64) -> BTreeMap<String, String> {
     let mut fields: BTreeMap<String, String> = [
         ("op", class),
@@ -54,16 +54,16 @@
     fields
 }
 
-/// A whole request.
+/// Encodes a framed request.
 pub fn message(seq: i32, fields: &BTreeMap<String, String>, body: &[u8]) -> Vec<u8> {
     let mut out = vec![13, 0, 1, 11, 11];
     out.extend((fields.len() as u32).to_be_bytes());
     for (name, value) in fields {
-        string(&mut out, name.as_bytes());
-        string(&mut out, value.as_bytes());
+        put_string(&mut out, name.as_bytes());
+        put_string(&mut out, value.as_bytes());
     }
     out.extend([11, 0, 2]);
-    string(&mut out, body);
+    put_string(&mut out, body);
     out.push(0);
     call(1, "serve", seq, &out)
 }
@@ -75,14 +75,14 @@
         Client { stream }
     }
 
-    /// Connects where the dispatcher may have gone.
+    /// Connects to a dispatcher that may have exited.
     pub fn try_connect(to: SocketAddr) -> std::io::Result<Client> {
         let stream = TcpStream::connect(to)?;
         stream.set_read_timeout(Some(PATIENCE))?;
         Ok(Client { stream })
     }
 
-    /// Sends where the dispatcher may have gone.
+    /// Sends a request to a dispatcher that may have exited.
     pub fn try_serve(
         &mut self,
         seq: i32,
@@ -100,7 +100,7 @@
         self.try_forget(own, seq).expect("sent");
     }
 
-    /// Takes a request back where the dispatcher may have gone.
+    /// Cancels the request `seq` at a dispatcher that may have exited; `own` is the sequence number of the cancel message.
     pub fn try_forget(&mut self, own: i32, seq: i32) -> std::io::Result<()> {
         let mut out = vec![8, 0, 1];
         out.extend(seq.to_be_bytes());
@@ -112,12 +112,12 @@
         self.try_other(method, seq).expect("sent");
     }
 
-    /// Calls a method where the dispatcher may have gone.
+    /// Calls another method of a dispatcher that may have exited.
     pub fn try_other(&mut self, method: &str, seq: i32) -> std::io::Result<()> {
         self.stream.write_all(&call(1, method, seq, &[2, 0, 1, 1, 0]))
     }
 
-    /// The next answer, or none once the connection has ended.
+    /// Returns the next answer; `None` once the connection has ended or the read has timed out.
     pub fn receive(&mut self) -> Option<(i32, Reply)> {
         let mut size = [0; 4];
         self.stream.read_exact(&mut size).ok()?;
@@ -147,7 +147,7 @@
             0 => {
                 take(3);
                 let body = text(&mut take);
-                // The map of fields, and the flag.
+                // The headers of the map of fields and the flag after the body, ending with the flag and two stops.
                 let end = take(3 + 6 + 3 + 1 + 2);
                 if method == b"isWell" { Reply::Well(end[12] == 1) } else { Reply::Served(body) }
             }
--- a/crates/rig/tests/fit.rs
+++ b/crates/rig/tests/fit.rs
@@ -1,4 +1,4 @@
-//! The lines that scale figures are fitted by, on figures whose growth is known.
+//! Tests of the curve fit for scale measurements, on points whose growth is known.
 
 use ochreward_rig::fit::{Fit, Growth};
 
@@ -6,11 +6,11 @@
 
 fn fitted(figure: impl Fn(f64) -> f64) -> Fit {
     let points: Vec<(f64, f64)> = SIZES.iter().map(|size| (*size, figure(*size))).collect();
-    Fit::of(&points).expect("a line")
+    Fit::of(&points).expect("a fit")
 }
 
 #[test]
-fn growth_is_told_apart() {
+fn linear_logarithmic_and_flat_growth_are_distinguished() {
     let linear = fitted(|n| 40.0 + 0.5 * n);
     assert_eq!(linear.growth, Growth::Linear);
     assert!((linear.slope - 0.5).abs() < 1e-9 && (linear.constant - 40.0).abs() < 1e-6);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_no_line_is_not_fitted() {
+fn too_few_sizes_or_invalid_points_give_no_fit() {
     assert_eq!(Fit::of(&[(150.0, 1.0)]), None);
     assert_eq!(Fit::of(&[(150.0, 1.0), (150.0, 2.0)]), None);
     assert_eq!(Fit::of(&[(0.0, 1.0), (150.0, 2.0)]), None);
