--- a/src/front/info.rs
+++ b/src/front/info.rs
@@ -1,4 +1,5 @@
-//! The fields of a request, which both fronts carry under the same names, read into what the core takes.
+//! Parses and validates the fields of a request, which all fronts carry under the same names. Each value has an upper
+//! bound; the first invalid field is reported by name.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,12 +8,12 @@
 /// Fields by name.
 pub type Fields = BTreeMap<String, String>;
 
-/// Names a field that can't be used, and says why.
+/// An invalid field, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid {
     /// The field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The reason, as sent to the client.
     pub why: &'static str,
 }
 
@@ -22,87 +23,87 @@
     }
 }
 
-/// The figures of a request as its fields tell them.
+/// The parameters of a request, parsed from its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sketch {
     /// The name of its class.
     pub class: String,
-    /// The client's id for it.
+    /// The request id that the client chose.
     pub call: Arc<str>,
-    /// How long the client waits, in microseconds from when it sent.
+    /// How long the client waits, in microseconds from sending.
     pub ttl_us: u64,
-    /// The name of its tenant, where given.
+    /// The name of its tenant, if given.
     pub tenant: Option<String>,
     /// The client's idempotency key.
     pub key: Option<Arc<str>>,
     /// The function.
     pub function: Arc<str>,
-    /// Requests that one copy runs at a time.
+    /// Requests that one copy of the function runs concurrently.
     pub lanes: f64,
-    /// The usual time of a load.
+    /// The usual time to load the function, in microseconds.
     pub load_us: Option<u64>,
-    /// A rough hint at the work.
+    /// The client's rough estimate of the execution time, in microseconds.
     pub work_us: Option<u64>,
-    /// A client's own retry, where clients mark those.
+    /// Whether the client marked the request as its own retry.
     pub again: bool,
 }
 
-/// The longest time that a client may say it waits, or that a load may take, in milliseconds.
-const MOST_TTL: f64 = 600_000.0;
-/// The most that a figure of a request may say.
-const MOST_FIGURE: f64 = 1e6;
+/// The upper bound on a client's time-out and on a load time.
+const MAX_TTL_MS: f64 = 600_000.0;
+/// The upper bound on other numeric fields.
+const MAX_FIELD_VALUE: f64 = 1e6;
 
-fn hex(text: &str, least: usize, most: usize) -> bool {
-    (least..=most).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit())
+fn is_hex(text: &str, min_len: usize, max_len: usize) -> bool {
+    (min_len..=max_len).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn number(text: &str) -> Option<f64> {
+fn parse_non_negative(text: &str) -> Option<f64> {
     text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
 impl Sketch {
-    /// Reads the fields; the first that can't be used is named.
+    /// Parses the fields, or returns the first invalid one.
     pub fn read(fields: &Fields) -> Result<Sketch, Invalid> {
-        let want = |field: &'static str| {
+        let required = |field: &'static str| {
             fields.get(field).map(String::as_str).ok_or(Invalid { field, why: "is missing" })
         };
-        let call = want("call")?;
-        if !hex(call, 16, 16) {
+        let call = required("call")?;
+        if !is_hex(call, 16, 16) {
             return Err(Invalid { field: "call", why: "must be 16 hex digits" });
         }
-        let row = want("row")?;
-        if !hex(row, 16, 16) {
+        let row = required("row")?;
+        if !is_hex(row, 16, 16) {
             return Err(Invalid { field: "row", why: "must be 16 hex digits" });
         }
-        let ttl = number(want("ttl")?).filter(|ms| *ms <= MOST_TTL);
+        let ttl = parse_non_negative(required("ttl")?).filter(|ms| *ms <= MAX_TTL_MS);
         let ttl = ttl.ok_or(Invalid { field: "ttl", why: "must be milliseconds, 600000 at most" })?;
         let key = fields.get("dedupe").map(String::as_str);
-        if key.is_some_and(|k| !hex(k, 1, 64)) {
+        if key.is_some_and(|k| !is_hex(k, 1, 64)) {
             return Err(Invalid { field: "dedupe", why: "must be hex digits, 64 at most" });
         }
-        // A hint may be absent; but what is no figure is no request of a sound client.
-        let work = fields.get("work").map(|w| number(w).filter(|w| *w <= MOST_FIGURE));
+        // The hint is optional, but a value that is not a number means that the client is faulty.
+        let work = fields.get("work").map(|w| parse_non_negative(w).filter(|w| *w <= MAX_FIELD_VALUE));
         if work == Some(None) {
             return Err(Invalid { field: "work", why: "must be a figure, 1000000 at most" });
         }
         let (mut lanes, mut load_us) = (1.0, None);
         for part in fields.get("info").map_or("", String::as_str).split(';').filter(|p| !p.is_empty()) {
-            let figure = |v: &str, least: f64, most: f64| {
-                let figure = number(v).filter(|n| (least..=most).contains(n));
-                figure.ok_or(Invalid { field: "info", why: "holds a figure that is none, or out of range" })
+            let bounded = |v: &str, min: f64, max: f64| {
+                let value = parse_non_negative(v).filter(|n| (min..=max).contains(n));
+                value.ok_or(Invalid { field: "info", why: "holds a figure that is none, or out of range" })
             };
             match part.split_once(':') {
-                Some(("lanes", v)) => lanes = figure(v, 1.0, 1024.0)?,
+                Some(("lanes", v)) => lanes = bounded(v, 1.0, 1024.0)?,
                 Some(("load_ms", v)) => {
-                    load_us = Some((figure(v, 0.0, MOST_TTL)? * 1000.0) as u64).filter(|l| *l > 0)
+                    load_us = Some((bounded(v, 0.0, MAX_TTL_MS)? * 1000.0) as u64).filter(|l| *l > 0)
                 }
-                Some(("memory_mb", v)) => drop(figure(v, 0.0, MOST_FIGURE)?),
+                Some(("memory_mb", v)) => drop(bounded(v, 0.0, MAX_FIELD_VALUE)?),
                 Some(_) => {}
                 None => return Err(Invalid { field: "info", why: "must be name:figure pairs" }),
             }
         }
         Ok(Sketch {
-            class: want("op")?.to_string(),
+            class: required("op")?.to_string(),
             call: call.into(),
             ttl_us: (ttl * 1000.0) as u64,
             tenant: fields.get("org").cloned(),
--- a/src/front/info/tests.rs
+++ b/src/front/info/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn fields(change: &[(&str, Option<&str>)]) -> Fields {
+fn fields(overrides: &[(&str, Option<&str>)]) -> Fields {
     let mut fields: Fields = [
         ("op", "call"),
         ("call", "9b1f03aa5c7e2d41"),
@@ -10,7 +10,7 @@
     ]
     .map(|(k, v)| (k.to_string(), v.to_string()))
     .into();
-    for (name, value) in change {
+    for (name, value) in overrides {
         match value {
             Some(value) => fields.insert(name.to_string(), value.to_string()),
             None => fields.remove(*name),
@@ -20,22 +20,22 @@
 }
 
 #[test]
-fn good_fields_are_read() {
+fn valid_fields_are_parsed() {
     let sketch = Sketch::read(&fields(&[])).expect("good");
     assert_eq!((sketch.ttl_us, sketch.lanes, sketch.load_us), (1_500_000, 2.0, Some(640_000)));
 }
 
 #[test]
-fn the_hint_and_the_mark_of_a_retry_are_read() {
+fn work_hint_and_retry_mark_are_parsed() {
     let sketch = Sketch::read(&fields(&[("work", Some("8.2")), ("rep", Some("1"))])).expect("good");
     assert_eq!((sketch.work_us, sketch.again), (Some(8_200), true));
     let plain = Sketch::read(&fields(&[("work", Some("0"))])).expect("good");
-    assert_eq!((plain.work_us, plain.again), (None, false), "a hint at nothing is none");
+    assert_eq!((plain.work_us, plain.again), (None, false), "a hint of zero counts as absent");
 }
 
 #[test]
-fn each_unusable_field_is_named() {
-    let bad = [
+fn each_invalid_field_is_reported_by_name() {
+    let invalid = [
         ("op", None),
         ("call", Some("xyz")),
         ("ttl", Some("soon")),
@@ -50,7 +50,7 @@
         ("work", Some("x")),
         ("work", Some("1e9")),
     ];
-    for (name, value) in bad {
+    for (name, value) in invalid {
         assert_eq!(Sketch::read(&fields(&[(name, value)])).expect_err(name).field, name);
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! The fronts: each turns the bytes of its protocol into requests of the core, and answers into bytes. They
-//! decide nothing.
+//! The fronts: each decodes the bytes of its protocol into requests for the core and encodes final answers into bytes.
+//! Scheduling decisions are left to the core; each front's own limits bound its connections, buffers and sessions.
 
 mod info;
 pub mod mqtt;
@@ -10,24 +10,25 @@
 
 pub use info::{Fields, Invalid, Sketch};
 
-/// What clients ask, whichever front they come by.
+/// An event from a client, in the form that all fronts share.
 #[derive(Debug)]
 pub enum Intake {
-    /// A request whose figures are usable.
+    /// A request whose fields are valid.
     Serve {
-        /// Where its answer goes.
+        /// Identifies the request; its answer is returned under it.
         ticket: Ticket,
-        /// Its figures.
+        /// Its parameters.
         sketch: Sketch,
         /// Its body.
         body: Vec<u8>,
-        /// How long ago its client sent it, in microseconds; 0 where that is not told.
+        /// How long ago its client sent it, in microseconds; 0 if the protocol does not carry that.
         age_us: u64,
-        /// It may have been handed in before, to this program or another.
+        /// Whether it may have been submitted before, to this process or another.
         again: bool,
     },
-    /// The client waits for this no more.
+    /// The client no longer waits for this request.
     Forget(Ticket),
-    /// The client has closed its end: no further attempt is to begin for this, but what runs may still be answered.
+    /// The client has closed its sending side: no further attempt starts for this request, but one that is running may
+    /// still be answered.
     HungUp(Ticket),
 }
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -1,4 +1,6 @@
-//! The connection to a broker and the way of each message to its one answer.
+//! The connection to one broker, and the processing of each message until its single answer is acknowledged. Messages come
+//! from the broker, final answers from the core. The receive maximums of both sides and the packet sizes bound what is
+//! outstanding; a broker that does not respond in time is disconnected and reconnected with backoff.
 
 use super::options::Options;
 use super::packets;
@@ -13,28 +15,29 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The first wait before a new connection; it doubles up to the last.
-const BACKOFF_FIRST: u64 = 100_000;
-const BACKOFF_LAST: u64 = 10_000_000;
-/// A broker that does not answer a connect, a subscription or a ping for this long is given up.
-const SILENT: u64 = 5_000_000;
-/// An answer that the broker would not take is tried again after this long.
-const RETRY: u64 = 1_000_000;
-
-struct Speaker {
-    most: usize,
-    /// What the broker did against the specification: it is told before the connection ends.
+/// The delay before the first reconnect; it doubles with each failure, up to the maximum.
+const BACKOFF_MIN_US: u64 = 100_000;
+const BACKOFF_MAX_US: u64 = 10_000_000;
+/// The connection is dropped if the broker does not respond to a CONNECT, SUBSCRIBE or PINGREQ within this time.
+const RESPONSE_TIMEOUT_US: u64 = 5_000_000;
+/// The delay before an answer that the broker rejected is published again.
+const PUBLISH_RETRY_DELAY_US: u64 = 1_000_000;
+
+/// Decodes the broker's packets.
+struct Decoder {
+    max_packet_bytes: usize,
+    /// A protocol violation by the broker, whose reason is sent in a DISCONNECT before the connection ends.
     violation: Option<Violation>,
 }
 
-impl Callbacks for Speaker {
+impl Callbacks for Decoder {
     type Out = Vec<Packet>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
         let mut done = 0;
         loop {
-            match decode(&bytes[done..], Version::V5, self.most) {
+            match decode(&bytes[done..], Version::V5, self.max_packet_bytes) {
                 Ok(Some((packet, size))) => {
                     out.push(packet);
                     done += size;
@@ -51,47 +54,49 @@
     }
 }
 
-/// What a ping stands for: once it is answered, all that was asked before it has been.
+/// The purpose of a ping. The broker answers in order, so a PINGRESP shows that everything sent before it was answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ping {
-    /// A sign of life.
-    Life,
-    /// The end of the look for this message's record.
-    Record(i64),
+    /// Keeps the connection alive.
+    KeepAlive,
+    /// Marks the end of the record lookup of this message.
+    RecordLookup(i64),
 }
 
-/// What a broker said at connect.
+/// The limits that a broker announced in CONNACK.
 #[derive(Clone, Copy, Debug)]
-struct Broker {
-    /// QoS 1 messages that it takes unacknowledged.
+struct BrokerLimits {
+    /// Unacknowledged QoS 1 messages that it accepts.
     receive_maximum: u16,
-    /// The largest packet that it takes.
+    /// The largest packet that it accepts.
     maximum_packet: Option<u32>,
-    /// The keep-alive that it wants, in seconds.
+    /// The keep-alive that it requires, in seconds.
     keep_alive: Option<u16>,
 }
 
-/// What hangs on the connection that stands.
+/// The state of the current connection.
 struct Session {
-    link: Link<Speaker>,
-    /// What the broker said at connect; none before.
-    broker: Option<Broker>,
-    /// When something was last asked that must be answered.
-    asked: Option<u64>,
-    sent: u64,
+    link: Link<Decoder>,
+    /// The limits from CONNACK; none before it arrives.
+    broker_limits: Option<BrokerLimits>,
+    /// When a packet that needs a response was last sent; none if no response is outstanding.
+    awaiting_since: Option<u64>,
+    /// When a packet was last sent.
+    last_sent: u64,
+    /// Pings without a response, in order.
     pings: VecDeque<Ping>,
-    /// Subscriptions to records, by packet number.
-    looks: Vec<(u16, i64)>,
-    /// Messages taken and not acknowledged.
+    /// Record subscriptions without a SUBACK: packet id and message number.
+    record_lookups: Vec<(u16, i64)>,
+    /// Packet ids of messages received and not acknowledged.
     unacknowledged: BTreeSet<u16>,
     /// Answers published and not acknowledged.
-    publishing: usize,
-    /// Numbers of our packets that await an answer.
-    out: BTreeSet<u16>,
+    unacknowledged_answers: usize,
+    /// Packet ids of sent packets that await a response.
+    used_ids: BTreeSet<u16>,
     next_id: u16,
 }
 
-/// The front.
+/// The front to one broker.
 pub struct Front {
     id: u8,
     options: Options,
@@ -103,12 +108,12 @@
     stopping: bool,
     packets: Vec<Packet>,
     counters: Rc<Counters>,
-    /// What clients asked, in order.
+    /// Requests from clients, in order of arrival.
     pub intake: Vec<Intake>,
 }
 
 impl Front {
-    /// A front that connects at its first turn.
+    /// Creates a front that connects at the first `advance`.
     pub fn new(id: u8, options: Options, counters: Rc<Counters>) -> Front {
         Front {
             id,
@@ -116,7 +121,7 @@
             session: None,
             records: Records::default(),
             connect_at: 0,
-            backoff: BACKOFF_FIRST,
+            backoff: BACKOFF_MIN_US,
             retry_at: None,
             stopping: false,
             packets: Vec::new(),
@@ -125,22 +130,22 @@
         }
     }
 
-    /// What it was told.
+    /// Returns the options that the front was created with.
     pub fn options(&self) -> &Options {
         &self.options
     }
 
-    /// Takes nothing more; what was taken is still answered.
+    /// Stops taking requests; those already taken are still answered.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether every message that the core had has its answer with the broker.
+    /// Returns whether the broker has acknowledged the answer to every request that the core was given.
     pub fn settled(&self) -> bool {
-        self.records.messages.values().all(|m| m.stage == Stage::Looking)
+        self.records.messages.values().all(|m| m.stage == Stage::LookingUp)
     }
 
-    /// Takes leave of the broker, which keeps the session.
+    /// Disconnects from the broker, which keeps the session.
     pub fn leave(&mut self, poll: &Poll) {
         if let Some(session) = &mut self.session {
             let _ = session.link.io.queue(&packets::disconnect(Reason::Success));
@@ -151,29 +156,32 @@
 
     fn connect(&mut self, poll: &mut Poll, now: u64) {
         count(&self.counters.mqtt_connects);
-        let o = &self.options;
-        // Waits double, so that a broker that comes back is not met by all at once.
+        let options = &self.options;
+        // Exponential backoff, so that not all dispatchers connect at once to a broker that comes back.
         self.connect_at = now + self.backoff;
-        self.backoff = (self.backoff * 2).min(BACKOFF_LAST);
+        self.backoff = (self.backoff * 2).min(BACKOFF_MAX_US);
         let token = poll.token(self.id, 0);
-        let limits = (o.maximum_packet * 2, 4 << 20);
-        let Ok(mut link) =
-            Link::connect(poll, o.broker, token, Speaker { most: o.maximum_packet, violation: None }, limits)
-        else {
+        let limits = (options.maximum_packet * 2, 4 << 20);
+        let Ok(mut link) = Link::connect(
+            poll,
+            options.broker,
+            token,
+            Decoder { max_packet_bytes: options.maximum_packet, violation: None },
+            limits,
+        ) else {
             return;
         };
-        let hello = packets::connect(o);
-        let _ = link.io.queue(&hello);
+        let _ = link.io.queue(&packets::connect(options));
         self.session = Some(Session {
             link,
-            broker: None,
-            asked: Some(now),
-            sent: now,
+            broker_limits: None,
+            awaiting_since: Some(now),
+            last_sent: now,
             pings: VecDeque::new(),
-            looks: Vec::new(),
+            record_lookups: Vec::new(),
             unacknowledged: BTreeSet::new(),
-            publishing: 0,
-            out: BTreeSet::new(),
+            unacknowledged_answers: 0,
+            used_ids: BTreeSet::new(),
             next_id: 1,
         });
     }
@@ -187,7 +195,7 @@
         }
     }
 
-    /// Handles what happened to the connection.
+    /// Handles readiness of the connection.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
         let Some(session) = self.session.as_mut().filter(|s| s.link.io.token() == ready.token) else {
             return;
@@ -198,7 +206,7 @@
             result = result.and(Err(Closed::Broken));
         }
         for packet in packets.drain(..) {
-            if let Err(m) = self.packet(now, unix_ms, packet) {
+            if let Err(m) = self.handle_packet(now, unix_ms, packet) {
                 result = Err(Closed::Malformed(m.0));
                 break;
             }
@@ -219,88 +227,91 @@
         }
     }
 
-    fn packet(&mut self, now: u64, unix_ms: u64, packet: Packet) -> Result<(), Malformed> {
+    fn handle_packet(&mut self, now: u64, unix_ms: u64, packet: Packet) -> Result<(), Malformed> {
         let Some(session) = &mut self.session else { return Ok(()) };
-        if session.broker.is_none() && !matches!(packet, Packet::Connack(_) | Packet::Disconnect(_)) {
+        if session.broker_limits.is_none() && !matches!(packet, Packet::Connack(_) | Packet::Disconnect(_)) {
             return Err(Malformed("an MQTT packet before CONNACK"));
         }
         match packet {
-            Packet::Connack(connack) => self.connected(now, &connack)?,
-            Packet::Publish(publish) => self.published(now, unix_ms, *publish)?,
-            Packet::Puback(ack) => self.acknowledged(now, ack.id, ack.reason),
+            Packet::Connack(connack) => self.handle_connack(now, &connack)?,
+            Packet::Publish(publish) => self.handle_publish(now, unix_ms, *publish)?,
+            Packet::Puback(ack) => self.handle_puback(now, ack.id, ack.reason),
             Packet::Suback(suback) => {
                 let id = suback.id;
-                session.asked = None;
-                session.out.remove(&id);
+                session.awaiting_since = None;
+                session.used_ids.remove(&id);
                 if suback.reasons.iter().any(|r| r.failed()) {
-                    return Err(Malformed("an MQTT subscription that was turned down"));
+                    return Err(Malformed("an MQTT subscription that the broker rejected"));
                 }
-                if let Some(at) = session.looks.iter().position(|(i, _)| *i == id) {
-                    // What is kept on the topic is sent on the subscription, hence before the answer to a ping.
-                    let (_, number) = session.looks.remove(at);
-                    session.ping(now, Ping::Record(number));
+                if let Some(at) = session.record_lookups.iter().position(|(i, _)| *i == id) {
+                    // The broker sends a retained message upon the subscription, hence before the response to a ping.
+                    let (_, number) = session.record_lookups.remove(at);
+                    session.ping(now, Ping::RecordLookup(number));
                 }
             }
             Packet::Pingresp => {
-                session.asked = None;
-                if let Some(Ping::Record(number)) = session.pings.pop_front() {
-                    self.not_answered(now, unix_ms, number);
+                session.awaiting_since = None;
+                if let Some(Ping::RecordLookup(number)) = session.pings.pop_front() {
+                    self.record_not_found(now, unix_ms, number);
                 }
             }
             Packet::Unsuback(unsuback) => {
-                session.out.remove(&unsuback.id);
+                session.used_ids.remove(&unsuback.id);
             }
-            Packet::Disconnect(_) => return Err(Malformed("an MQTT broker that closes")),
+            Packet::Disconnect(_) => return Err(Malformed("a DISCONNECT from the MQTT broker")),
             _ => {
                 session.link.peer.violation =
-                    Some(Violation::protocol("MQTT 4.13", "an MQTT packet that nothing asked for"));
-                return Err(Malformed("an MQTT packet that nothing asked for"));
+                    Some(Violation::protocol("MQTT 4.13", "an unexpected MQTT packet"));
+                return Err(Malformed("an unexpected MQTT packet"));
             }
         }
         Ok(())
     }
 
-    fn connected(&mut self, now: u64, connack: &Connack) -> Result<(), Malformed> {
+    fn handle_connack(&mut self, now: u64, connack: &Connack) -> Result<(), Malformed> {
         let Some(session) = &mut self.session else { return Ok(()) };
-        let told = &connack.properties;
+        let announced = &connack.properties;
         if connack.reason.failed()
-            || told.maximum_qos_1 == Some(false)
-            || told.retain_available == Some(false)
+            || announced.maximum_qos_1 == Some(false)
+            || announced.retain_available == Some(false)
         {
-            return Err(Malformed("an MQTT broker that turns us down or lacks QoS 1 or retained messages"));
-        }
-        self.backoff = BACKOFF_FIRST;
-        session.asked = None;
-        session.broker = Some(Broker {
-            receive_maximum: told.receive_maximum.unwrap_or(u16::MAX),
-            maximum_packet: told.maximum_packet,
-            keep_alive: told.server_keep_alive,
+            return Err(Malformed(
+                "an MQTT broker that refuses the connection or lacks QoS 1 or retained messages",
+            ));
+        }
+        self.backoff = BACKOFF_MIN_US;
+        session.awaiting_since = None;
+        session.broker_limits = Some(BrokerLimits {
+            receive_maximum: announced.receive_maximum.unwrap_or(u16::MAX),
+            maximum_packet: announced.maximum_packet,
+            keep_alive: announced.server_keep_alive,
         });
-        let id = session.id();
-        session.say(now, &packets::subscribe(id, &self.options.triggers, Qos::AtLeastOnce));
-        session.asked = Some(now);
-        // Danger: an answer published before the connection broke may be with the broker. Its record is asked
-        // for first, so that it is not published twice.
-        let again = self.records.messages.iter().filter(|(_, m)| m.stage == Stage::Looking || m.unchecked());
+        let id = session.next_packet_id();
+        session.send(now, &packets::subscribe(id, &self.options.triggers, Qos::AtLeastOnce));
+        session.awaiting_since = Some(now);
+        // The broker may hold an answer that was published before the connection broke. Its record is looked up first,
+        // so that it is not published twice.
+        let again =
+            self.records.messages.iter().filter(|(_, m)| m.stage == Stage::LookingUp || m.unchecked());
         for number in again.map(|(n, _)| *n).collect::<Vec<_>>() {
-            self.look(now, number);
+            self.look_up_record(now, number);
         }
         self.publish_answers(now);
         Ok(())
     }
 
-    fn published(&mut self, now: u64, unix_ms: u64, p: Publish) -> Result<(), Malformed> {
-        if let Some(number) = self.records.on_topic(&p.topic) {
-            // A record, or the echo of one.
-            if self.records.messages[&number].waits_for_record() {
-                self.finish(now, number, true);
+    fn handle_publish(&mut self, now: u64, unix_ms: u64, publish: Publish) -> Result<(), Malformed> {
+        if let Some(number) = self.records.on_topic(&publish.topic) {
+            // A record, or the broker's echo of an answer published here.
+            if self.records.messages[&number].awaits_record() {
+                self.complete(now, number, true);
             }
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, publish.id);
             return Ok(());
         }
         let Some(session) = &mut self.session else { return Ok(()) };
-        if p.qos == Qos::ExactlyOnce {
-            // The subscription is of QoS 1, and a broker never sends more [MQTT-3.8.4-8].
+        if publish.qos == Qos::ExactlyOnce {
+            // The subscription is of QoS 1, and a broker may not exceed that [MQTT-3.8.4-8].
             session.link.peer.violation = Some(Violation {
                 reason: Reason::QosNotSupported,
                 statement: "MQTT-3.8.4-8",
@@ -308,8 +319,8 @@
             });
             return Err(Malformed("an MQTT message of a higher QoS than was granted"));
         }
-        if p.id > 0 {
-            session.unacknowledged.insert(p.id);
+        if publish.id > 0 {
+            session.unacknowledged.insert(publish.id);
             if session.unacknowledged.len() > usize::from(self.options.receive_maximum) {
                 session.link.peer.violation = Some(Violation {
                     reason: Reason::ReceiveMaximumExceeded,
@@ -323,47 +334,48 @@
             return Ok(());
         }
         count(&self.counters.mqtt_messages);
-        let fields: Fields = p.properties.user.iter().cloned().collect();
+        let fields: Fields = publish.properties.user.iter().cloned().collect();
         let call: Arc<str> = fields.get("call").map_or("", String::as_str).into();
-        if let Some(number) = self.records.under_way(&call) {
-            // Delivered again while it is under way: the one answer acknowledges this delivery too.
+        if let Some(number) = self.records.open_with_id(&call) {
+            // Delivered again while the request is open: its answer acknowledges this delivery too.
             count(&self.counters.mqtt_duplicates);
             if let Some(message) = self.records.messages.get_mut(&number) {
-                message.packets.push(p.id);
+                message.packet_ids.push(publish.id);
             }
             return Ok(());
         }
         if self.records.answered(&call) {
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, publish.id);
             return Ok(());
         }
-        let again = p.dup || p.retain;
-        let topic = p.properties.response_topic.clone().unwrap_or_default();
+        let again = publish.dup || publish.retain;
+        let topic = publish.properties.response_topic.clone().unwrap_or_default();
         if topic.is_empty() || topic.starts_with('$') || topic.contains(['+', '#', '\0']) {
-            // There is nowhere to answer to, or no record could be found there: `$share` is no topic.
+            // There is no response topic, or no record can be looked up on it: subscribing to a name that starts with
+            // `$share` would make a shared subscription.
             count(&self.counters.requests_invalid);
-            return self.reject(now, p.id);
+            return self.reject(now, publish.id);
         }
-        let kept = !call.is_empty() && topic.rsplit('/').next() == Some(&*call);
-        let (request, fault) = match read(&p, &fields, kept) {
-            Ok((sketch, sent_ms)) => (Some((sketch, p.payload, sent_ms)), None),
+        let retained = !call.is_empty() && topic.rsplit('/').next() == Some(&*call);
+        let (request, fault) = match parse_trigger(&publish, &fields, retained) {
+            Ok((sketch, sent_ms)) => (Some((sketch, publish.payload, sent_ms)), None),
             Err(invalid) => (None, Some(invalid)),
         };
         let sent_ms = request.as_ref().map_or(unix_ms, |r| r.2);
         if again && unix_ms.saturating_sub(sent_ms) > u64::from(self.options.record_expiry) * 1000 {
-            // Its record may have gone by age; its client has long stopped waiting.
+            // Its record may have expired, and its client has long stopped waiting.
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, publish.id);
             return Ok(());
         }
         let message = Message {
             call,
             topic,
-            correlation: p.properties.correlation.unwrap_or_default(),
-            packets: vec![p.id],
+            correlation: publish.properties.correlation.unwrap_or_default(),
+            packet_ids: vec![publish.id],
             stage: Stage::Running,
-            kept,
+            retained,
             request: request.map(|(sketch, body, _)| (sketch, body)),
             sent_ms,
             answer: Default::default(),
@@ -371,50 +383,50 @@
         let number = self.records.add(message);
         if let Some(invalid) = fault {
             count(&self.counters.requests_invalid);
-            self.fault(number, &invalid, !(again && kept));
+            self.answer_invalid(number, &invalid, !(again && retained));
             self.publish_answers(now);
-            if again && kept {
-                self.look(now, number);
+            if again && retained {
+                self.look_up_record(now, number);
             }
         } else if again {
-            self.look(now, number);
+            self.look_up_record(now, number);
         } else {
-            self.hand_in(unix_ms, number, false);
+            self.submit(unix_ms, number, false);
         }
         Ok(())
     }
 
-    /// A message that can't be answered is acknowledged as unusable.
+    /// Acknowledges a message that can't be answered, with reason Payload format invalid.
     fn reject(&mut self, now: u64, id: u16) -> Result<(), Malformed> {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return Ok(()) };
         session.unacknowledged.remove(&id);
-        session.say(now, &packets::puback(id, Reason::PayloadFormatInvalid));
+        session.send(now, &packets::puback(id, Reason::PayloadFormatInvalid));
         Ok(())
     }
 
-    /// Asks the broker whether the message was answered before.
-    fn look(&mut self, now: u64, number: i64) {
+    /// Looks up with the broker whether the message was answered before, by subscribing to its response topic.
+    fn look_up_record(&mut self, now: u64, number: i64) {
         let Some(message) = self.records.messages.get_mut(&number) else { return };
         if message.stage == Stage::Running {
-            message.stage = Stage::Looking;
+            message.stage = Stage::LookingUp;
         }
-        let Some(session) = self.session.as_mut().filter(|s| s.broker.is_some()) else { return };
-        let id = session.id();
-        // At QoS 0, since the broker holds back what would pass our receive maximum.
-        session.say(now, &packets::subscribe(id, &message.topic, Qos::AtMostOnce));
-        session.asked = Some(now);
-        session.looks.push((id, number));
+        let Some(session) = self.session.as_mut().filter(|s| s.broker_limits.is_some()) else { return };
+        let id = session.next_packet_id();
+        // At QoS 0, since the broker withholds QoS 1 messages beyond this client's receive maximum.
+        session.send(now, &packets::subscribe(id, &message.topic, Qos::AtMostOnce));
+        session.awaiting_since = Some(now);
+        session.record_lookups.push((id, number));
     }
 
-    /// The broker holds no record of the message.
-    fn not_answered(&mut self, now: u64, unix_ms: u64, number: i64) {
+    /// Handles the end of a record lookup that found no record.
+    fn record_not_found(&mut self, now: u64, unix_ms: u64, number: i64) {
         let Some(message) = self.records.messages.get_mut(&number) else { return };
         if let Some(session) = &mut self.session {
-            let id = session.id();
-            session.say(now, &packets::unsubscribe(id, &message.topic));
+            let id = session.next_packet_id();
+            session.send(now, &packets::unsubscribe(id, &message.topic));
         }
         match message.stage {
-            Stage::Looking => self.hand_in(unix_ms, number, true),
+            Stage::LookingUp => self.submit(unix_ms, number, true),
             Stage::Answered { .. } => {
                 message.stage = Stage::Answered { checked: true };
                 self.publish_answers(now);
@@ -423,8 +435,8 @@
         }
     }
 
-    /// Gives the request to the core.
-    fn hand_in(&mut self, unix_ms: u64, number: i64, again: bool) {
+    /// Submits the request to the core.
+    fn submit(&mut self, unix_ms: u64, number: i64, again: bool) {
         let Some(message) = self.records.messages.get_mut(&number) else { return };
         message.stage = Stage::Running;
         let age_us = unix_ms.saturating_sub(message.sent_ms) * 1000;
@@ -434,7 +446,7 @@
         }
     }
 
-    /// Takes the final answer of a request.
+    /// Delivers the final answer to a request.
     pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let answer = match answer {
@@ -445,26 +457,26 @@
             }
             Final::Failed(why) => (vec![pair("status", "failed"), pair("why", why)], Vec::new()),
         };
-        self.answered(ticket.seq, answer, true);
+        self.set_answer(ticket.seq, answer, true);
         self.publish_answers(now);
         self.flush(poll, now);
     }
 
-    /// A request with a field that can't be used: failed, and the field is named.
+    /// Rejects a request that has an invalid field: the answer is a failure that names the field.
     pub fn invalid(&mut self, poll: &Poll, now: u64, ticket: Ticket, invalid: &Invalid) {
         count(&self.counters.requests_invalid);
-        self.fault(ticket.seq, invalid, true);
+        self.answer_invalid(ticket.seq, invalid, true);
         self.publish_answers(now);
         self.flush(poll, now);
     }
 
-    fn fault(&mut self, number: i64, invalid: &Invalid, checked: bool) {
+    fn answer_invalid(&mut self, number: i64, invalid: &Invalid, checked: bool) {
         let pairs = [("status", "failed"), ("field", invalid.field), ("why", invalid.why)];
         let pairs = pairs.map(|(n, v)| (n.to_string(), v.to_string()));
-        self.answered(number, (pairs.to_vec(), Vec::new()), checked);
+        self.set_answer(number, (pairs.to_vec(), Vec::new()), checked);
     }
 
-    fn answered(&mut self, number: i64, answer: (Vec<(String, String)>, Vec<u8>), checked: bool) {
+    fn set_answer(&mut self, number: i64, answer: (Vec<(String, String)>, Vec<u8>), checked: bool) {
         match self.records.messages.get_mut(&number) {
             Some(message) => {
                 message.answer = answer;
@@ -475,66 +487,66 @@
         }
     }
 
-    /// Publishes the answers that wait, as many as the broker takes at a time.
+    /// Publishes waiting answers, as many as the broker's receive maximum allows.
     fn publish_answers(&mut self, now: u64) {
         let Some(session) = &mut self.session else { return };
-        let Some(broker) = session.broker else { return };
+        let Some(broker) = session.broker_limits else { return };
         for message in self.records.messages.values_mut() {
             if message.stage != (Stage::Answered { checked: true }) {
                 continue;
             }
-            if session.publishing >= usize::from(broker.receive_maximum) {
+            if session.unacknowledged_answers >= usize::from(broker.receive_maximum) {
                 return;
             }
-            let id = session.id();
+            let id = session.next_packet_id();
             let written = message.publish(id, self.options.record_expiry, broker.maximum_packet);
             let packet = written.or_else(|_| {
                 let pairs = [("status", "failed"), ("why", "the answer is larger than the broker takes")];
                 message.answer = (pairs.map(|(n, v)| (n.to_string(), v.to_string())).to_vec(), Vec::new());
                 message.publish(id, self.options.record_expiry, None)
             });
-            if !packet.is_ok_and(|packet| session.say(now, &packet)) {
+            if !packet.is_ok_and(|packet| session.send(now, &packet)) {
                 return;
             }
             message.stage = Stage::Publishing { id };
-            session.publishing += 1;
+            session.unacknowledged_answers += 1;
         }
     }
 
-    /// The broker has taken an answer, or would not.
-    fn acknowledged(&mut self, now: u64, id: u16, reason: Reason) {
+    /// Handles a PUBACK: the broker accepted an answer or rejected it.
+    fn handle_puback(&mut self, now: u64, id: u16, reason: Reason) {
         if let Some(session) = &mut self.session {
-            session.out.remove(&id);
+            session.used_ids.remove(&id);
         }
         let stage = Stage::Publishing { id };
         let found = self.records.messages.iter_mut().find(|(_, m)| m.stage == stage);
         let Some((number, message)) = found else { return };
         if let Some(session) = &mut self.session {
-            session.publishing -= 1;
+            session.unacknowledged_answers -= 1;
         }
         if reason.failed() {
-            // Not with the broker, so not acknowledged either: it is tried again.
+            // The broker does not hold the answer, so the message is not acknowledged; publishing is retried.
             message.stage = Stage::Answered { checked: false };
-            self.retry_at = Some(now + RETRY);
+            self.retry_at = Some(now + PUBLISH_RETRY_DELAY_US);
             return;
         }
         let number = *number;
         count(&self.counters.mqtt_answers);
-        self.finish(now, number, false);
+        self.complete(now, number, false);
         self.publish_answers(now);
     }
 
-    /// The message's one answer is with the broker: the message is acknowledged.
-    fn finish(&mut self, now: u64, number: i64, recorded: bool) {
-        let Some(message) = self.records.done(number) else { return };
+    /// Acknowledges a message whose answer the broker holds. `recorded` is set if a record lookup showed that.
+    fn complete(&mut self, now: u64, number: i64, recorded: bool) {
+        let Some(message) = self.records.complete(number) else { return };
         if recorded {
             count(&self.counters.mqtt_duplicates);
             if let Some(session) = &mut self.session {
-                let id = session.id();
-                session.say(now, &packets::unsubscribe(id, &message.topic));
+                let id = session.next_packet_id();
+                session.send(now, &packets::unsubscribe(id, &message.topic));
             }
         }
-        for id in message.packets {
+        for id in message.packet_ids {
             self.acknowledge(now, id);
         }
     }
@@ -542,7 +554,7 @@
     fn acknowledge(&mut self, now: u64, id: u16) {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return };
         session.unacknowledged.remove(&id);
-        if session.say(now, &packets::puback(id, Reason::Success)) {
+        if session.send(now, &packets::puback(id, Reason::Success)) {
             count(&self.counters.mqtt_acknowledged);
         }
     }
@@ -555,7 +567,7 @@
         }
     }
 
-    /// Connects, gives signs of life, and gives up a broker that gives none.
+    /// Connects, sends keep-alive pings, drops a connection whose broker does not respond, and retries rejected answers.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         let Some(session) = &mut self.session else {
             if now >= self.connect_at {
@@ -563,60 +575,61 @@
             }
             return;
         };
-        if session.asked.is_some_and(|at| now >= at + SILENT) {
+        if session.awaiting_since.is_some_and(|at| now >= at + RESPONSE_TIMEOUT_US) {
             return self.drop_session(Closed::Broken);
         }
         let keep_alive = session.keep_alive(&self.options);
-        if session.broker.is_some() && keep_alive > 0 && now >= session.sent + keep_alive / 2 {
-            session.ping(now, Ping::Life);
+        if session.broker_limits.is_some() && keep_alive > 0 && now >= session.last_sent + keep_alive / 2 {
+            session.ping(now, Ping::KeepAlive);
         }
         if self.retry_at.is_some_and(|at| now >= at) {
             self.retry_at = None;
             let again: Vec<i64> =
                 self.records.messages.iter().filter(|(_, m)| m.unchecked()).map(|(n, _)| *n).collect();
-            again.into_iter().for_each(|number| self.look(now, number));
+            again.into_iter().for_each(|number| self.look_up_record(now, number));
         }
         self.flush(poll, now);
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has work to do.
     pub fn due(&self) -> u64 {
         let Some(session) = &self.session else { return self.connect_at };
-        let life = match session.keep_alive(&self.options) {
+        let ping_due = match session.keep_alive(&self.options) {
             0 => u64::MAX,
-            keep_alive => session.sent + keep_alive / 2,
+            keep_alive => session.last_sent + keep_alive / 2,
         };
-        let silent = session.asked.map_or(u64::MAX, |at| at + SILENT);
-        let life = if session.broker.is_some() { life } else { u64::MAX };
-        life.min(silent).min(self.retry_at.unwrap_or(u64::MAX))
+        let timeout = session.awaiting_since.map_or(u64::MAX, |at| at + RESPONSE_TIMEOUT_US);
+        let ping_due = if session.broker_limits.is_some() { ping_due } else { u64::MAX };
+        ping_due.min(timeout).min(self.retry_at.unwrap_or(u64::MAX))
     }
 }
 
 impl Session {
-    fn id(&mut self) -> u16 {
-        // Danger: a number that comes round while its packet is still out would be acknowledged for another.
-        // Far fewer are out at a time than there are; 0 is none.
-        while !self.out.insert(self.next_id) {
+    /// Returns a packet id that is not in use.
+    fn next_packet_id(&mut self) -> u16 {
+        // Packet ids wrap around: one still in use is skipped, since its acknowledgement would be taken for another's.
+        // Far fewer are in use than exist, so the loop ends; 0 is not a valid id.
+        while !self.used_ids.insert(self.next_id) {
             self.next_id = self.next_id.checked_add(1).unwrap_or(1);
         }
         self.next_id
     }
 
-    fn say(&mut self, now: u64, packet: &[u8]) -> bool {
-        self.sent = now;
+    fn send(&mut self, now: u64, packet: &[u8]) -> bool {
+        self.last_sent = now;
         self.link.io.queue(packet)
     }
 
     fn ping(&mut self, now: u64, ping: Ping) {
-        if self.say(now, &packets::pingreq()) {
+        if self.send(now, &packets::pingreq()) {
             self.pings.push_back(ping);
-            self.asked = Some(now);
+            self.awaiting_since = Some(now);
         }
     }
 
     fn keep_alive(&self, options: &Options) -> u64 {
-        let wanted = self.broker.as_ref().and_then(|b| b.keep_alive);
-        u64::from(wanted.unwrap_or(options.keep_alive)) * 1_000_000
+        let server_keep_alive = self.broker_limits.as_ref().and_then(|b| b.keep_alive);
+        u64::from(server_keep_alive.unwrap_or(options.keep_alive)) * 1_000_000
     }
 }
 
@@ -625,17 +638,17 @@
         self.stage == Stage::Answered { checked: false }
     }
 
-    fn waits_for_record(&self) -> bool {
-        self.stage == Stage::Looking || self.unchecked()
+    fn awaits_record(&self) -> bool {
+        self.stage == Stage::LookingUp || self.unchecked()
     }
 
-    fn publish(&self, id: u16, expiry: u32, most: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+    fn publish(&self, id: u16, expiry: u32, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, Unwritable> {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let mut user = vec![pair("call", &self.call)];
         user.extend(self.answer.0.iter().cloned());
         let mut payload = self.answer.1.clone();
         if payload.is_empty() {
-            // Danger: a retained message without a payload is not kept; it wipes out the record.
+            // A retained message without a payload would delete the record instead of storing it.
             user.push(pair("body", "empty"));
             payload.push(b'-');
         }
@@ -647,7 +660,7 @@
         };
         let topic = self.topic.clone();
         let publish = Publish {
-            retain: self.kept,
+            retain: self.retained,
             qos: Qos::AtLeastOnce,
             id,
             topic,
@@ -655,22 +668,22 @@
             payload,
             ..Publish::default()
         };
-        packets::message(publish, most)
+        packets::publish(publish, max_packet_bytes)
     }
 }
 
-/// Reads a trigger: the figures of its request, and when its client sent it.
-fn read(p: &Publish, fields: &Fields, kept: bool) -> Result<(Sketch, u64), Invalid> {
+/// Parses a trigger: the parameters of its request, and when its client sent it.
+fn parse_trigger(publish: &Publish, fields: &Fields, retained: bool) -> Result<(Sketch, u64), Invalid> {
     let sketch = Sketch::read(fields)?;
     let sent = fields.get("sent").ok_or(Invalid { field: "sent", why: "is missing" })?;
     let sent = sent.parse().map_err(|_| Invalid { field: "sent", why: "must be Unix milliseconds" })?;
-    if !kept {
+    if !retained {
         return Err(Invalid { field: "response-topic", why: "must end with a level that is the call's id" });
     }
-    if p.properties.correlation.is_none() {
+    if publish.properties.correlation.is_none() {
         return Err(Invalid { field: "correlation-data", why: "is missing" });
     }
-    if p.qos != Qos::AtLeastOnce {
+    if publish.qos != Qos::AtLeastOnce {
         return Err(Invalid { field: "qos", why: "must be 1" });
     }
     Ok((sketch, sent))
--- a/src/front/mqtt/mod.rs
+++ b/src/front/mqtt/mod.rs
@@ -1,5 +1,6 @@
-//! MQTT triggers: the program is a client of a broker, takes requests from a topic filter and publishes each
-//! final answer, retained, on the request's own response topic, which is also the record that it was answered.
+//! The fronts to MQTT brokers. The dispatcher is a client of a broker, receives requests (triggers) through a topic filter
+//! and publishes each final answer as a retained message on the request's own response topic. The retained message is
+//! also the record that the request was answered. [`Options`] bounds what one front receives at a time.
 
 mod front;
 mod options;
--- a/src/front/mqtt/options.rs
+++ b/src/front/mqtt/options.rs
@@ -1,26 +1,26 @@
-//! How a front reaches its broker.
+//! The settings of one front: its broker, its session and the limits that it announces.
 
 use std::net::SocketAddr;
 
-/// How the front reaches its broker.
+/// The settings of the connection to one broker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// The broker.
+    /// The broker's address.
     pub broker: SocketAddr,
     /// The client id; the broker keeps the session under it.
     pub client_id: String,
-    /// The filter of the topics that bring requests.
+    /// The topic filter for requests.
     pub triggers: String,
-    /// Requests taken at a time.
+    /// Unacknowledged requests that the broker may send at a time.
     pub receive_maximum: u16,
-    /// The largest packet taken, in bytes.
+    /// The largest accepted packet, in bytes.
     pub maximum_packet: usize,
-    /// Seconds between signs of life.
+    /// The keep-alive interval in seconds.
     pub keep_alive: u16,
-    /// Seconds for which the broker keeps the session of a dispatcher that is away.
+    /// Seconds for which the broker keeps the session of a disconnected dispatcher.
     pub session_expiry: u32,
     /// Seconds for which the broker keeps an answer.
     pub record_expiry: u32,
-    /// Name and password, where the broker wants them.
+    /// User name and password, if the broker requires them.
     pub login: Option<(String, String)>,
 }
--- a/src/front/mqtt/packets.rs
+++ b/src/front/mqtt/packets.rs
@@ -1,4 +1,4 @@
-//! The packets that the front sends to a broker, in MQTT 5.0.
+//! Encodes the packets that the front sends to a broker, in MQTT 5.0.
 
 use super::options::Options;
 use ochreward_mqtt::packet::{
@@ -7,45 +7,45 @@
 use ochreward_mqtt::wire::MOST_VARIABLE;
 use ochreward_mqtt::{Properties, Qos, Reason, Version};
 
-/// The bytes of a packet. Nothing is sent in place of one that can't be written; only a message can be too large, and
-/// [`message`] says so.
-fn bytes(packet: &Packet) -> Vec<u8> {
+/// Encodes a packet, or returns no bytes if that is impossible. Only a PUBLISH can be too large, and [`publish`] returns
+/// an error for it.
+fn encode(packet: &Packet) -> Vec<u8> {
     packet.encode(Version::V5, MOST_VARIABLE as usize).unwrap_or_default()
 }
 
-/// A CONNECT that resumes the session, if there is one.
-pub fn connect(o: &Options) -> Vec<u8> {
+/// Encodes a CONNECT that resumes the session, if there is one.
+pub fn connect(options: &Options) -> Vec<u8> {
     let properties = Properties {
-        session_expiry: Some(o.session_expiry),
-        receive_maximum: Some(o.receive_maximum),
-        maximum_packet: Some(o.maximum_packet as u32),
+        session_expiry: Some(options.session_expiry),
+        receive_maximum: Some(options.receive_maximum),
+        maximum_packet: Some(options.maximum_packet as u32),
         ..Properties::default()
     };
-    let (user, password) = o.login.clone().unzip();
-    bytes(&Packet::Connect(Box::new(Connect {
+    let (user, password) = options.login.clone().unzip();
+    encode(&Packet::Connect(Box::new(Connect {
         version: Version::V5,
         clean_start: false,
-        keep_alive: o.keep_alive,
+        keep_alive: options.keep_alive,
         properties,
-        client_id: o.client_id.clone(),
+        client_id: options.client_id.clone(),
         will: None,
         user,
         password: password.map(String::into_bytes),
     })))
 }
 
-/// A PUBLISH, if it can be written and is no larger than the broker takes.
-pub fn message(publish: Publish, most: Option<u32>) -> Result<Vec<u8>, Unwritable> {
-    Packet::Publish(Box::new(publish)).encode(Version::V5, most.unwrap_or(MOST_VARIABLE) as usize)
+/// Encodes a PUBLISH; fails if it is larger than the broker's maximum packet size.
+pub fn publish(message: Publish, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+    Packet::Publish(Box::new(message)).encode(Version::V5, max_packet_bytes.unwrap_or(MOST_VARIABLE) as usize)
 }
 
-/// A PUBACK.
+/// Encodes a PUBACK.
 pub fn puback(id: u16, reason: Reason) -> Vec<u8> {
-    bytes(&Packet::Puback(Ack { id, reason, properties: Properties::default() }))
+    encode(&Packet::Puback(Ack { id, reason, properties: Properties::default() }))
 }
 
-/// A SUBSCRIBE to one filter. Retain as published: a message that its sender wants kept is marked also where it comes
-/// live.
+/// Encodes a SUBSCRIBE to one filter, with Retain As Published: the broker then keeps the retain flag that the sender set
+/// also on messages that it forwards live.
 pub fn subscribe(id: u16, filter: &str, qos: Qos) -> Vec<u8> {
     let subscription = Subscription {
         filter: filter.to_string(),
@@ -53,24 +53,24 @@
         retain_as_published: true,
         ..Subscription::default()
     };
-    bytes(&Packet::Subscribe(Subscribe { id, subscriptions: vec![subscription], ..Subscribe::default() }))
+    encode(&Packet::Subscribe(Subscribe { id, subscriptions: vec![subscription], ..Subscribe::default() }))
 }
 
-/// An UNSUBSCRIBE from one filter.
+/// Encodes an UNSUBSCRIBE from one filter.
 pub fn unsubscribe(id: u16, filter: &str) -> Vec<u8> {
-    bytes(&Packet::Unsubscribe(Unsubscribe {
+    encode(&Packet::Unsubscribe(Unsubscribe {
         id,
         filters: vec![filter.to_string()],
         ..Unsubscribe::default()
     }))
 }
 
-/// A PINGREQ.
+/// Encodes a PINGREQ.
 pub fn pingreq() -> Vec<u8> {
-    bytes(&Packet::Pingreq)
+    encode(&Packet::Pingreq)
 }
 
-/// A DISCONNECT; the session stays.
+/// Encodes a DISCONNECT; the broker keeps the session.
 pub fn disconnect(reason: Reason) -> Vec<u8> {
-    bytes(&Packet::Disconnect(Closing { reason, properties: Properties::default() }))
+    encode(&Packet::Disconnect(Closing { reason, properties: Properties::default() }))
 }
--- a/src/front/mqtt/records.rs
+++ b/src/front/mqtt/records.rs
@@ -1,108 +1,109 @@
-//! What is known of each message: where it stands on its way to one answer, and which were answered before.
+//! The state of each message until its single answer is acknowledged, and the ids of messages answered before. The
+//! ids are bounded in number; unacknowledged QoS 1 messages are bounded by the receive maximum.
 
 use crate::front::Sketch;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Answered messages that are remembered.
-const MOST_REMEMBERED: usize = 65_536;
+/// Ids of answered messages that are remembered.
+const MAX_REMEMBERED_IDS: usize = 65_536;
 
-/// How far a message has come.
+/// The stage that a message has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// It may have been answered before: its record is asked for before anything else.
-    Looking,
+    /// It may have been answered before: its record is being looked up with the broker.
+    LookingUp,
     /// The core has it.
     Running,
-    /// The answer is known and waits to be published; `checked` once no record of it can be with the broker.
+    /// The answer is known and waits to be published; `checked` is set once the broker is known to hold no record of it.
     Answered { checked: bool },
-    /// The answer was published under this number and is not acknowledged.
+    /// The answer was published under this packet id and is not acknowledged yet.
     Publishing { id: u16 },
 }
 
 /// A message that has no acknowledged answer yet.
 #[derive(Debug)]
 pub struct Message {
-    /// The client's id for it.
+    /// The request id that the client chose.
     pub call: Arc<str>,
-    /// Where its answer goes, and its record stands.
+    /// The response topic, which holds the answer and its record.
     pub topic: String,
-    /// Given back with the answer.
+    /// The correlation data, returned with the answer.
     pub correlation: Vec<u8>,
-    /// The numbers under which it came on the connection that stands: more than one where it came again.
-    pub packets: Vec<u16>,
-    /// How far it has come.
+    /// The packet ids under which it was delivered on the current connection: more than one if it was delivered again.
+    pub packet_ids: Vec<u16>,
+    /// Its stage.
     pub stage: Stage,
-    /// The answer is kept by the broker: only where the topic is the message's own.
-    pub kept: bool,
-    /// Its figures and body, until the core has them.
+    /// Whether the answer is retained by the broker: only if the response topic belongs to this message alone.
+    pub retained: bool,
+    /// Its parameters and body, until they are submitted to the core.
     pub request: Option<(Sketch, Vec<u8>)>,
     /// When its client sent it, in Unix milliseconds.
     pub sent_ms: u64,
-    /// The answer: its properties and its body.
+    /// The answer: its user properties and its body.
     pub answer: (Vec<(String, String)>, Vec<u8>),
 }
 
-/// All messages under way, and the ids of those answered.
+/// All messages without an acknowledged answer, and the ids of those answered.
 #[derive(Default)]
 pub struct Records {
-    next: i64,
-    /// By a number of this process's own.
+    last_number: i64,
+    /// The messages by a number that is local to this process.
     pub messages: BTreeMap<i64, Message>,
     calls: BTreeMap<Arc<str>, i64>,
     answered: BTreeSet<Arc<str>>,
-    order: VecDeque<Arc<str>>,
+    answered_order: VecDeque<Arc<str>>,
 }
 
 impl Records {
-    /// Takes a message in and numbers it.
+    /// Adds a message and returns its number.
     pub fn add(&mut self, message: Message) -> i64 {
-        self.next += 1;
-        // Danger: messages without a usable id are not repeats of each other.
-        if message.kept {
-            self.calls.insert(message.call.clone(), self.next);
+        self.last_number += 1;
+        // Messages without a valid id must not be taken for repeats of each other.
+        if message.retained {
+            self.calls.insert(message.call.clone(), self.last_number);
         }
-        self.messages.insert(self.next, message);
-        self.next
+        self.messages.insert(self.last_number, message);
+        self.last_number
     }
 
-    /// The number of the message under way with this id.
-    pub fn under_way(&self, call: &str) -> Option<i64> {
+    /// Returns the number of the open message with this id.
+    pub fn open_with_id(&self, call: &str) -> Option<i64> {
         self.calls.get(call).copied()
     }
 
-    /// Whether this process has seen it answered.
+    /// Returns whether the message with this id is remembered as answered.
     pub fn answered(&self, call: &str) -> bool {
         self.answered.contains(call)
     }
 
-    /// The messages whose answers or records are on this topic.
+    /// Returns the number of the message whose answer or record is on this topic.
     pub fn on_topic(&self, topic: &str) -> Option<i64> {
-        self.messages.iter().find(|(_, m)| m.kept && m.topic == topic).map(|(n, _)| *n)
+        self.messages.iter().find(|(_, m)| m.retained && m.topic == topic).map(|(n, _)| *n)
     }
 
-    /// The message has its answer with the broker.
-    pub fn done(&mut self, number: i64) -> Option<Message> {
+    /// Removes a message whose answer the broker holds, and remembers its id.
+    pub fn complete(&mut self, number: i64) -> Option<Message> {
         let message = self.messages.remove(&number)?;
         if self.calls.get(&message.call) == Some(&number) {
             self.calls.remove(&message.call);
         }
-        if message.kept && self.answered.insert(message.call.clone()) {
-            self.order.push_back(message.call.clone());
+        if message.retained && self.answered.insert(message.call.clone()) {
+            self.answered_order.push_back(message.call.clone());
         }
-        // Danger: ids kept for ever fill the memory. Those forgotten are looked up with the broker.
-        while self.order.len() > MOST_REMEMBERED {
-            if let Some(oldest) = self.order.pop_front() {
+        // Unlimited ids would exhaust the memory. A repeat whose id was dropped is looked up with the broker.
+        while self.answered_order.len() > MAX_REMEMBERED_IDS {
+            if let Some(oldest) = self.answered_order.pop_front() {
                 self.answered.remove(&oldest);
             }
         }
         Some(message)
     }
 
-    /// The connection is gone: numbers of packets mean nothing more, and what was published may have arrived.
+    /// Handles the loss of the connection: packet ids become void, and published answers may or may not have arrived.
     pub fn disconnected(&mut self) {
         for message in self.messages.values_mut() {
-            message.packets.clear();
+            message.packet_ids.clear();
             if let Stage::Publishing { .. } = message.stage {
                 message.stage = Stage::Answered { checked: false };
             }
--- a/src/front/mqtt/set.rs
+++ b/src/front/mqtt/set.rs
@@ -1,8 +1,9 @@
-//! The fronts that speak MQTT, one for each broker, while the wanted brokers change.
+//! The set of MQTT fronts, one for each configured broker, which follows changes of the configuration. The number of
+//! brokers is bounded.
 //!
-//! A front that is wanted no more takes nothing new, gives all the answers that it owes, and leaves its broker. A
-//! broker's session belongs to one connection at a time, so that a front with other options for the same session
-//! begins only once the old one has left.
+//! A front that is no longer configured is drained: it takes no new requests, publishes all outstanding answers and
+//! disconnects. A broker's session belongs to one connection at a time, so a front with other options for the same
+//! session starts only after the old one has disconnected.
 
 use super::front::Front;
 use super::options::Options;
@@ -12,37 +13,37 @@
 use crate::net::{Poll, Ready};
 use std::rc::Rc;
 
-/// Brokers at a time.
-const MOST: usize = 64;
+/// Concurrent brokers.
+const MAX_BROKERS: usize = 64;
 
-/// The fronts.
+/// The MQTT fronts.
 pub struct Fronts {
-    /// The number of the first front; they are numbered on from there.
+    /// The number of the first front; the others are numbered consecutively.
     first: u8,
     slots: Vec<Option<Front>>,
-    wanted: Vec<Options>,
+    configured: Vec<Options>,
     stopping: bool,
     counters: Rc<Counters>,
 }
 
 impl Fronts {
-    /// No fronts yet.
+    /// Creates an empty set.
     pub fn new(first: u8, counters: Rc<Counters>) -> Fronts {
-        Fronts { first, slots: Vec::new(), wanted: Vec::new(), stopping: false, counters }
+        Fronts { first, slots: Vec::new(), configured: Vec::new(), stopping: false, counters }
     }
 
-    /// These brokers are to be taken from, and no others.
+    /// Sets the configured brokers; fronts of all others are drained.
     pub fn want(&mut self, poll: &Poll, mut brokers: Vec<Options>) {
-        brokers.truncate(MOST);
-        self.wanted = brokers;
-        self.follow(poll);
+        brokers.truncate(MAX_BROKERS);
+        self.configured = brokers;
+        self.reconcile(poll);
     }
 
-    /// Brings the fronts closer to what is wanted.
-    fn follow(&mut self, poll: &Poll) {
+    /// Reconciles the fronts with the configured brokers, as far as possible now.
+    fn reconcile(&mut self, poll: &Poll) {
         for slot in &mut self.slots {
             let Some(front) = slot else { continue };
-            if self.wanted.contains(front.options()) {
+            if self.configured.contains(front.options()) {
                 continue;
             }
             front.stop();
@@ -54,88 +55,88 @@
         if self.stopping {
             return;
         }
-        for options in &self.wanted {
-            let session = |f: &Front| {
+        for options in &self.configured {
+            let same_session = |f: &Front| {
                 f.options().broker == options.broker && f.options().client_id == options.client_id
             };
-            if self.slots.iter().flatten().any(session) {
+            if self.slots.iter().flatten().any(same_session) {
                 continue;
             }
-            let place = self.slots.iter().position(Option::is_none).unwrap_or(self.slots.len());
-            if place >= MOST {
+            let slot = self.slots.iter().position(Option::is_none).unwrap_or(self.slots.len());
+            if slot >= MAX_BROKERS {
                 return;
             }
-            if place == self.slots.len() {
+            if slot == self.slots.len() {
                 self.slots.push(None);
             }
-            let front = Front::new(self.first + place as u8, options.clone(), self.counters.clone());
-            self.slots[place] = Some(front);
+            let front = Front::new(self.first + slot as u8, options.clone(), self.counters.clone());
+            self.slots[slot] = Some(front);
         }
     }
 
-    fn of(&mut self, number: u8) -> Option<&mut Front> {
+    fn front_mut(&mut self, number: u8) -> Option<&mut Front> {
         self.slots.get_mut(usize::from(number.checked_sub(self.first)?))?.as_mut()
     }
 
-    /// Whether a front has this number.
+    /// Returns whether the number belongs to the range of MQTT fronts.
     pub fn has(&self, number: u8) -> bool {
         number >= self.first
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no fronts.
     pub fn is_empty(&self) -> bool {
         self.slots.iter().all(Option::is_none)
     }
 
-    /// Handles what happened to a connection.
+    /// Handles readiness of one of the connections.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
-        if let Some(front) = self.of(ready.token.owner) {
+        if let Some(front) = self.front_mut(ready.token.owner) {
             front.ready(poll, now, unix_ms, ready);
         }
     }
 
-    /// What clients asked, in order.
+    /// Moves the requests that have arrived to the end of `into`, in order for each front.
     pub fn take_intake(&mut self, into: &mut Vec<Intake>) {
         self.slots.iter_mut().flatten().for_each(|f| into.append(&mut f.intake));
     }
 
-    /// Takes the final answer of a request.
+    /// Delivers the final answer to a request.
     pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
-        if let Some(front) = self.of(ticket.front) {
+        if let Some(front) = self.front_mut(ticket.front) {
             front.answer(poll, now, ticket, answer);
         }
     }
 
-    /// Says that a request can't be used.
+    /// Rejects a request that has an invalid field.
     pub fn invalid(&mut self, poll: &Poll, now: u64, ticket: Ticket, invalid: &Invalid) {
-        if let Some(front) = self.of(ticket.front) {
+        if let Some(front) = self.front_mut(ticket.front) {
             front.invalid(poll, now, ticket, invalid);
         }
     }
 
-    /// Looks after the connections, and after fronts that are on their way out.
+    /// Maintains the connections and the fronts that are being drained.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         self.slots.iter_mut().flatten().for_each(|f| f.advance(poll, now));
-        self.follow(poll);
+        self.reconcile(poll);
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has work to do.
     pub fn due(&self) -> u64 {
         self.slots.iter().flatten().map(Front::due).min().unwrap_or(u64::MAX)
     }
 
-    /// Takes nothing more; what was taken is still answered.
+    /// Stops taking requests; those already taken are still answered.
     pub fn stop(&mut self) {
         self.stopping = true;
         self.slots.iter_mut().flatten().for_each(Front::stop);
     }
 
-    /// Whether every message that the core had has its answer with its broker.
+    /// Returns whether the broker has acknowledged the answer to every request that the core was given.
     pub fn settled(&self) -> bool {
         self.slots.iter().flatten().all(Front::settled)
     }
 
-    /// Takes leave of all brokers.
+    /// Disconnects from all brokers.
     pub fn leave(&mut self, poll: &Poll) {
         self.slots.iter_mut().flatten().for_each(|f| f.leave(poll));
     }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -1,7 +1,8 @@
-//! The listener for stations and their connections. It reads and writes; [`Sessions`] decides.
+//! The listener for stations and their connections. It decodes packets, passes them to [`Sessions`] and executes the
+//! actions that [`Sessions`] returns. Connections and unsent bytes are limited.
 
 use super::policy::Policy;
-use super::sessions::{Act, Rules, Sessions};
+use super::sessions::{Action, Rules, Sessions};
 use super::verifier::Verifier;
 use crate::core::{Final, Ticket};
 use crate::counters::Counters;
@@ -16,52 +17,57 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Bytes that may wait for a station; one that takes less is dropped, and its session waits for it.
-const OUT: usize = 512 * 1024;
-/// The place of the verifier among the tokens, behind the listener's; connections come after it.
-const VERIFIER: usize = 1;
-const FIRST: usize = 2;
-/// Connections accepted in a turn, and how long accepting rests without room, in microseconds.
-const ACCEPTS: usize = 64;
-const PAUSE: u64 = 50_000;
-/// How long a connection that was told to go may take to do so, in microseconds.
-const LINGER: u64 = 1_000_000;
+/// Unsent bytes that may wait for a station; beyond, its connection is closed and its session is kept.
+const MAX_UNSENT_BYTES: usize = 512 * 1024;
+/// The token slot of the verifier; the listener's is 0.
+const VERIFIER_SLOT: usize = 1;
+/// The token slot of the first connection.
+const FIRST_CONN_SLOT: usize = 2;
+/// Connections accepted per turn of the event loop.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// How long accepting pauses when connections or descriptors have run out.
+const ACCEPT_PAUSE_US: u64 = 50_000;
+/// How long a station may take to close a connection whose sending side the front has shut down.
+const LINGER_US: u64 = 1_000_000;
 
-/// How often silence, wills and the ends of sessions are looked for: not every turn, since all are looked through.
-const SWEEP: u64 = 50_000;
+/// How often keep-alives, wills and session expiry are checked: not every turn, since each check scans all sessions.
+const SWEEP_INTERVAL_US: u64 = 50_000;
 
-/// What the operator's file says of stations.
+/// The settings for stations from the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Where stations connect.
+    /// The address that stations connect to.
     pub listen: SocketAddr,
-    /// The users' file.
+    /// The users file.
     pub users: PathBuf,
-    /// Connections at a time.
+    /// Concurrent connections.
     pub connections: usize,
-    /// What bounds the sessions.
+    /// The limits of the sessions.
     pub rules: Rules,
 }
 
-struct Speaker {
-    most: usize,
+/// Decodes a station's packets.
+struct Decoder {
+    max_packet_bytes: usize,
     version: Version,
+    /// A protocol violation that has not been handled yet.
     violation: Option<Violation>,
-    ending: bool,
+    /// Whether further input is discarded, since the connection is ending.
+    discarding: bool,
 }
 
-impl Callbacks for Speaker {
+impl Callbacks for Decoder {
     type Out = Vec<Packet>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
-        if self.ending {
+        if self.discarding {
             input.consume(input.len());
             return Ok(());
         }
         let bytes = input.contiguous();
         let mut done = 0;
         loop {
-            match decode(&bytes[done..], self.version, self.most) {
+            match decode(&bytes[done..], self.version, self.max_packet_bytes) {
                 Ok(Some((packet, size))) => {
                     if let Packet::Connect(connect) = &packet {
                         self.version = connect.version;
@@ -71,9 +77,9 @@
                 }
                 Ok(None) => break,
                 Err(violation) => {
-                    // Told once all that came before it is done.
+                    // Handled after the packets before it.
                     self.violation = Some(violation);
-                    self.ending = true;
+                    self.discarding = true;
                     done = bytes.len();
                     break;
                 }
@@ -85,12 +91,12 @@
 }
 
 struct Station {
-    link: Link<Speaker>,
-    /// When it was told to go.
-    ended: Option<u64>,
+    link: Link<Decoder>,
+    /// When the front began to close the connection.
+    closing_since: Option<u64>,
 }
 
-/// The front.
+/// The front for stations.
 pub struct Front {
     id: u8,
     options: Options,
@@ -102,33 +108,33 @@
     next_sweep: u64,
     packets: Vec<Packet>,
     counters: Rc<Counters>,
-    /// What stations asked, in order.
+    /// Requests from stations, in order of arrival.
     pub intake: Vec<Intake>,
 }
 
-/// Why a users' file is not used.
+/// The reason why a users file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum UsersError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}, {why}: name a file that can be read", path = .0.display(), why = .1)]
     Unreadable(PathBuf, io::Error),
-    /// It has faults.
+    /// The file has faults.
     #[error("{path}, {why}: correct the keys that are named", path = .0.display(), why = .1)]
     Faulty(PathBuf, Faults),
 }
 
-/// Reads a users' file.
+/// Reads and parses a users file.
 pub fn users(path: &PathBuf) -> Result<Policy, UsersError> {
     let text = std::fs::read_to_string(path).map_err(|e| UsersError::Unreadable(path.clone(), e))?;
     Policy::read(&text).map_err(|faults| UsersError::Faulty(path.clone(), faults))
 }
 
 impl Front {
-    /// Listens for stations.
+    /// Reads the users file, binds the listener and starts the password verifier.
     pub fn new(poll: &mut Poll, id: u8, options: Options, counters: Rc<Counters>) -> io::Result<Front> {
         let policy = users(&options.users).map_err(io::Error::other)?;
         let listener = Listener::bind(poll, id, options.listen)?;
-        let verifier = Verifier::start(poll, id, VERIFIER)?;
+        let verifier = Verifier::start(poll, id, VERIFIER_SLOT)?;
         Ok(Front {
             id,
             sessions: Sessions::new(options.rules.clone(), policy),
@@ -144,34 +150,34 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the front listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|l| l.address().ok())
     }
 
-    /// Reads the users' file again; one with a fault changes nothing.
+    /// Reads the users file again; a file with a fault changes nothing.
     pub fn reload(&mut self, poll: &mut Poll, now: u64) -> Result<(), UsersError> {
         let policy = users(&self.options.users)?;
-        self.sessions.replace(now, policy);
-        self.carry(poll, now);
+        self.sessions.replace_policy(now, policy);
+        self.run_actions(poll, now);
         Ok(())
     }
 
-    /// Handles what happened to a descriptor.
+    /// Handles readiness of one of this front's descriptors.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
             return self.accept(poll, now);
         }
-        if self.verifier.is(ready.token) {
-            for (conn, serial, yes) in self.verifier.take() {
+        if self.verifier.owns(ready.token) {
+            for (conn, serial, matches) in self.verifier.take_results() {
                 let same = |s: &Station| s.link.io.token().serial == serial;
                 if self.stations.get(conn).is_some_and(same) {
-                    self.sessions.verified(now, conn, yes);
+                    self.sessions.password_verified(now, conn, matches);
                 }
             }
-            return self.carry(poll, now);
+            return self.run_actions(poll, now);
         }
-        let conn = (ready.token.slot as usize).wrapping_sub(FIRST);
+        let conn = (ready.token.slot as usize).wrapping_sub(FIRST_CONN_SLOT);
         let Some(station) = self.stations.get_mut(conn).filter(|s| s.link.io.token() == ready.token) else {
             return;
         };
@@ -179,19 +185,23 @@
         let result = station.link.ready(poll, ready, &mut packets);
         let (violation, ended) = (station.link.peer.violation.take(), station.link.io.ended);
         for packet in packets.drain(..) {
-            self.sessions.received(now, conn, packet);
+            self.sessions.packet_received(now, conn, packet);
         }
         self.packets = packets;
         if let Some(violation) = violation {
-            self.sessions.violated(now, conn, &violation);
+            self.sessions.protocol_violated(now, conn, &violation);
         }
-        self.carry(poll, now);
+        self.run_actions(poll, now);
         let too_large = matches!(result, Err(Closed::Malformed(_)));
         if too_large {
             let what = "a packet larger than was allowed";
             let reason = ochreward_mqtt::Reason::PacketTooLarge;
-            self.sessions.violated(now, conn, &Violation { reason, statement: "MQTT-3.1.2-24", what });
-            self.carry(poll, now);
+            self.sessions.protocol_violated(
+                now,
+                conn,
+                &Violation { reason, statement: "MQTT-3.1.2-24", what },
+            );
+            self.run_actions(poll, now);
         }
         if result.is_err() || ended {
             self.close(now, conn);
@@ -199,105 +209,112 @@
     }
 
     fn accept(&mut self, poll: &mut Poll, now: u64) {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &mut self.listener else { return };
             if self.stations.len() >= self.options.connections {
-                self.paused_until = Some(now + PAUSE);
+                self.paused_until = Some(now + ACCEPT_PAUSE_US);
                 return listener.listen(poll, false);
             }
             let fd = match listener.accept() {
                 Accepted::One(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => {
-                    self.paused_until = Some(now + PAUSE);
+                    self.paused_until = Some(now + ACCEPT_PAUSE_US);
                     return listener.listen(poll, false);
                 }
             };
             let entry = self.stations.vacant_entry();
             let conn = entry.key();
-            let token = poll.token(self.id, FIRST + conn);
-            let most = self.options.rules.maximum_packet as usize;
-            let speaker = Speaker { most, version: Version::V5, violation: None, ending: false };
-            if let Ok(link) = Link::accepted(poll, fd, token, speaker, (most + 5, OUT)) {
-                entry.insert(Station { link, ended: None });
-                self.sessions.accepted(now, conn);
+            let token = poll.token(self.id, FIRST_CONN_SLOT + conn);
+            let max_packet_bytes = self.options.rules.maximum_packet as usize;
+            let decoder =
+                Decoder { max_packet_bytes, version: Version::V5, violation: None, discarding: false };
+            if let Ok(link) =
+                Link::accepted(poll, fd, token, decoder, (max_packet_bytes + 5, MAX_UNSENT_BYTES))
+            {
+                entry.insert(Station { link, closing_since: None });
+                self.sessions.connection_accepted(now, conn);
             }
         }
     }
 
     fn close(&mut self, now: u64, conn: usize) {
         if self.stations.try_remove(conn).is_some() {
-            self.sessions.lost(now, conn);
+            self.sessions.connection_lost(now, conn);
         }
     }
 
-    /// Does what was decided.
-    fn carry(&mut self, poll: &mut Poll, now: u64) {
-        while !self.sessions.acts.is_empty() {
-            for act in std::mem::take(&mut self.sessions.acts) {
-                self.act(poll, now, act);
+    /// Executes the actions of the sessions, and publishes their counts.
+    fn run_actions(&mut self, poll: &mut Poll, now: u64) {
+        while !self.sessions.actions.is_empty() {
+            for action in std::mem::take(&mut self.sessions.actions) {
+                self.run_action(poll, now, action);
             }
         }
-        let c = &self.counters;
+        let counters = &self.counters;
         let counts = self.sessions.counts;
-        let cells = [
-            (&c.station_triggers, counts.triggers),
-            (&c.station_duplicates, counts.duplicates),
-            (&c.station_limited, counts.limited),
-            (&c.station_answers, counts.answers),
-            (&c.station_answers_lost, counts.lost),
-            (&c.station_violations, counts.violations),
-            (&c.station_refused, counts.refused),
-            (&c.station_sessions, self.sessions.len() as u64),
+        let gauges = [
+            (&counters.station_triggers, counts.triggers),
+            (&counters.station_duplicates, counts.duplicates),
+            (&counters.station_limited, counts.limited),
+            (&counters.station_answers, counts.answers),
+            (&counters.station_answers_lost, counts.answers_lost),
+            (&counters.station_violations, counts.violations),
+            (&counters.station_refused, counts.refused),
+            (&counters.station_sessions, self.sessions.len() as u64),
         ];
-        cells.into_iter().for_each(|(cell, count)| cell.set(count));
+        gauges.into_iter().for_each(|(gauge, count)| gauge.set(count));
     }
 
-    fn act(&mut self, poll: &mut Poll, now: u64, act: Act) {
-        match act {
-            Act::Send(conn, packet, version) => {
-                let Some(station) = self.stations.get_mut(conn).filter(|s| s.ended.is_none()) else { return };
-                // What can't be written, or finds no room since the station does not read, ends the connection; the
-                // session sends it again on the next one.
-                let sent = packet.encode(version, OUT).is_ok_and(|bytes| station.link.io.queue(&bytes));
+    fn run_action(&mut self, poll: &mut Poll, now: u64, action: Action) {
+        match action {
+            Action::Send(conn, packet, version) => {
+                let Some(station) = self.stations.get_mut(conn).filter(|s| s.closing_since.is_none()) else {
+                    return;
+                };
+                // If the packet can't be encoded, or does not fit because the station does not read, the connection
+                // ends; the session resends it on the next one.
+                let sent =
+                    packet.encode(version, MAX_UNSENT_BYTES).is_ok_and(|bytes| station.link.io.queue(&bytes));
                 if !sent || station.link.flush(poll).is_err() {
                     self.close(now, conn);
                 }
             }
-            Act::Close(conn) => {
+            Action::Close(conn) => {
                 let Some(station) = self.stations.get_mut(conn) else { return };
-                // Only our side ends: a close with something unread could cost the station the last packet.
+                // Only the sending side is shut down: closing with unread input could lose the last packet to the
+                // station.
                 let _ = station.link.flush(poll);
                 station.link.io.finish();
-                station.link.peer.ending = true;
-                station.ended.get_or_insert(now);
+                station.link.peer.discarding = true;
+                station.closing_since.get_or_insert(now);
             }
-            Act::Verify(conn, password, hash) => {
+            Action::Verify(conn, password, hash) => {
                 let Some(station) = self.stations.get(conn) else { return };
-                if !self.verifier.ask(conn, station.link.io.token().serial, password, hash) {
-                    self.sessions.verified(now, conn, false);
+                if !self.verifier.submit(conn, station.link.io.token().serial, password, hash) {
+                    self.sessions.password_verified(now, conn, false);
                 }
             }
-            Act::Serve { number, sketch, body, again } => {
+            Action::Serve { number, sketch, body, again } => {
                 let ticket = Ticket { front: self.id, conn: 0, seq: number };
                 self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again });
             }
         }
     }
 
-    /// Takes the final answer of a request.
+    /// Delivers the final answer to a request.
     pub fn answer(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, answer: Final) {
-        self.sessions.answered(ticket.seq, answer);
-        self.carry(poll, now);
+        self.sessions.answer(ticket.seq, answer);
+        self.run_actions(poll, now);
     }
 
-    /// Says that a request can't be used.
+    /// Rejects a request that has an invalid field.
     pub fn invalid(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, invalid: &Invalid) {
-        self.sessions.invalid(ticket.seq, invalid);
-        self.carry(poll, now);
+        self.sessions.reject_invalid(ticket.seq, invalid);
+        self.run_actions(poll, now);
     }
 
-    /// Looks after silent connections, sessions and wills.
+    /// Resumes accepting after a pause, and checks keep-alives, session expiry and wills.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
@@ -309,22 +326,22 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + SWEEP;
+        self.next_sweep = now + SWEEP_INTERVAL_US;
         self.sessions.advance(now);
-        self.carry(poll, now);
-        let over = |s: &Station| s.ended.is_some_and(|at| now >= at + LINGER);
+        self.run_actions(poll, now);
+        let over = |s: &Station| s.closing_since.is_some_and(|at| now >= at + LINGER_US);
         let over: Vec<usize> = self.stations.iter().filter(|(_, s)| over(s)).map(|(conn, _)| conn).collect();
         over.into_iter().for_each(|conn| self.close(now, conn));
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has work to do.
     pub fn due(&self) -> u64 {
         let idle = self.stations.is_empty() && self.sessions.is_empty();
         let sweep = if idle { u64::MAX } else { self.next_sweep };
         sweep.min(self.paused_until.unwrap_or(u64::MAX))
     }
 
-    /// Takes nothing more; what was taken is still answered.
+    /// Stops taking requests; those already taken are still answered.
     pub fn stop(&mut self, poll: &Poll) {
         if let Some(listener) = self.listener.take() {
             listener.close(poll);
@@ -332,18 +349,18 @@
         self.sessions.stop();
     }
 
-    /// Whether nothing is owed to a station.
+    /// Returns whether every request has been answered and every answer sent.
     pub fn settled(&self) -> bool {
-        self.sessions.owed() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent() == 0)
+        self.sessions.open_requests() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent() == 0)
     }
 
-    /// Tells every station that the server goes.
+    /// Disconnects every station with reason Server shutting down.
     pub fn leave(&mut self, poll: &mut Poll, now: u64) {
-        self.sessions.leave(now);
-        self.carry(poll, now);
+        self.sessions.disconnect_all(now);
+        self.run_actions(poll, now);
     }
 
-    /// Connections of stations.
+    /// Returns the number of station connections.
     pub fn connections(&self) -> usize {
         self.stations.len()
     }
--- a/src/front/stations/mod.rs
+++ b/src/front/stations/mod.rs
@@ -1,6 +1,7 @@
-//! Stations that connect to the dispatcher itself, by MQTT 5.0: a listener, their sessions, and what each may do.
+//! The front for stations that connect to the dispatcher directly by MQTT 5.0: a listener, the stations' sessions and
+//! their permissions. Connections, sessions, packet sizes and queued answers are bounded by [`Options`] and [`Rules`].
 //!
-//! [`Sessions`] and what it goes by decide without I/O; [`Front`] has the sockets and the thread that checks
+//! [`Sessions`], [`Policy`] and the quotas decide without I/O; [`Front`] owns the sockets and the thread that checks
 //! passwords.
 
 mod front;
@@ -11,5 +12,5 @@
 
 pub use front::{Front, Options, users};
 pub use policy::{Policy, User};
-pub use sessions::{Act, Conn, Counts, Rules, Sessions};
+pub use sessions::{Action, ConnId, Counts, Rules, Sessions};
 pub use verifier::hash;
--- a/src/front/stations/policy.rs
+++ b/src/front/stations/policy.rs
@@ -1,28 +1,29 @@
-//! Who may connect, what each may publish and subscribe to, and which classes and tenants it may ask for.
+//! The users file: who may connect, which topics each user may publish and subscribe to, and which classes and tenants it
+//! may request. The file is read as a whole; all its faults are reported together.
 
 use crate::keys::{Faults, Key};
 use ochreward_mqtt::topic::Filter;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// What a user may do. In patterns, `{client}` stands for the client's id.
+/// A user and its permissions. In patterns, `{client}` stands for the client id.
 #[derive(Clone, Debug, PartialEq)]
 pub struct User {
     /// The hash of its password, in the PHC string format (argon2id).
     pub password: String,
-    /// Client ids that it may take; a `*` at the end stands for anything. None: any.
+    /// Client ids that it may use; a `*` at the end matches any suffix. An empty list allows all.
     pub clients: Vec<String>,
     /// Filters of the topics that it may publish to.
     pub publish: Vec<String>,
-    /// Filters that it may subscribe by, or by narrower ones.
+    /// Filters that it may subscribe to; narrower filters are allowed too.
     pub subscribe: Vec<String>,
-    /// Classes that it may ask for; none: all.
+    /// Classes that it may request; an empty list allows all.
     pub classes: Vec<String>,
-    /// Tenants that it may ask as; none: all.
+    /// Tenants that it may name in requests; an empty list allows all.
     pub tenants: Vec<String>,
-    /// Triggers a second for each client, and at once; a rate of 0 is no bound.
+    /// The rate limit of each client: triggers per second, and the burst. A rate of 0 means no limit.
     pub client_rate: (f64, f64),
-    /// The same for all its clients together.
+    /// The rate limit of all its clients together, in the same form.
     pub user_rate: (f64, f64),
 }
 
@@ -32,16 +33,16 @@
     users: BTreeMap<String, User>,
 }
 
-fn texts(key: &Key) -> Vec<String> {
+fn text_list(key: &Key) -> Vec<String> {
     key.entries().iter().map(|k| k.text().to_string()).collect()
 }
 
-fn filters(key: &Key) -> Vec<String> {
+fn filter_list(key: &Key) -> Vec<String> {
     let check = |k: &Key| {
         let text = k.text().to_string();
         k.must(
             Filter::read(&text).is_ok_and(|f| f.share.is_none()),
-            "is no topic filter that can be used here",
+            "must be a valid topic filter that is not shared",
         );
         text
     };
@@ -62,21 +63,22 @@
         "user_burst",
     ]);
     let password = key.get("password");
-    password.must(password.text().starts_with("$argon2"), "a hash is wanted; see ochreward hash-password");
+    password
+        .must(password.text().starts_with("$argon2"), "must be a password hash; see ochreward hash-password");
     User {
         password: password.text().to_string(),
-        clients: texts(&key.get("clients")),
-        publish: filters(&key.get("publish")),
-        subscribe: filters(&key.get("subscribe")),
-        classes: texts(&key.get("classes")),
-        tenants: texts(&key.get("tenants")),
+        clients: text_list(&key.get("clients")),
+        publish: filter_list(&key.get("publish")),
+        subscribe: filter_list(&key.get("subscribe")),
+        classes: text_list(&key.get("classes")),
+        tenants: text_list(&key.get("tenants")),
         client_rate: (key.get("client_rate").number_or(0.0), key.get("client_burst").number_or(1.0)),
         user_rate: (key.get("user_rate").number_or(0.0), key.get("user_burst").number_or(1.0)),
     }
 }
 
 impl Policy {
-    /// Reads the text of a users' file.
+    /// Parses the text of a users file.
     pub fn read(text: &str) -> Result<Policy, Faults> {
         let value: Value =
             toml::from_str(text).map_err(|e| Faults::one("(the whole file)", format!("is not TOML: {e}")))?;
@@ -86,41 +88,42 @@
         top.finish(Policy { users })
     }
 
-    /// A user.
+    /// Returns the user with this name.
     pub fn user(&self, name: &str) -> Option<&User> {
         self.users.get(name)
     }
 }
 
 impl User {
-    /// Whether it may take this client id.
-    pub fn may_be(&self, client: &str) -> bool {
-        let fits = |pattern: &String| match pattern.strip_suffix('*') {
-            Some(front) => client.starts_with(front),
+    /// Returns whether the user may connect with this client id.
+    pub fn may_use_client_id(&self, client: &str) -> bool {
+        let matches = |pattern: &String| match pattern.strip_suffix('*') {
+            Some(prefix) => client.starts_with(prefix),
             None => pattern == client,
         };
-        self.clients.is_empty() || self.clients.iter().any(fits)
+        self.clients.is_empty() || self.clients.iter().any(matches)
     }
 
-    /// Whether it may publish there.
+    /// Returns whether the user may publish to this topic.
     pub fn may_publish(&self, client: &str, topic: &str) -> bool {
         let own = |pattern: &String| Filter::read(&pattern.replace("{client}", client));
         self.publish.iter().any(|p| own(p).is_ok_and(|f| f.matches(topic)))
     }
 
-    /// Whether it may subscribe by this filter: all that the filter lets through, one of its own does.
+    /// Returns whether the user may subscribe to this filter: one of the user's own filters must match every topic that it
+    /// matches.
     pub fn may_subscribe(&self, client: &str, filter: &str) -> bool {
         self.subscribe.iter().any(|p| covers(&p.replace("{client}", client), filter))
     }
 
-    /// Whether it may ask for this class, as this tenant.
-    pub fn may_ask(&self, class: &str, tenant: Option<&str>) -> bool {
+    /// Returns whether the user may request this class for this tenant.
+    pub fn may_request(&self, class: &str, tenant: Option<&str>) -> bool {
         let any = |list: &[String], name: &str| list.is_empty() || list.iter().any(|n| n == name);
         any(&self.classes, class) && tenant.is_none_or(|tenant| any(&self.tenants, tenant))
     }
 }
 
-/// Whether every topic under the narrow filter is under the wide one.
+/// Returns whether the wide filter matches every topic that the narrow one matches.
 fn covers(wide: &str, narrow: &str) -> bool {
     if narrow.starts_with(['+', '#']) && wide.starts_with('$') {
         return false;
--- a/src/front/stations/policy/tests.rs
+++ b/src/front/stations/policy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_user_may_what_its_patterns_say() {
+fn permissions_follow_patterns() {
     let text = r#"
             [user.st]
             password = "$argon2id$x"
@@ -13,7 +13,7 @@
         "#;
     let policy = Policy::read(text).expect("a policy");
     let user = policy.user("st").expect("a user");
-    assert!(user.may_be("st-7") && !user.may_be("xt-7"));
+    assert!(user.may_use_client_id("st-7") && !user.may_use_client_id("xt-7"));
     assert!(user.may_publish("st-7", "in/st-7/a") && !user.may_publish("st-7", "in/st-8/a"));
     let subscribes = [
         ("out/st-7/#", true),
@@ -29,12 +29,12 @@
     for (filter, may) in subscribes {
         assert_eq!(user.may_subscribe("st-7", filter), may, "{filter}");
     }
-    assert!(user.may_ask("flow-read", Some("acme")) && user.may_ask("flow-read", None));
-    assert!(!user.may_ask("alert-send", Some("acme")) && !user.may_ask("flow-read", Some("other")));
+    assert!(user.may_request("flow-read", Some("acme")) && user.may_request("flow-read", None));
+    assert!(!user.may_request("alert-send", Some("acme")) && !user.may_request("flow-read", Some("other")));
 }
 
 #[test]
-fn faults_of_a_users_file_are_named() {
+fn faults_in_users_file_are_reported_by_key() {
     let text = "[user.a]\npassword = \"secret\"\npublish = [\"a#\"]\n[user.b]\npasword = \"x\"";
     let faults = Policy::read(text).expect_err("faults");
     let keys: Vec<&str> = faults.0.iter().map(|f| f.key.as_str()).collect();
--- a/src/front/stations/sessions.rs
+++ b/src/front/stations/sessions.rs
@@ -1,10 +1,12 @@
-//! The stations' sessions, without I/O: who is connected, what each message of theirs comes to, and which answers are
-//! kept for whom. Told of packets, verdicts on passwords, final answers and time, it leaves [`Act`]s.
+//! The stations' sessions, without I/O: connections, subscriptions, open requests and queued answers. The input is packets,
+//! results of password checks, final answers and the time; the output is a list of [`Action`]s. [`Rules`] bounds the
+//! sessions and what each may hold.
 //!
-//! A message at QoS 1 or 2 is acknowledged when its final answer is known, and carries it in the acknowledgement's
-//! user properties; where the message has a response topic that its session subscribes to, the answer is published
-//! there too. Until then it stays unacknowledged, so that a station whose connection breaks sends it again: to this process,
-//! which goes on with it or tells the answer it remembers, or to another, which takes it for one that may have run.
+//! A message at QoS 1 or 2 is acknowledged when its final answer is known, and the acknowledgement's user properties carry
+//! the answer; if the message has a response topic that its session subscribes to, the answer is published there too.
+//! Until then the message stays unacknowledged, so that a station whose connection breaks sends it again: either to this
+//! process, which continues the request or repeats the remembered answer, or to another, which treats it as one that may
+//! already have run.
 
 use super::policy::{Policy, User};
 use super::quota::Bucket;
@@ -17,125 +19,128 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Names a connection.
-pub type Conn = usize;
-
-/// Topic aliases that a station may use.
-const ALIASES: u16 = 16;
-/// Filters of a session.
-const MOST_FILTERS: usize = 32;
-/// Answered calls that a session remembers, and the longest body kept with one.
-const MOST_ANSWERED: usize = 64;
-const MOST_KEPT_BODY: usize = 1_024;
-/// Packets that may come before the password is checked.
-const MOST_EARLY: usize = 64;
-/// A connection that has not sent a CONNECT after this long is closed, in microseconds.
-const UNKNOWN: u64 = 2_500_000;
-/// How long an answer waits for a station that is away, in seconds, if its session lives as long.
-const ANSWER_EXPIRY: u32 = 600;
-
-/// What bounds the sessions.
+/// The id of a connection.
+pub type ConnId = usize;
+
+/// The topic alias maximum announced to stations.
+const TOPIC_ALIAS_MAXIMUM: u16 = 16;
+/// Subscriptions per session.
+const MAX_FILTERS: usize = 32;
+/// Answered calls that a session remembers.
+const MAX_ANSWERED_CALLS: usize = 64;
+/// The longest body that is remembered with an answered call.
+const MAX_REMEMBERED_BODY_BYTES: usize = 1_024;
+/// Packets of a connection that are queued while its password is checked.
+const MAX_EARLY_PACKETS: usize = 64;
+/// A connection is closed if it has not sent a CONNECT and had its password checked within this time.
+const LOGIN_TIMEOUT_US: u64 = 2_500_000;
+/// The message expiry of an answer: how long it waits for a disconnected station, if the session lives as long.
+const ANSWER_EXPIRY_S: u32 = 600;
+
+/// The limits of the sessions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Unsettled messages of a session.
+    /// Unacknowledged messages from a station.
     pub receive_maximum: u16,
-    /// The largest packet taken, in bytes.
+    /// The largest accepted packet, in bytes.
     pub maximum_packet: u32,
     /// The longest keep-alive, in seconds.
     pub keep_alive: u16,
-    /// The longest that a session outlives its connection, in seconds.
+    /// The longest time that a session outlives its connection, in seconds.
     pub session_expiry: u32,
-    /// Sessions, connected or not.
+    /// The number of sessions, connected or not.
     pub sessions: usize,
-    /// Answers that wait for a session's station.
+    /// Answers queued per session.
     pub waiting: usize,
-    /// What a refusal tells a station to wait where nothing better is known, in microseconds.
+    /// The retry delay in a refusal during shutdown, in microseconds.
     pub pushback: u64,
 }
 
-/// What is to be done.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Send a packet.
-    Send(Conn, Box<Packet>, Version),
-    /// End a connection, after what was sent.
-    Close(Conn),
-    /// Check a password against a hash, and say so by `verified`.
-    Verify(Conn, Vec<u8>, String),
-    /// Hand a request to the core; the number comes back with its answer.
+    Send(ConnId, Box<Packet>, Version),
+    /// Close a connection after sending what is queued.
+    Close(ConnId),
+    /// Check a password against a hash, and report the result to `password_verified`.
+    Verify(ConnId, Vec<u8>, String),
+    /// Submit a request to the core; the answer is returned under the number.
     Serve {
         /// Its number.
         number: i64,
-        /// Its figures.
+        /// Its parameters.
         sketch: Sketch,
         /// Its body.
         body: Vec<u8>,
-        /// It may have run before.
+        /// Whether it may have run before.
         again: bool,
     },
 }
 
-/// Things that are counted.
+/// Counts of events since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Triggers taken in.
+    /// Triggers received.
     pub triggers: u64,
-    /// Triggers that were under way or answered before.
+    /// Triggers whose request was already running or answered.
     pub duplicates: u64,
-    /// Triggers turned down by quota.
+    /// Triggers refused by a rate limit.
     pub limited: u64,
-    /// Final answers given to a station.
+    /// Final answers sent to a station or queued for it.
     pub answers: u64,
-    /// Final answers whose session had gone, or that found no room.
-    pub lost: u64,
-    /// Connections ended for what they did against the specification.
+    /// Final answers whose session had ended, or for which there was no room.
+    pub answers_lost: u64,
+    /// Connections ended because of a protocol violation.
     pub violations: u64,
     /// Connections refused.
     pub refused: u64,
 }
 
-/// A connection that is not, or not yet, a session's.
-enum Link {
-    /// Nothing has come.
+/// The state of a connection.
+enum ConnState {
+    /// No CONNECT has been received.
     New { since: u64 },
-    /// Its password is being checked.
-    Checking { since: u64, connect: Box<Connect>, early: Vec<Packet> },
-    /// It is the session's of this client.
-    Up { client: String, heard: u64, keep_alive: u64 },
+    /// The password is being checked; packets received meanwhile are queued in `early`.
+    Authenticating { since: u64, connect: Box<Connect>, early: Vec<Packet> },
+    /// The connection belongs to this client's session.
+    Connected { client: String, last_received: u64, keep_alive: u64 },
 }
 
-/// What was answered, for a message that comes again.
+/// An answer, remembered for a message that is delivered again.
 #[derive(Clone, Debug)]
 struct Outcome {
     reason: Reason,
-    told: Vec<(String, String)>,
+    user_properties: Vec<(String, String)>,
     body: Vec<u8>,
 }
 
+/// A client's session, which may outlive its connection.
 struct Session {
-    conn: Option<Conn>,
+    conn: Option<ConnId>,
     user: String,
     inbound: Inbound,
     outbound: Outbound,
     filters: Vec<(Filter, Qos)>,
-    /// How long it outlives its connection, in seconds.
+    /// How long the session outlives its connection, in seconds.
     expiry: u32,
-    gone_at: u64,
+    disconnected_at: u64,
     will: Option<Will>,
-    /// When the will is due, after the connection was lost.
+    /// When the will is to be published; set when the connection is lost.
     will_at: Option<u64>,
     bucket: Bucket,
-    calls: BTreeMap<Arc<str>, i64>,
-    answered: BTreeMap<Arc<str>, Outcome>,
-    order: VecDeque<Arc<str>>,
+    open_calls: BTreeMap<Arc<str>, i64>,
+    answered_calls: BTreeMap<Arc<str>, Outcome>,
+    answered_order: VecDeque<Arc<str>>,
 }
 
+/// A request that the core has.
 struct Request {
     client: String,
     call: Arc<str>,
-    /// The numbers under which it came on the connection that stands.
-    packets: Vec<u16>,
-    response: Option<String>,
+    /// The packet ids under which it was delivered on the current connection.
+    packet_ids: Vec<u16>,
+    response_topic: Option<String>,
     correlation: Option<Vec<u8>>,
 }
 
@@ -143,16 +148,16 @@
 pub struct Sessions {
     rules: Rules,
     policy: Policy,
-    links: BTreeMap<Conn, Link>,
+    connections: BTreeMap<ConnId, ConnState>,
     sessions: BTreeMap<String, Session>,
-    users: BTreeMap<String, Bucket>,
+    user_buckets: BTreeMap<String, Bucket>,
     requests: BTreeMap<i64, Request>,
-    next: i64,
+    next_number: i64,
     stopping: bool,
-    /// What is counted.
+    /// Counts of events.
     pub counts: Counts,
-    /// What is to be done, in order.
-    pub acts: Vec<Act>,
+    /// Actions for the caller, in order.
+    pub actions: Vec<Action>,
 }
 
 fn pair(name: &str, value: &str) -> (String, String) {
@@ -160,67 +165,68 @@
 }
 
 impl Sessions {
-    /// No sessions yet.
+    /// Creates an empty set of sessions.
     pub fn new(rules: Rules, policy: Policy) -> Sessions {
         Sessions {
             rules,
             policy,
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            users: BTreeMap::new(),
+            user_buckets: BTreeMap::new(),
             requests: BTreeMap::new(),
-            next: 1,
+            next_number: 1,
             stopping: false,
             counts: Counts::default(),
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// New users; whoever is connected and is none any more, or has another password, is told to go.
-    pub fn replace(&mut self, now: u64, policy: Policy) {
+    /// Replaces the users. Stations whose user was removed or has a new password are disconnected.
+    pub fn replace_policy(&mut self, now: u64, policy: Policy) {
         let old = std::mem::replace(&mut self.policy, policy);
-        let gone = |s: &Session| {
+        let revoked = |s: &Session| {
             let (was, is) = (old.user(&s.user), self.policy.user(&s.user));
             is.is_none() || was.map(|u| &u.password) != is.map(|u| &u.password)
         };
-        let conns: Vec<Conn> = self.sessions.values().filter(|s| gone(s)).filter_map(|s| s.conn).collect();
-        conns.into_iter().for_each(|conn| self.end(now, conn, Reason::NotAuthorized));
+        let conns: Vec<ConnId> =
+            self.sessions.values().filter(|s| revoked(s)).filter_map(|s| s.conn).collect();
+        conns.into_iter().for_each(|conn| self.disconnect(now, conn, Reason::NotAuthorized));
     }
 
-    /// Requests that the core has.
-    pub fn owed(&self) -> usize {
+    /// Returns the number of requests that the core has.
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Sessions.
+    /// Returns the number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// Sessions, and connected ones.
-    pub fn count(&self) -> (usize, usize) {
+    /// Returns the number of sessions, and of those that are connected.
+    pub fn session_counts(&self) -> (usize, usize) {
         (self.sessions.len(), self.sessions.values().filter(|s| s.conn.is_some()).count())
     }
 
     // ---- Connections ----
 
-    /// A connection was accepted.
-    pub fn accepted(&mut self, now: u64, conn: Conn) {
-        self.links.insert(conn, Link::New { since: now });
+    /// Registers an accepted connection.
+    pub fn connection_accepted(&mut self, now: u64, conn: ConnId) {
+        self.connections.insert(conn, ConnState::New { since: now });
     }
 
-    /// A connection is gone.
-    pub fn lost(&mut self, now: u64, conn: Conn) {
-        if let Some(Link::Up { client, .. }) = self.links.remove(&conn)
+    /// Handles the loss of a connection: its session is kept until it expires, and its will is scheduled.
+    pub fn connection_lost(&mut self, now: u64, conn: ConnId) {
+        if let Some(ConnState::Connected { client, .. }) = self.connections.remove(&conn)
             && let Some(session) = self.sessions.get_mut(&client).filter(|s| s.conn == Some(conn))
         {
             session.conn = None;
-            session.gone_at = now;
+            session.disconnected_at = now;
             session.outbound.disconnected();
             let delay =
                 session.will.as_ref().map(|w| w.properties.will_delay.unwrap_or(0).min(session.expiry));
@@ -228,148 +234,156 @@
         }
     }
 
-    /// Ends a connection by rule: its session goes on, and its will is published.
-    fn end(&mut self, now: u64, conn: Conn, reason: Reason) {
+    /// Disconnects a station with a reason; its session is kept and its will is published.
+    fn disconnect(&mut self, now: u64, conn: ConnId, reason: Reason) {
         let closing = Packet::Disconnect(Closing { reason, properties: Properties::default() });
-        self.acts.push(Act::Send(conn, Box::new(closing), Version::V5));
-        self.acts.push(Act::Close(conn));
-        self.lost(now, conn);
+        self.actions.push(Action::Send(conn, Box::new(closing), Version::V5));
+        self.actions.push(Action::Close(conn));
+        self.connection_lost(now, conn);
     }
 
-    /// The station did something against the specification.
-    pub fn violated(&mut self, now: u64, conn: Conn, violation: &Violation) {
+    /// Handles a protocol violation by a station.
+    pub fn protocol_violated(&mut self, now: u64, conn: ConnId, violation: &Violation) {
         self.counts.violations += 1;
-        match self.links.get(&conn) {
-            // Before a CONNECT was taken, the answer is a CONNACK, or none (4.13.1).
-            Some(Link::Up { .. }) => self.end(now, conn, violation.reason),
+        match self.connections.get(&conn) {
+            // Before a CONNECT is accepted, the answer is a CONNACK or none (MQTT 5.0, 4.13.1).
+            Some(ConnState::Connected { .. }) => self.disconnect(now, conn, violation.reason),
             Some(_) if violation.reason == Reason::UnsupportedProtocol => {
-                self.turn_away(conn, Version::V5, violation.reason);
+                self.refuse_connection(conn, Version::V5, violation.reason);
             }
             _ => {
-                self.links.remove(&conn);
-                self.acts.push(Act::Close(conn));
+                self.connections.remove(&conn);
+                self.actions.push(Action::Close(conn));
             }
         }
     }
 
-    fn turn_away(&mut self, conn: Conn, version: Version, reason: Reason) {
+    fn refuse_connection(&mut self, conn: ConnId, version: Version, reason: Reason) {
         self.counts.refused += 1;
         let connack = Connack { session_present: false, reason, properties: Properties::default() };
-        self.acts.push(Act::Send(conn, Box::new(Packet::Connack(Box::new(connack))), version));
-        self.acts.push(Act::Close(conn));
-        self.links.remove(&conn);
+        self.actions.push(Action::Send(conn, Box::new(Packet::Connack(Box::new(connack))), version));
+        self.actions.push(Action::Close(conn));
+        self.connections.remove(&conn);
     }
 
-    /// A packet has come.
-    pub fn received(&mut self, now: u64, conn: Conn, packet: Packet) {
-        match (self.links.get_mut(&conn), packet) {
+    /// Handles a packet from a station.
+    pub fn packet_received(&mut self, now: u64, conn: ConnId, packet: Packet) {
+        match (self.connections.get_mut(&conn), packet) {
             (None, _) => {}
-            (Some(Link::New { since }), Packet::Connect(connect)) => {
+            (Some(ConnState::New { since }), Packet::Connect(connect)) => {
                 let since = *since;
-                self.connect(conn, since, connect);
+                self.handle_connect(conn, since, connect);
             }
-            (Some(Link::Checking { early, .. }), packet) if early.len() < MOST_EARLY => early.push(packet),
-            (Some(Link::Up { client, heard, .. }), packet) => {
-                *heard = now;
+            (Some(ConnState::Authenticating { early, .. }), packet) if early.len() < MAX_EARLY_PACKETS => {
+                early.push(packet)
+            }
+            (Some(ConnState::Connected { client, last_received, .. }), packet) => {
+                *last_received = now;
                 let client = client.clone();
-                if let Err(violation) = self.packet(now, conn, &client, packet) {
-                    self.violated(now, conn, &violation);
+                if let Err(violation) = self.handle_packet(now, conn, &client, packet) {
+                    self.protocol_violated(now, conn, &violation);
                 }
             }
-            // Anything before a CONNECT [MQTT-3.1.0-1], or too much before its answer.
+            // A packet before CONNECT [MQTT-3.1.0-1], or too many before CONNACK.
             (Some(_), _) => {
                 let what = "a packet before the connection was up";
-                self.violated(now, conn, &Violation::protocol("MQTT-3.1.0-1", what));
+                self.protocol_violated(now, conn, &Violation::protocol("MQTT-3.1.0-1", what));
             }
         }
     }
 
-    fn connect(&mut self, conn: Conn, since: u64, connect: Box<Connect>) {
+    fn handle_connect(&mut self, conn: ConnId, since: u64, connect: Box<Connect>) {
         let version = connect.version;
         let user = connect.user.as_deref().and_then(|name| self.policy.user(name));
         let refused = match user {
-            // 3.1.1 has no room for what an answer must tell.
+            // MQTT 3.1.1 has no user properties, which an answer needs.
             _ if version == Version::V311 => Some(Reason::UnsupportedProtocol),
             _ if self.stopping => Some(Reason::ServerShuttingDown),
             _ if connect.properties.authentication_method.is_some() => Some(Reason::BadAuthenticationMethod),
             None => Some(Reason::BadLogin),
-            Some(user) if connect.client_id.is_empty() || !user.may_be(&connect.client_id) => {
+            Some(user) if connect.client_id.is_empty() || !user.may_use_client_id(&connect.client_id) => {
                 Some(Reason::ClientIdNotValid)
             }
             _ if connect.will.as_ref().is_some_and(|w| w.retain) => Some(Reason::RetainNotSupported),
             _ => None,
         };
-        // A server that goes is no reason of a CONNACK's table; it is unavailable.
+        // CONNACK has no Server shutting down reason; Server unavailable is used instead.
         let refused =
             refused.map(|r| if r == Reason::ServerShuttingDown { Reason::ServerUnavailable } else { r });
         if let Some(reason) = refused {
-            return self.turn_away(conn, version, reason);
+            return self.refuse_connection(conn, version, reason);
         }
         let hash = user.map(|u| u.password.clone()).unwrap_or_default();
         let password = connect.password.clone().unwrap_or_default();
-        self.links.insert(conn, Link::Checking { since, connect, early: Vec::new() });
-        self.acts.push(Act::Verify(conn, password, hash));
+        self.connections.insert(conn, ConnState::Authenticating { since, connect, early: Vec::new() });
+        self.actions.push(Action::Verify(conn, password, hash));
     }
 
-    /// The password of a connection was checked.
-    pub fn verified(&mut self, now: u64, conn: Conn, yes: bool) {
-        let Some(Link::Checking { connect, early, .. }) = self.links.remove(&conn) else { return };
-        if !yes {
-            return self.turn_away(conn, connect.version, Reason::BadLogin);
+    /// Handles the result of a password check: opens or resumes the session, or refuses the connection.
+    pub fn password_verified(&mut self, now: u64, conn: ConnId, matches: bool) {
+        let Some(ConnState::Authenticating { connect, early, .. }) = self.connections.remove(&conn) else {
+            return;
+        };
+        if !matches {
+            return self.refuse_connection(conn, connect.version, Reason::BadLogin);
         }
         let client = connect.client_id.clone();
-        if !self.sessions.contains_key(&client) && self.sessions.len() >= self.rules.sessions && !self.evict()
+        if !self.sessions.contains_key(&client)
+            && self.sessions.len() >= self.rules.sessions
+            && !self.evict_session()
         {
-            return self.turn_away(conn, connect.version, Reason::QuotaExceeded);
+            return self.refuse_connection(conn, connect.version, Reason::QuotaExceeded);
         }
-        // One session has one connection: the later one takes it over [MQTT-3.1.4-3].
+        // A session has one connection: the later one takes it over [MQTT-3.1.4-3].
         if let Some(old) = self.sessions.get(&client).and_then(|s| s.conn) {
-            self.end(now, old, Reason::SessionTakenOver);
+            self.disconnect(now, old, Reason::SessionTakenOver);
         }
         let rules = &self.rules;
         let user = connect.user.clone().unwrap_or_default();
         let rate = self.policy.user(&user).map_or((0.0, 0.0), |u| u.client_rate);
         let expiry = connect.properties.session_expiry.unwrap_or(0).min(rules.session_expiry);
-        let kept = self.sessions.remove(&client).filter(|s| {
-            // A will that is due comes first; a session of another user's is none of this one's.
-            !connect.clean_start && s.user == user && now < s.gone_at + u64::from(s.expiry) * 1_000_000
+        let resumed = self.sessions.remove(&client).filter(|s| {
+            // A session that belongs to another user or has expired is not resumed.
+            !connect.clean_start
+                && s.user == user
+                && now < s.disconnected_at + u64::from(s.expiry) * 1_000_000
         });
-        let present = kept.is_some();
-        let mut session = kept.unwrap_or_else(|| Session {
+        let present = resumed.is_some();
+        let mut session = resumed.unwrap_or_else(|| Session {
             conn: None,
             user: user.clone(),
-            inbound: Inbound::new(rules.receive_maximum, ALIASES),
+            inbound: Inbound::new(rules.receive_maximum, TOPIC_ALIAS_MAXIMUM),
             outbound: Outbound::new(rules.waiting),
             filters: Vec::new(),
             expiry,
-            gone_at: now,
+            disconnected_at: now,
             will: None,
             will_at: None,
             bucket: Bucket::new(now, rate.0, rate.1),
-            calls: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            order: VecDeque::new(),
+            open_calls: BTreeMap::new(),
+            answered_calls: BTreeMap::new(),
+            answered_order: VecDeque::new(),
         });
         session.conn = Some(conn);
         (session.expiry, session.will, session.will_at) = (expiry, connect.will.clone(), None);
         session.inbound.connected(present);
-        let theirs = &connect.properties;
+        let requested = &connect.properties;
         let (window, aliases) =
-            (theirs.receive_maximum.unwrap_or(u16::MAX), theirs.topic_alias_maximum.unwrap_or(0));
+            (requested.receive_maximum.unwrap_or(u16::MAX), requested.topic_alias_maximum.unwrap_or(0));
         session.outbound.connected(present, window, aliases);
-        // What came on the connection before is unacknowledged, and comes again.
-        for number in session.calls.values() {
+        // Messages of the previous connection are unacknowledged, so the station resends them.
+        for number in session.open_calls.values() {
             if let Some(request) = self.requests.get_mut(number) {
-                request.packets.clear();
+                request.packet_ids.clear();
             }
         }
         let capped = connect.keep_alive == 0 || connect.keep_alive > rules.keep_alive;
         let keep_alive = if capped { rules.keep_alive } else { connect.keep_alive };
         let properties = Properties {
-            session_expiry: (expiry != theirs.session_expiry.unwrap_or(0)).then_some(expiry),
+            session_expiry: (expiry != requested.session_expiry.unwrap_or(0)).then_some(expiry),
             receive_maximum: Some(rules.receive_maximum),
             maximum_packet: Some(rules.maximum_packet),
-            topic_alias_maximum: Some(ALIASES),
+            topic_alias_maximum: Some(TOPIC_ALIAS_MAXIMUM),
             server_keep_alive: capped.then_some(keep_alive),
             retain_available: Some(false),
             subscription_ids_available: Some(false),
@@ -377,18 +391,21 @@
             ..Properties::default()
         };
         let connack = Connack { session_present: present, reason: Reason::Success, properties };
-        self.acts.push(Act::Send(conn, Box::new(Packet::Connack(Box::new(connack))), Version::V5));
+        self.actions.push(Action::Send(conn, Box::new(Packet::Connack(Box::new(connack))), Version::V5));
         self.sessions.insert(client.clone(), session);
         let keep_alive = u64::from(keep_alive) * 1_500_000;
-        self.links.insert(conn, Link::Up { client: client.clone(), heard: now, keep_alive });
-        self.pump(&client);
-        early.into_iter().for_each(|packet| self.received(now, conn, packet));
+        self.connections
+            .insert(conn, ConnState::Connected { client: client.clone(), last_received: now, keep_alive });
+        self.send_queued(&client);
+        early.into_iter().for_each(|packet| self.packet_received(now, conn, packet));
     }
 
-    /// Makes room by the session that has been away for longest.
-    fn evict(&mut self) -> bool {
-        let away = self.sessions.iter().filter(|(_, s)| s.conn.is_none() && s.calls.is_empty());
-        let Some(oldest) = away.min_by_key(|(_, s)| s.gone_at).map(|(client, _)| client.clone()) else {
+    /// Evicts the session that has been disconnected longest, unless it has open requests.
+    fn evict_session(&mut self) -> bool {
+        let disconnected = self.sessions.iter().filter(|(_, s)| s.conn.is_none() && s.open_calls.is_empty());
+        let Some(oldest) =
+            disconnected.min_by_key(|(_, s)| s.disconnected_at).map(|(client, _)| client.clone())
+        else {
             return false;
         };
         self.drop_session(&oldest);
@@ -397,17 +414,17 @@
 
     fn drop_session(&mut self, client: &str) {
         if let Some(session) = self.sessions.remove(client) {
-            self.counts.lost += session.outbound.load().0 as u64;
+            self.counts.answers_lost += session.outbound.load().0 as u64;
         }
     }
 
     fn send(&mut self, client: &str, packets: impl IntoIterator<Item = Packet>) {
         let Some(conn) = self.sessions.get(client).and_then(|s| s.conn) else { return };
-        self.acts.extend(packets.into_iter().map(|p| Act::Send(conn, Box::new(p), Version::V5)));
+        self.actions.extend(packets.into_iter().map(|p| Action::Send(conn, Box::new(p), Version::V5)));
     }
 
-    /// Sends what waits, as much as the station takes.
-    fn pump(&mut self, client: &str) {
+    /// Sends queued answers, as many as the station's receive maximum allows.
+    fn send_queued(&mut self, client: &str) {
         let mut out = Vec::new();
         if let Some(session) = self.sessions.get_mut(client) {
             while let Some(packet) = session.outbound.take_packet() {
@@ -419,28 +436,34 @@
 
     // ---- Packets ----
 
-    fn packet(&mut self, now: u64, conn: Conn, client: &str, packet: Packet) -> Result<(), Violation> {
+    fn handle_packet(
+        &mut self,
+        now: u64,
+        conn: ConnId,
+        client: &str,
+        packet: Packet,
+    ) -> Result<(), Violation> {
         let Some(session) = self.sessions.get_mut(client) else { return Ok(()) };
         match packet {
-            Packet::Publish(publish) => self.published(now, client, *publish)?,
+            Packet::Publish(publish) => self.handle_publish(now, client, *publish)?,
             Packet::Puback(ack) => {
                 session.outbound.puback(&ack)?;
-                self.pump(client);
+                self.send_queued(client);
             }
             Packet::Pubrec(ack) => {
                 let (answer, _) = session.outbound.pubrec(&ack)?;
                 self.send(client, answer);
-                self.pump(client);
+                self.send_queued(client);
             }
             Packet::Pubcomp(ack) => {
                 session.outbound.pubcomp(&ack)?;
-                self.pump(client);
+                self.send_queued(client);
             }
             Packet::Pubrel(ack) => {
                 let answer = session.inbound.pubrel(&ack);
                 self.send(client, [answer]);
             }
-            Packet::Subscribe(subscribe) => self.subscribe(client, &subscribe),
+            Packet::Subscribe(subscribe) => self.handle_subscribe(client, &subscribe),
             Packet::Unsubscribe(unsubscribe) => {
                 let remove = |filter: &String| {
                     let before = session.filters.len();
@@ -459,7 +482,7 @@
             Packet::Disconnect(closing) => {
                 if let Some(expiry) = closing.properties.session_expiry {
                     if session.expiry == 0 && expiry > 0 {
-                        let what = "a session expiry at the end that was 0 at the start";
+                        let what = "a session expiry in DISCONNECT after 0 in CONNECT";
                         return Err(Violation::protocol("MQTT 3.14.2.2.2", what));
                     }
                     session.expiry = expiry.min(self.rules.session_expiry);
@@ -467,16 +490,16 @@
                 if closing.reason != Reason::DisconnectWithWill {
                     session.will = None;
                 }
-                self.acts.push(Act::Close(conn));
-                self.lost(now, conn);
+                self.actions.push(Action::Close(conn));
+                self.connection_lost(now, conn);
             }
-            // Only servers send these, or nothing asked for them [MQTT-3.1.0-2].
-            _ => return Err(Violation::protocol("MQTT-3.1.0-2", "a packet that has no place here")),
+            // A second CONNECT [MQTT-3.1.0-2], or a packet that only servers send.
+            _ => return Err(Violation::protocol("MQTT-3.1.0-2", "a packet that a client may not send here")),
         }
         Ok(())
     }
 
-    fn subscribe(&mut self, client: &str, subscribe: &Subscribe) {
+    fn handle_subscribe(&mut self, client: &str, subscribe: &Subscribe) {
         let Some(session) = self.sessions.get_mut(client) else { return };
         let user = self.policy.user(&session.user);
         let mut reasons = Vec::new();
@@ -500,9 +523,9 @@
                 reasons.push(Reason::NotAuthorized);
                 continue;
             }
-            // A subscription by the same filter takes the place of the one before [MQTT-3.8.4-3].
+            // A subscription with the same filter replaces the previous one [MQTT-3.8.4-3].
             session.filters.retain(|(f, _)| *f != filter);
-            if session.filters.len() >= MOST_FILTERS {
+            if session.filters.len() >= MAX_FILTERS {
                 reasons.push(Reason::QuotaExceeded);
                 continue;
             }
@@ -517,10 +540,10 @@
         self.send(client, [Packet::Suback(suback)]);
     }
 
-    fn published(&mut self, now: u64, client: &str, mut publish: Publish) -> Result<(), Violation> {
+    fn handle_publish(&mut self, now: u64, client: &str, mut publish: Publish) -> Result<(), Violation> {
         let Some(session) = self.sessions.get_mut(client) else { return Ok(()) };
         if publish.retain {
-            let (statement, what) = ("MQTT-3.2.2-14", "a message to be kept, which is not done here");
+            let (statement, what) = ("MQTT-3.2.2-14", "a retained message, which is not supported");
             return Err(Violation { reason: Reason::RetainNotSupported, statement, what });
         }
         match session.inbound.publish(&mut publish)? {
@@ -531,191 +554,205 @@
                 return Ok(());
             }
         }
-        self.trigger(now, client, publish);
+        self.handle_trigger(now, client, publish);
         Ok(())
     }
 
-    /// A message that is to be served, or told why not.
-    fn trigger(&mut self, now: u64, client: &str, publish: Publish) {
+    /// Turns a message into a request, or answers it with the reason why it is refused.
+    fn handle_trigger(&mut self, now: u64, client: &str, publish: Publish) {
         let Some(session) = self.sessions.get_mut(client) else { return };
         self.counts.triggers += 1;
         let user = self.policy.user(&session.user);
         let fields: Fields = publish.properties.user.iter().cloned().collect();
         let call: Arc<str> = fields.get("call").map_or("", String::as_str).into();
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let request = Request {
             client: client.to_string(),
             call: call.clone(),
-            packets: if publish.id > 0 { vec![publish.id] } else { Vec::new() },
-            response: publish.properties.response_topic.clone(),
+            packet_ids: if publish.id > 0 { vec![publish.id] } else { Vec::new() },
+            response_topic: publish.properties.response_topic.clone(),
             correlation: publish.properties.correlation.clone(),
         };
-        // Under way: the one answer goes to this delivery too.
-        if let Some(known) = session.calls.get(&call).and_then(|number| self.requests.get_mut(number)) {
+        // The request is running: its answer acknowledges this delivery too.
+        if let Some(known) = session.open_calls.get(&call).and_then(|number| self.requests.get_mut(number)) {
             self.counts.duplicates += 1;
-            known.packets.extend(request.packets);
+            known.packet_ids.extend(request.packet_ids);
             return;
         }
-        if let Some(outcome) = session.answered.get(&call).filter(|_| publish.dup || publish.id == 0).cloned()
+        if let Some(outcome) =
+            session.answered_calls.get(&call).filter(|_| publish.dup || publish.id == 0).cloned()
         {
             self.counts.duplicates += 1;
-            return self.tell(request, outcome);
+            return self.deliver(request, outcome);
         }
         let refuse = |reason: Reason, why: &str| Outcome {
             reason,
-            told: vec![pair("status", "failed"), pair("why", why)],
+            user_properties: vec![pair("status", "failed"), pair("why", why)],
             body: Vec::new(),
         };
         let sketch = match Sketch::read(&fields) {
             Ok(sketch) => sketch,
             Err(invalid) => {
                 let mut outcome = refuse(Reason::PayloadFormatInvalid, invalid.why);
-                outcome.told.push(pair("field", invalid.field));
-                return self.tell(request, outcome);
+                outcome.user_properties.push(pair("field", invalid.field));
+                return self.deliver(request, outcome);
             }
         };
         let may = |u: &User| {
-            u.may_publish(client, &publish.topic) && u.may_ask(&sketch.class, sketch.tenant.as_deref())
+            u.may_publish(client, &publish.topic) && u.may_request(&sketch.class, sketch.tenant.as_deref())
         };
         if !user.is_some_and(may) {
-            return self.tell(request, refuse(Reason::NotAuthorized, "may not be asked for by this client"));
+            return self
+                .deliver(request, refuse(Reason::NotAuthorized, "may not be asked for by this client"));
         }
         let rate = user.map_or((0.0, 0.0), |u| u.user_rate);
         let shared =
-            self.users.entry(session.user.clone()).or_insert_with(|| Bucket::new(now, rate.0, rate.1));
-        let wait = session.bucket.wait(now).max(shared.wait(now));
+            self.user_buckets.entry(session.user.clone()).or_insert_with(|| Bucket::new(now, rate.0, rate.1));
+        let wait = session.bucket.wait_us(now).max(shared.wait_us(now));
         if self.stopping || wait > 0 {
             self.counts.limited += u64::from(wait > 0);
             let after = if self.stopping { self.rules.pushback } else { wait };
-            return self.tell(request, refused(after));
+            return self.deliver(request, refused(after));
         }
         session.bucket.take();
         shared.take();
-        session.calls.insert(call, number);
+        session.open_calls.insert(call, number);
         self.requests.insert(number, request);
-        self.acts.push(Act::Serve { number, sketch, body: publish.payload, again: publish.dup });
+        self.actions.push(Action::Serve { number, sketch, body: publish.payload, again: publish.dup });
     }
 
-    /// The core's final answer to a request.
-    pub fn answered(&mut self, number: i64, answer: Final) {
+    /// Delivers the core's final answer to a request.
+    pub fn answer(&mut self, number: i64, answer: Final) {
         let outcome = match answer {
             Final::Served(body) => {
-                Outcome { reason: Reason::Success, told: vec![pair("status", "served")], body }
+                Outcome { reason: Reason::Success, user_properties: vec![pair("status", "served")], body }
             }
             Final::Refused(after) => refused(after),
             Final::Failed(why) => Outcome {
                 reason: Reason::Implementation,
-                told: vec![pair("status", "failed"), pair("why", why)],
+                user_properties: vec![pair("status", "failed"), pair("why", why)],
                 body: Vec::new(),
             },
         };
         self.settle(number, outcome);
     }
 
-    /// A request has a field that can't be used.
-    pub fn invalid(&mut self, number: i64, invalid: &Invalid) {
-        let told = vec![pair("status", "failed"), pair("field", invalid.field), pair("why", invalid.why)];
-        self.settle(number, Outcome { reason: Reason::PayloadFormatInvalid, told, body: Vec::new() });
+    /// Answers a request that has an invalid field.
+    pub fn reject_invalid(&mut self, number: i64, invalid: &Invalid) {
+        let user_properties =
+            vec![pair("status", "failed"), pair("field", invalid.field), pair("why", invalid.why)];
+        self.settle(
+            number,
+            Outcome { reason: Reason::PayloadFormatInvalid, user_properties, body: Vec::new() },
+        );
     }
 
     fn settle(&mut self, number: i64, outcome: Outcome) {
         let Some(request) = self.requests.remove(&number) else { return };
         let Some(session) = self.sessions.get_mut(&request.client) else {
-            self.counts.lost += 1;
+            self.counts.answers_lost += 1;
             return;
         };
-        session.calls.remove(&request.call);
-        // A refusal never ran: a repeat of it is a new request.
-        if outcome.told.first().is_some_and(|(_, status)| status != "refused") {
-            let mut kept = outcome.clone();
-            if kept.body.len() > MOST_KEPT_BODY {
-                kept.body.clear();
-                kept.told.push(pair("body", "not kept"));
+        session.open_calls.remove(&request.call);
+        // A refused request never ran: its repeat is a new request.
+        if outcome.user_properties.first().is_some_and(|(_, status)| status != "refused") {
+            let mut remembered = outcome.clone();
+            if remembered.body.len() > MAX_REMEMBERED_BODY_BYTES {
+                remembered.body.clear();
+                remembered.user_properties.push(pair("body", "not kept"));
             }
-            if session.answered.insert(request.call.clone(), kept).is_none() {
-                session.order.push_back(request.call.clone());
+            if session.answered_calls.insert(request.call.clone(), remembered).is_none() {
+                session.answered_order.push_back(request.call.clone());
             }
-            while session.order.len() > MOST_ANSWERED {
-                if let Some(old) = session.order.pop_front() {
-                    session.answered.remove(&old);
+            while session.answered_order.len() > MAX_ANSWERED_CALLS {
+                if let Some(old) = session.answered_order.pop_front() {
+                    session.answered_calls.remove(&old);
                 }
             }
         }
-        self.tell(request, outcome);
+        self.deliver(request, outcome);
     }
 
-    /// Gives a station its final answer: with the acknowledgement, and on its response topic if it listens there.
-    fn tell(&mut self, request: Request, outcome: Outcome) {
+    /// Sends a station its final answer: in the acknowledgement, and on the response topic if the session subscribes to
+    /// it.
+    fn deliver(&mut self, request: Request, outcome: Outcome) {
         let client = request.client;
         let Some(session) = self.sessions.get_mut(&client) else {
-            self.counts.lost += 1;
+            self.counts.answers_lost += 1;
             return;
         };
         let mut user = vec![pair("call", &request.call)];
-        user.extend(outcome.told);
+        user.extend(outcome.user_properties);
         let mut out = Vec::new();
-        for id in &request.packets {
+        for id in &request.packet_ids {
             let properties = Properties { user: user.clone(), ..Properties::default() };
             out.extend(session.inbound.settle(*id, outcome.reason, properties));
         }
-        let listens = |topic: &String| {
+        let subscribed_qos = |topic: &String| {
             session.filters.iter().filter(|(f, _)| f.matches(topic)).map(|(_, qos)| *qos).max()
         };
-        let mut told = !request.packets.is_empty();
-        if let Some((topic, qos)) = request.response.and_then(|t| listens(&t).map(|qos| (t, qos))) {
+        let mut delivered = !request.packet_ids.is_empty();
+        if let Some((topic, qos)) =
+            request.response_topic.and_then(|t| subscribed_qos(&t).map(|qos| (t, qos)))
+        {
             let properties = Properties {
                 correlation: request.correlation,
-                message_expiry: Some(ANSWER_EXPIRY),
+                message_expiry: Some(ANSWER_EXPIRY_S),
                 user,
                 ..Properties::default()
             };
             let publish = Publish { qos, topic, properties, payload: outcome.body, ..Publish::default() };
-            told |= session.outbound.publish(publish).is_ok();
+            delivered |= session.outbound.publish(publish).is_ok();
         }
-        *(if told { &mut self.counts.answers } else { &mut self.counts.lost }) += 1;
+        *(if delivered { &mut self.counts.answers } else { &mut self.counts.answers_lost }) += 1;
         self.send(&client, out);
-        self.pump(&client);
+        self.send_queued(&client);
     }
 
     // ---- Time ----
 
-    /// Takes nothing more; what was taken is still answered.
+    /// Stops taking requests; those already taken are still answered.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Tells every station that the server goes.
-    pub fn leave(&mut self, now: u64) {
-        let up: Vec<Conn> = self.links.keys().copied().collect();
-        for conn in up {
-            if matches!(self.links.get(&conn), Some(Link::Up { .. })) {
-                self.end(now, conn, Reason::ServerShuttingDown);
+    /// Disconnects every station with reason Server shutting down.
+    pub fn disconnect_all(&mut self, now: u64) {
+        let conns: Vec<ConnId> = self.connections.keys().copied().collect();
+        for conn in conns {
+            if matches!(self.connections.get(&conn), Some(ConnState::Connected { .. })) {
+                self.disconnect(now, conn, Reason::ServerShuttingDown);
             }
         }
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has work to do.
     pub fn due(&self) -> u64 {
-        let links = self.links.values().map(|link| match link {
-            Link::New { since } | Link::Checking { since, .. } => since + UNKNOWN,
-            Link::Up { heard, keep_alive, .. } => heard + keep_alive,
+        let links = self.connections.values().map(|link| match link {
+            ConnState::New { since } | ConnState::Authenticating { since, .. } => since + LOGIN_TIMEOUT_US,
+            ConnState::Connected { last_received, keep_alive, .. } => last_received + keep_alive,
+        });
+        let disconnected = self.sessions.values().filter(|s| s.conn.is_none());
+        let sessions = disconnected.map(|s| {
+            (s.disconnected_at + u64::from(s.expiry) * 1_000_000).min(s.will_at.unwrap_or(u64::MAX))
         });
-        let away = self.sessions.values().filter(|s| s.conn.is_none());
-        let sessions =
-            away.map(|s| (s.gone_at + u64::from(s.expiry) * 1_000_000).min(s.will_at.unwrap_or(u64::MAX)));
         links.chain(sessions).min().unwrap_or(u64::MAX)
     }
 
-    /// Ends what is silent, and sessions whose time is over; publishes wills that are due.
+    /// Closes connections whose keep-alive or log-in time-out has passed, ends expired sessions and publishes due wills.
     pub fn advance(&mut self, now: u64) {
         let mut silent = Vec::new();
-        for (conn, link) in &self.links {
+        for (conn, link) in &self.connections {
             match link {
-                Link::New { since } | Link::Checking { since, .. } if now >= since + UNKNOWN => {
+                ConnState::New { since } | ConnState::Authenticating { since, .. }
+                    if now >= since + LOGIN_TIMEOUT_US =>
+                {
                     silent.push((*conn, None));
                 }
-                Link::Up { heard, keep_alive, .. } if now >= heard + keep_alive => {
+                ConnState::Connected { last_received, keep_alive, .. }
+                    if now >= last_received + keep_alive =>
+                {
                     silent.push((*conn, Some(Reason::KeepAliveTimeout)));
                 }
                 _ => {}
@@ -723,10 +760,10 @@
         }
         for (conn, reason) in silent {
             match reason {
-                Some(reason) => self.end(now, conn, reason),
+                Some(reason) => self.disconnect(now, conn, reason),
                 None => {
-                    self.links.remove(&conn);
-                    self.acts.push(Act::Close(conn));
+                    self.connections.remove(&conn);
+                    self.actions.push(Action::Close(conn));
                 }
             }
         }
@@ -742,27 +779,28 @@
                 let properties = Properties { will_delay: None, ..will.properties };
                 let publish =
                     Publish { topic: will.topic, properties, payload: will.payload, ..Publish::default() };
-                self.trigger(now, &client, publish);
+                self.handle_trigger(now, &client, publish);
             }
         }
-        // Requests of a session that is over are answered to nobody, but its calls are not lost sight of before.
-        let over = |s: &&Session| s.conn.is_none() && now >= s.gone_at + u64::from(s.expiry) * 1_000_000;
-        let over: BTreeSet<String> = self
+        // An expired session is kept until its open requests are answered, so that repeats of them are still recognised.
+        let expired =
+            |s: &&Session| s.conn.is_none() && now >= s.disconnected_at + u64::from(s.expiry) * 1_000_000;
+        let expired: BTreeSet<String> = self
             .sessions
             .iter()
-            .filter(|(_, s)| over(s) && s.calls.is_empty())
+            .filter(|(_, s)| expired(s) && s.open_calls.is_empty())
             .map(|(c, _)| c.clone())
             .collect();
-        over.iter().for_each(|client| self.drop_session(client));
+        expired.iter().for_each(|client| self.drop_session(client));
     }
 }
 
-/// A refusal, with the time after which to come back.
+/// Returns a refusal with the delay after which to retry, given in microseconds.
 fn refused(after: u64) -> Outcome {
     let ms = after.div_ceil(1000).to_string();
     Outcome {
         reason: Reason::QuotaExceeded,
-        told: vec![pair("status", "refused"), pair("pushback", &ms)],
+        user_properties: vec![pair("status", "refused"), pair("pushback", &ms)],
         body: Vec::new(),
     }
 }
--- a/src/front/stations/sessions/tests.rs
+++ b/src/front/stations/sessions/tests.rs
@@ -2,17 +2,18 @@
 
 const SECOND: u64 = 1_000_000;
 
-struct Bench {
-    it: Sessions,
+/// Sessions whose actions are executed and recorded by the test.
+struct TestSessions {
+    sessions: Sessions,
     now: u64,
-    sent: BTreeMap<Conn, Vec<Packet>>,
-    closed: BTreeSet<Conn>,
+    sent: BTreeMap<ConnId, Vec<Packet>>,
+    closed: BTreeSet<ConnId>,
     serves: Vec<(i64, Sketch, bool)>,
 }
 
-fn bench(more: &str) -> Bench {
+fn test_sessions(user_keys: &str) -> TestSessions {
     let text = format!(
-        "[user.u]\npassword = \"$argon2id$\"\npublish = [\"in/{{client}}/#\"]\nsubscribe = [\"out/{{client}}/#\"]\n{more}"
+        "[user.u]\npassword = \"$argon2id$\"\npublish = [\"in/{{client}}/#\"]\nsubscribe = [\"out/{{client}}/#\"]\n{user_keys}"
     );
     let rules = Rules {
         receive_maximum: 4,
@@ -23,8 +24,8 @@
         waiting: 4,
         pushback: 500_000,
     };
-    let it = Sessions::new(rules, Policy::read(&text).expect("a policy"));
-    Bench { it, now: SECOND, sent: BTreeMap::new(), closed: BTreeSet::new(), serves: Vec::new() }
+    let sessions = Sessions::new(rules, Policy::read(&text).expect("a policy"));
+    TestSessions { sessions, now: SECOND, sent: BTreeMap::new(), closed: BTreeSet::new(), serves: Vec::new() }
 }
 
 fn connect(client: &str, expiry: u32) -> Connect {
@@ -57,31 +58,33 @@
     Publish { id, qos, topic: "in/a/x".into(), properties, ..Publish::default() }
 }
 
-impl Bench {
-    fn carry(&mut self) {
-        while !self.it.acts.is_empty() {
-            for act in std::mem::take(&mut self.it.acts) {
-                match act {
-                    Act::Send(conn, packet, version) => {
+impl TestSessions {
+    fn run_actions(&mut self) {
+        while !self.sessions.actions.is_empty() {
+            for action in std::mem::take(&mut self.sessions.actions) {
+                match action {
+                    Action::Send(conn, packet, version) => {
                         assert!(packet.encode(version, 65_536).is_ok(), "{packet:?}");
                         self.sent.entry(conn).or_default().push(*packet);
                     }
-                    Act::Close(conn) => drop(self.closed.insert(conn)),
-                    Act::Verify(conn, password, _) => self.it.verified(self.now, conn, password == b"p"),
-                    Act::Serve { number, sketch, again, .. } => self.serves.push((number, sketch, again)),
+                    Action::Close(conn) => drop(self.closed.insert(conn)),
+                    Action::Verify(conn, password, _) => {
+                        self.sessions.password_verified(self.now, conn, password == b"p")
+                    }
+                    Action::Serve { number, sketch, again, .. } => self.serves.push((number, sketch, again)),
                 }
             }
         }
     }
 
-    fn send(&mut self, conn: Conn, packet: Packet) -> Vec<Packet> {
-        self.it.received(self.now, conn, packet);
-        self.carry();
+    fn send(&mut self, conn: ConnId, packet: Packet) -> Vec<Packet> {
+        self.sessions.packet_received(self.now, conn, packet);
+        self.run_actions();
         self.sent.remove(&conn).unwrap_or_default()
     }
 
-    fn connect(&mut self, conn: Conn, connect: Connect) -> Option<Connack> {
-        self.it.accepted(self.now, conn);
+    fn connect(&mut self, conn: ConnId, connect: Connect) -> Option<Connack> {
+        self.sessions.connection_accepted(self.now, conn);
         let sent = self.send(conn, Packet::Connect(Box::new(connect)));
         match sent.into_iter().next() {
             Some(Packet::Connack(connack)) => Some(*connack),
@@ -89,11 +92,11 @@
         }
     }
 
-    fn publish(&mut self, conn: Conn, publish: Publish) -> Vec<Packet> {
+    fn publish(&mut self, conn: ConnId, publish: Publish) -> Vec<Packet> {
         self.send(conn, Packet::Publish(Box::new(publish)))
     }
 
-    fn subscribe(&mut self, conn: Conn, filters: &[&str]) -> Vec<Reason> {
+    fn subscribe(&mut self, conn: ConnId, filters: &[&str]) -> Vec<Reason> {
         let of = |f: &&str| ochreward_mqtt::packet::Subscription {
             filter: f.to_string(),
             qos: Qos::AtLeastOnce,
@@ -107,20 +110,20 @@
         }
     }
 
-    fn answer(&mut self, conn: Conn, number: i64, answer: Final) -> Vec<Packet> {
-        self.it.answered(number, answer);
-        self.carry();
+    fn answer(&mut self, conn: ConnId, number: i64, answer: Final) -> Vec<Packet> {
+        self.sessions.answer(number, answer);
+        self.run_actions();
         self.sent.remove(&conn).unwrap_or_default()
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance_by(&mut self, time: u64) {
         self.now += time;
-        self.it.advance(self.now);
-        self.carry();
+        self.sessions.advance(self.now);
+        self.run_actions();
     }
 }
 
-fn told(packet: &Packet, name: &str) -> Option<String> {
+fn user_property(packet: &Packet, name: &str) -> Option<String> {
     let properties = match packet {
         Packet::Puback(ack) | Packet::Pubrec(ack) => &ack.properties,
         Packet::Publish(publish) => &publish.properties,
@@ -130,72 +133,74 @@
 }
 
 #[test]
-fn a_trigger_is_acknowledged_with_its_answer_and_answered_where_the_station_listens() {
-    let mut b = bench("");
+fn answer_is_sent_in_acknowledgement_and_on_subscribed_response_topic() {
+    let mut fixture = test_sessions("");
     assert!(
-        b.connect(1, connect("a", 100)).is_some_and(|c| c.reason == Reason::Success && !c.session_present)
+        fixture
+            .connect(1, connect("a", 100))
+            .is_some_and(|c| c.reason == Reason::Success && !c.session_present)
     );
     assert_eq!(
-        b.subscribe(1, &["out/a/#", "out/b/#", "a#", "$share/g/out/a/x"]),
+        fixture.subscribe(1, &["out/a/#", "out/b/#", "a#", "$share/g/out/a/x"]),
         [Reason::GrantedQos1, Reason::NotAuthorized, Reason::TopicFilterInvalid, Reason::SharedNotSupported]
     );
-    assert_eq!(b.publish(1, trigger(5, 1, "flow-read")), []);
-    let (number, sketch, again) = b.serves[0].clone();
+    assert_eq!(fixture.publish(1, trigger(5, 1, "flow-read")), []);
+    let (number, sketch, again) = fixture.serves[0].clone();
     assert!(&*sketch.call == "0000000000000001" && !again);
-    let sent = b.answer(1, number, Final::Served(b"body".to_vec()));
+    let sent = fixture.answer(1, number, Final::Served(b"body".to_vec()));
     assert!(matches!(&sent[0], Packet::Puback(a) if a.id == 5 && a.reason == Reason::Success));
-    assert_eq!(told(&sent[0], "status").as_deref(), Some("served"));
+    assert_eq!(user_property(&sent[0], "status").as_deref(), Some("served"));
     let Packet::Publish(answer) = &sent[1] else { panic!("{sent:?}") };
     assert_eq!((answer.topic.as_str(), &answer.payload[..]), ("out/a/answers", &b"body"[..]));
     assert_eq!(answer.properties.correlation, Some(vec![7]));
-    assert_eq!(b.it.counts.answers, 1);
+    assert_eq!(fixture.sessions.counts.answers, 1);
 }
 
 #[test]
-fn a_broken_connection_costs_no_answer_and_runs_nothing_twice() {
-    let mut b = bench("");
-    b.connect(1, connect("a", 100));
-    b.subscribe(1, &["out/a/#"]);
-    b.publish(1, trigger(5, 1, "alert-send"));
-    let number = b.serves[0].0;
-    b.it.lost(b.now, 1);
-    // It comes back while the request is under way, and sends the message again.
-    assert!(b.connect(2, connect("a", 100)).is_some_and(|c| c.session_present));
-    assert_eq!(b.publish(2, Publish { dup: true, ..trigger(5, 1, "alert-send") }), []);
-    b.it.lost(b.now, 2);
-    assert_eq!(b.answer(2, number, Final::Served(Vec::new())), []);
-    // It was answered while the station was away: the answer waits, and the repeat is told it again.
-    b.it.accepted(b.now, 3);
-    let sent = b.send(3, Packet::Connect(Box::new(connect("a", 100))));
+fn broken_connection_loses_no_answer_and_repeats_no_request() {
+    let mut fixture = test_sessions("");
+    fixture.connect(1, connect("a", 100));
+    fixture.subscribe(1, &["out/a/#"]);
+    fixture.publish(1, trigger(5, 1, "alert-send"));
+    let number = fixture.serves[0].0;
+    fixture.sessions.connection_lost(fixture.now, 1);
+    // The station reconnects while the request is running, and resends the message.
+    assert!(fixture.connect(2, connect("a", 100)).is_some_and(|c| c.session_present));
+    assert_eq!(fixture.publish(2, Publish { dup: true, ..trigger(5, 1, "alert-send") }), []);
+    fixture.sessions.connection_lost(fixture.now, 2);
+    assert_eq!(fixture.answer(2, number, Final::Served(Vec::new())), []);
+    // The answer came while the station was disconnected: it is queued, and the repeated message gets it again.
+    fixture.sessions.connection_accepted(fixture.now, 3);
+    let sent = fixture.send(3, Packet::Connect(Box::new(connect("a", 100))));
     assert!(matches!(&sent[1], Packet::Publish(p) if p.topic == "out/a/answers"), "{sent:?}");
-    let sent = b.publish(3, Publish { dup: true, ..trigger(5, 1, "alert-send") });
-    assert_eq!(told(&sent[0], "status").as_deref(), Some("served"));
-    assert_eq!((b.serves.len(), b.it.counts.duplicates), (1, 2));
+    let sent = fixture.publish(3, Publish { dup: true, ..trigger(5, 1, "alert-send") });
+    assert_eq!(user_property(&sent[0], "status").as_deref(), Some("served"));
+    assert_eq!((fixture.serves.len(), fixture.sessions.counts.duplicates), (1, 2));
 }
 
 #[test]
-fn a_repeat_that_this_process_does_not_know_may_have_run_elsewhere() {
-    let mut b = bench("");
-    b.connect(1, connect("a", 0));
-    b.publish(1, Publish { dup: true, ..trigger(1, 1, "alert-send") });
-    assert!(b.serves[0].2);
+fn unknown_repeat_is_submitted_as_possibly_run_before() {
+    let mut fixture = test_sessions("");
+    fixture.connect(1, connect("a", 0));
+    fixture.publish(1, Publish { dup: true, ..trigger(1, 1, "alert-send") });
+    assert!(fixture.serves[0].2);
 }
 
 #[test]
-fn who_may_not_is_told_so_by_the_reason_that_fits() {
-    let mut b = bench("classes = [\"flow-read\"]\nclients = [\"a\", \"b*\"]");
-    let reason = |b: &mut Bench, conn, connect| b.connect(conn, connect).map(|c| c.reason);
+fn unauthorized_actions_are_refused_with_matching_reason() {
+    let mut fixture = test_sessions("classes = [\"flow-read\"]\nclients = [\"a\", \"b*\"]");
+    let reason = |fixture: &mut TestSessions, conn, connect| fixture.connect(conn, connect).map(|c| c.reason);
     let base = || connect("a", 0);
     assert_eq!(
-        reason(&mut b, 1, Connect { password: Some(b"x".to_vec()), ..base() }),
+        reason(&mut fixture, 1, Connect { password: Some(b"x".to_vec()), ..base() }),
         Some(Reason::BadLogin)
     );
-    assert_eq!(reason(&mut b, 2, Connect { user: Some("v".into()), ..base() }), Some(Reason::BadLogin));
-    assert_eq!(reason(&mut b, 3, connect("c", 0)), Some(Reason::ClientIdNotValid));
+    assert_eq!(reason(&mut fixture, 2, Connect { user: Some("v".into()), ..base() }), Some(Reason::BadLogin));
+    assert_eq!(reason(&mut fixture, 3, connect("c", 0)), Some(Reason::ClientIdNotValid));
     let old = Connect { version: Version::V311, properties: Properties::default(), ..base() };
-    assert_eq!(reason(&mut b, 4, old), Some(Reason::UnsupportedProtocol));
-    assert!((1..=4).all(|conn| b.closed.contains(&conn)));
-    assert_eq!(reason(&mut b, 5, base()), Some(Reason::Success));
+    assert_eq!(reason(&mut fixture, 4, old), Some(Reason::UnsupportedProtocol));
+    assert!((1..=4).all(|conn| fixture.closed.contains(&conn)));
+    assert_eq!(reason(&mut fixture, 5, base()), Some(Reason::Success));
     let refusals = [
         (trigger(1, 1, "alert-send"), Reason::NotAuthorized),
         (Publish { topic: "in/b/x".into(), ..trigger(2, 2, "flow-read") }, Reason::NotAuthorized),
@@ -205,116 +210,122 @@
         ),
     ];
     for (publish, reason) in refusals {
-        let sent = b.publish(5, publish);
+        let sent = fixture.publish(5, publish);
         assert!(matches!(&sent[..], [Packet::Puback(ack)] if ack.reason == reason), "{sent:?}");
     }
-    assert!(b.serves.is_empty());
-    // Another connection takes the session over; anything before a CONNECT, and a second one, end it.
-    b.connect(6, base());
-    let sent = b.sent.remove(&5).unwrap_or_default();
+    assert!(fixture.serves.is_empty());
+    // Another connection takes the session over. A packet before CONNECT or a second CONNECT ends the connection.
+    fixture.connect(6, base());
+    let sent = fixture.sent.remove(&5).unwrap_or_default();
     assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::SessionTakenOver));
-    b.it.accepted(b.now, 7);
-    b.send(7, Packet::Pingreq);
-    let sent = b.send(6, Packet::Connect(Box::new(base())));
+    fixture.sessions.connection_accepted(fixture.now, 7);
+    fixture.send(7, Packet::Pingreq);
+    let sent = fixture.send(6, Packet::Connect(Box::new(base())));
     assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ProtocolError));
-    assert!(b.closed.contains(&7) && b.closed.contains(&6));
+    assert!(fixture.closed.contains(&7) && fixture.closed.contains(&6));
 }
 
 #[test]
-fn quotas_refuse_with_a_time_to_come_back() {
-    let mut b = bench("client_rate = 2\nclient_burst = 2\nuser_rate = 100\nuser_burst = 3");
-    b.connect(1, connect("a", 0));
-    b.publish(1, trigger(1, 1, "flow-read"));
-    b.publish(1, trigger(2, 2, "flow-read"));
-    assert_eq!(b.publish(1, trigger(3, 3, "flow-read")), [], "answers keep the order of their messages");
-    let first = b.answer(1, 1, Final::Refused(250_000));
-    assert_eq!(told(&first[0], "pushback").as_deref(), Some("250"));
-    let rest = b.answer(1, 2, Final::Failed("why not"));
-    assert_eq!((told(&rest[0], "why"), rest.len()), (Some("why not".to_string()), 2));
-    assert_eq!(told(&rest[1], "pushback").as_deref(), Some("500"));
-    // What was refused never ran: its repeat is a new request.
-    b.pass(SECOND);
-    b.publish(1, trigger(4, 1, "flow-read"));
-    assert_eq!((b.serves.len(), b.it.counts.limited), (3, 1));
+fn rate_limits_refuse_with_retry_delay() {
+    let mut fixture = test_sessions("client_rate = 2\nclient_burst = 2\nuser_rate = 100\nuser_burst = 3");
+    fixture.connect(1, connect("a", 0));
+    fixture.publish(1, trigger(1, 1, "flow-read"));
+    fixture.publish(1, trigger(2, 2, "flow-read"));
+    assert_eq!(
+        fixture.publish(1, trigger(3, 3, "flow-read")),
+        [],
+        "acknowledgements keep the order of their messages"
+    );
+    let first = fixture.answer(1, 1, Final::Refused(250_000));
+    assert_eq!(user_property(&first[0], "pushback").as_deref(), Some("250"));
+    let rest = fixture.answer(1, 2, Final::Failed("why not"));
+    assert_eq!((user_property(&rest[0], "why"), rest.len()), (Some("why not".to_string()), 2));
+    assert_eq!(user_property(&rest[1], "pushback").as_deref(), Some("500"));
+    // A refused request never ran: its repeat is a new request.
+    fixture.advance_by(SECOND);
+    fixture.publish(1, trigger(4, 1, "flow-read"));
+    assert_eq!((fixture.serves.len(), fixture.sessions.counts.limited), (3, 1));
 }
 
 #[test]
-fn sessions_end_with_their_time_and_a_silent_connection_with_its_keep_alive() {
-    let mut b = bench("");
-    b.connect(1, connect("a", 5));
-    b.pass(14 * SECOND);
-    assert!(b.it.count() == (1, 1));
-    b.pass(2 * SECOND);
-    let sent = b.sent.remove(&1).unwrap_or_default();
+fn sessions_expire_and_silent_connections_time_out() {
+    let mut fixture = test_sessions("");
+    fixture.connect(1, connect("a", 5));
+    fixture.advance_by(14 * SECOND);
+    assert!(fixture.sessions.session_counts() == (1, 1));
+    fixture.advance_by(2 * SECOND);
+    let sent = fixture.sent.remove(&1).unwrap_or_default();
     assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::KeepAliveTimeout));
-    assert_eq!(b.it.count(), (1, 0));
-    b.pass(5 * SECOND);
-    assert_eq!(b.it.count(), (0, 0));
-    // One that never says who it is goes too.
-    b.it.accepted(b.now, 2);
-    assert_eq!(b.it.due(), b.now + UNKNOWN);
-    b.pass(UNKNOWN);
-    assert!(b.closed.contains(&2));
-    // The longest away makes room; with all connected, the next is refused.
+    assert_eq!(fixture.sessions.session_counts(), (1, 0));
+    fixture.advance_by(5 * SECOND);
+    assert_eq!(fixture.sessions.session_counts(), (0, 0));
+    // A connection without a CONNECT is closed after the log-in time-out.
+    fixture.sessions.connection_accepted(fixture.now, 2);
+    assert_eq!(fixture.sessions.due(), fixture.now + LOGIN_TIMEOUT_US);
+    fixture.advance_by(LOGIN_TIMEOUT_US);
+    assert!(fixture.closed.contains(&2));
+    // The session disconnected longest is evicted; with all sessions connected, a new one is refused.
     for (conn, client) in [(3, "a"), (4, "b"), (5, "c")] {
-        b.connect(conn, connect(client, 50));
+        fixture.connect(conn, connect(client, 50));
     }
-    assert_eq!(b.connect(6, connect("d", 50)).map(|c| c.reason), Some(Reason::QuotaExceeded));
-    b.it.lost(b.now, 4);
-    assert_eq!(b.connect(7, connect("d", 50)).map(|c| c.reason), Some(Reason::Success));
-    assert_eq!(b.it.count(), (3, 3));
+    assert_eq!(fixture.connect(6, connect("d", 50)).map(|c| c.reason), Some(Reason::QuotaExceeded));
+    fixture.sessions.connection_lost(fixture.now, 4);
+    assert_eq!(fixture.connect(7, connect("d", 50)).map(|c| c.reason), Some(Reason::Success));
+    assert_eq!(fixture.sessions.session_counts(), (3, 3));
 }
 
 #[test]
-fn a_will_is_a_trigger_unless_the_station_takes_its_leave_or_comes_back() {
+fn will_is_a_trigger_unless_station_disconnects_normally_or_reconnects() {
     let with = |delay| {
         let publish = trigger(0, 77, "flow-read");
         let properties = Properties { will_delay: Some(delay), ..publish.properties };
         let will = Will { topic: publish.topic, properties, ..Will::default() };
         Connect { will: Some(will), ..connect("a", 50) }
     };
-    let mut b = bench("");
-    b.connect(1, with(3));
-    b.it.lost(b.now, 1);
-    b.pass(2 * SECOND);
-    b.connect(2, with(3));
-    b.pass(2 * SECOND);
-    assert!(b.serves.is_empty(), "it came back");
+    let mut fixture = test_sessions("");
+    fixture.connect(1, with(3));
+    fixture.sessions.connection_lost(fixture.now, 1);
+    fixture.advance_by(2 * SECOND);
+    fixture.connect(2, with(3));
+    fixture.advance_by(2 * SECOND);
+    assert!(fixture.serves.is_empty(), "the station reconnected");
     let leave = |reason| Packet::Disconnect(Closing { reason, properties: Properties::default() });
-    b.send(2, leave(Reason::Success));
-    b.pass(5 * SECOND);
-    assert!(b.serves.is_empty(), "it took its leave");
-    b.connect(3, with(0));
-    b.send(3, leave(Reason::DisconnectWithWill));
-    b.pass(1);
-    assert_eq!(b.serves.len(), 1);
+    fixture.send(2, leave(Reason::Success));
+    fixture.advance_by(5 * SECOND);
+    assert!(fixture.serves.is_empty(), "the station disconnected normally");
+    fixture.connect(3, with(0));
+    fixture.send(3, leave(Reason::DisconnectWithWill));
+    fixture.advance_by(1);
+    assert_eq!(fixture.serves.len(), 1);
 }
 
 #[test]
-fn a_stop_refuses_new_triggers_at_once_and_tells_stations_when_it_goes() {
-    let mut b = bench("");
-    b.connect(1, connect("a", 50));
-    b.publish(1, trigger(1, 1, "flow-read"));
-    b.it.stop();
-    assert_eq!(b.it.owed(), 1);
-    b.publish(1, trigger(2, 2, "flow-read"));
-    let sent = b.answer(1, 1, Final::Served(Vec::new()));
-    assert_eq!(told(&sent[1], "status").as_deref(), Some("refused"));
-    assert_eq!(b.connect(2, connect("b", 0)).map(|c| c.reason), Some(Reason::ServerUnavailable));
-    b.it.leave(b.now);
-    b.carry();
-    let sent = b.sent.remove(&1).unwrap_or_default();
+fn stop_refuses_new_triggers_and_shutdown_disconnects_stations() {
+    let mut fixture = test_sessions("");
+    fixture.connect(1, connect("a", 50));
+    fixture.publish(1, trigger(1, 1, "flow-read"));
+    fixture.sessions.stop();
+    assert_eq!(fixture.sessions.open_requests(), 1);
+    fixture.publish(1, trigger(2, 2, "flow-read"));
+    let sent = fixture.answer(1, 1, Final::Served(Vec::new()));
+    assert_eq!(user_property(&sent[1], "status").as_deref(), Some("refused"));
+    assert_eq!(fixture.connect(2, connect("b", 0)).map(|c| c.reason), Some(Reason::ServerUnavailable));
+    fixture.sessions.disconnect_all(fixture.now);
+    fixture.run_actions();
+    let sent = fixture.sent.remove(&1).unwrap_or_default();
     assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ServerShuttingDown));
 }
 
 #[test]
-fn users_that_go_or_get_another_password_are_told_to_go() {
-    let mut b = bench("");
-    b.connect(1, connect("a", 50));
-    b.it.replace(b.now, Policy::read("[user.u]\npassword = \"$argon2id$\"").expect("a policy"));
-    b.carry();
-    assert!(!b.closed.contains(&1));
-    b.it.replace(b.now, Policy::default());
-    b.carry();
-    assert!(b.closed.contains(&1));
+fn stations_of_removed_or_changed_users_are_disconnected() {
+    let mut fixture = test_sessions("");
+    fixture.connect(1, connect("a", 50));
+    fixture
+        .sessions
+        .replace_policy(fixture.now, Policy::read("[user.u]\npassword = \"$argon2id$\"").expect("a policy"));
+    fixture.run_actions();
+    assert!(!fixture.closed.contains(&1));
+    fixture.sessions.replace_policy(fixture.now, Policy::default());
+    fixture.run_actions();
+    assert!(fixture.closed.contains(&1));
 }
--- a/src/front/stations/verifier.rs
+++ b/src/front/stations/verifier.rs
@@ -1,48 +1,48 @@
-//! The thread that checks passwords against their hashes, which takes milliseconds on purpose. One at a time; the loop
-//! is woken when one is done.
+//! A thread that checks passwords against their hashes, one at a time; the hash function takes milliseconds by design,
+//! which would block the event loop. The loop is woken when a result is ready. The queue is bounded.
 
-use super::sessions::Conn;
+use super::sessions::ConnId;
 use crate::net::{Poll, Token, Worker};
 use argon2::{Argon2, PasswordHash, PasswordVerifier};
 use std::io;
 
-/// Passwords that may wait; more are turned down, and their stations come back.
-const MOST_WAITING: usize = 256;
+/// Passwords that may wait to be checked; beyond, the connection is refused and the station connects again later.
+const MAX_QUEUED: usize = 256;
 
 struct Job {
-    conn: Conn,
-    /// Tells this connection from another in its place.
+    conn: ConnId,
+    /// Distinguishes this connection from a later one with the same id.
     serial: u32,
     password: Vec<u8>,
     hash: String,
 }
 
-/// The loop's side of the thread.
-pub struct Verifier(Worker<Job, (Conn, u32, bool)>);
+/// The event loop's handle of the thread.
+pub struct Verifier(Worker<Job, (ConnId, u32, bool)>);
 
 impl Verifier {
     /// Starts the thread.
     pub fn start(poll: &mut Poll, owner: u8, slot: usize) -> io::Result<Verifier> {
-        let work = |job: Job| Some((job.conn, job.serial, verify(&job.password, &job.hash)));
-        Worker::start(poll, (owner, slot), "passwords", work).map(Verifier)
+        let check = |job: Job| Some((job.conn, job.serial, verify(&job.password, &job.hash)));
+        Worker::start(poll, (owner, slot), "passwords", check).map(Verifier)
     }
 
-    /// Whether the token is its own.
-    pub fn is(&self, token: Token) -> bool {
+    /// Returns whether the token belongs to the thread's wake-up descriptor.
+    pub fn owns(&self, token: Token) -> bool {
         self.0.is(token)
     }
 
-    /// Hands a password over; false if too many wait.
-    pub fn ask(&self, conn: Conn, serial: u32, password: Vec<u8>, hash: String) -> bool {
-        let room = self.0.waiting() < MOST_WAITING;
+    /// Queues a password to be checked; returns false if the queue is full.
+    pub fn submit(&self, conn: ConnId, serial: u32, password: Vec<u8>, hash: String) -> bool {
+        let room = self.0.waiting() < MAX_QUEUED;
         if room {
             self.0.ask(Job { conn, serial, password, hash });
         }
         room
     }
 
-    /// What is done by now.
-    pub fn take(&mut self) -> Vec<(Conn, u32, bool)> {
+    /// Returns the finished checks.
+    pub fn take_results(&mut self) -> Vec<(ConnId, u32, bool)> {
         self.0.take()
     }
 }
@@ -51,8 +51,8 @@
     PasswordHash::new(hash).is_ok_and(|hash| Argon2::default().verify_password(password, &hash).is_ok())
 }
 
-/// The hash of a password, as a users' file has it: argon2id with 4 MB and 3 passes, so that a check fits the smallest
-/// dispatcher.
+/// Returns the hash of a password in the form that a users file holds: argon2id with 4 MB and 3 passes, so that a check
+/// fits the memory of the smallest dispatcher.
 pub fn hash(password: &[u8], salt: &[u8]) -> Option<String> {
     use argon2::{Algorithm, Params, PasswordHasher, Version};
     let params = Params::new(4_096, 3, 1, None).ok()?;
