--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -1,4 +1,6 @@
-//! The listener, its connections, and what is open on each.
+//! The Thrift listener, its client connections and the requests open on each. It passes decoded requests to the core and
+//! writes the final answers. Connections, open requests and unsent bytes are limited, and connections that stall, stay
+//! idle or break the protocol are closed.
 
 use super::wire::{self, Call};
 use crate::core::{Final, Ticket};
@@ -10,77 +12,83 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Requests that may be open on a connection.
-const MOST_OPEN: usize = 32;
-/// Bytes of answers that may wait for a client; beyond, it is not read from.
-const MUCH_UNSENT: usize = 1024 * 1024;
-/// Bytes of answers after which its connection is closed: more than all that may be open on it can come to.
-const MOST_UNSENT: usize = 16 * 1024 * 1024;
-/// A client that takes no answer for this long is closed.
-const STALLED: u64 = 10_000_000;
-/// A client that has not sent a whole message this long after it connected, or after a message of its began, is
-/// closed: silent connections and messages that never end must not hold descriptors that others need.
-const SILENT: u64 = 2_500_000;
-/// One that has stopped half way through a message for this long may be closed where another waits for its place.
-const STUCK: u64 = 500_000;
-/// Messages that break the protocol, after which a connection is closed: one that sends the same again the moment
-/// it is turned away would else take the loop's time without end.
-const MOST_OFFENCES: u32 = 16;
-/// A connection with nothing open on it is closed after this long.
-const IDLE: u64 = 60_000_000;
-/// One that never sent a whole message may be closed after this long, where another waits for its place.
-const EVICTABLE: u64 = 250_000;
-/// One that was answered may be closed after this long: a request that crosses a close within 50 ms is sent again.
-const ANSWERED: u64 = 60_000;
-/// After running out of descriptors accepting stops for this long.
-const PAUSE: u64 = 5_000;
-/// How often connections are looked through for those that stalled.
-const SWEEP: u64 = 100_000;
-/// A client that was told that nothing more will come may take this long to close.
-const LINGER: u64 = 300_000;
-
-/// What bounds the front.
+/// Requests that may be open on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Unsent bytes above which nothing more is read from a client.
+const READ_PAUSE_UNSENT_BYTES: usize = 1024 * 1024;
+/// Unsent bytes above which a connection is closed: more than the answers to all requests that may be open on it.
+const MAX_UNSENT_BYTES: usize = 16 * 1024 * 1024;
+/// A connection whose client reads no answer for this long is closed.
+const STALL_TIMEOUT_US: u64 = 10_000_000;
+/// A connection is closed if its client has not sent a whole message this long after connecting, or after the start of a
+/// message: silent connections and messages that never end must not hold descriptors that others need.
+const MESSAGE_TIMEOUT_US: u64 = 2_500_000;
+/// A connection on which an incomplete message has made no progress for this long may be evicted for a new client.
+const PARTIAL_EVICT_AFTER_US: u64 = 500_000;
+/// Protocol errors after which a connection is closed: a client that resends an invalid message as soon as it is refused
+/// would otherwise use the loop's time without end.
+const MAX_PROTOCOL_ERRORS: u32 = 16;
+/// A connection without open requests is closed after this long.
+const IDLE_TIMEOUT_US: u64 = 60_000_000;
+/// A connection that never sent a whole message may be evicted for a new client after this long.
+const UNUSED_EVICT_AFTER_US: u64 = 250_000;
+/// An idle connection that has sent messages may be evicted after this long: clients resend a request that crosses a
+/// close within 50 ms.
+const IDLE_EVICT_AFTER_US: u64 = 60_000;
+/// How long accepting pauses when connections or descriptors have run out.
+const ACCEPT_PAUSE_US: u64 = 5_000;
+/// How often all connections are checked for stalled and idle ones.
+const SWEEP_INTERVAL_US: u64 = 100_000;
+/// How long a client may take to close after the front has shut down its sending side.
+const LINGER_US: u64 = 300_000;
+
+/// The limits of the front.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at a time.
+    /// Concurrent connections.
     pub connections: usize,
-    /// Bytes of answers that may wait in all connections together.
+    /// Unsent bytes of answers over all connections.
     pub unsent: usize,
 }
 
 struct Client {
-    open: BTreeSet<i32>,
-    used: u64,
-    /// When bytes last came.
-    heard: u64,
-    /// When the message that is not whole yet began, or the connection where none has come.
-    partial: Option<u64>,
-    /// Whole messages that came, and the highest number of a request among them.
-    messages: u64,
-    highest: i32,
-    offences: u32,
-    /// It takes no answers: what it asks waits on the ring, of which so many bytes were looked through.
+    open_requests: BTreeSet<i32>,
+    /// When the client last sent a message while not blocked, read part of an answer, or got one queued.
+    last_activity: u64,
+    /// When bytes were last received.
+    last_received: u64,
+    /// When the current incomplete message began; before the first message, when the connection was accepted.
+    partial_since: Option<u64>,
+    /// Whole messages received.
+    messages_received: u64,
+    /// The highest accepted sequence number of a request.
+    highest_seq: i32,
+    /// Messages that broke the protocol.
+    protocol_errors: u32,
+    /// Whether the client has stopped reading answers: its messages then wait in the input ring.
     blocked: bool,
-    scanned: usize,
-    /// Requests that were refused since, as there was no room for them to wait.
-    unkept: usize,
-    /// It was seen that it has closed its end.
-    hung_up: bool,
-    /// When the client was told that nothing more will be sent to it.
-    finished: Option<u64>,
-    /// When it broke the protocol once too often: it has its answers and is read no more.
-    expelled: Option<u64>,
+    /// Bytes of the input ring already decoded while blocked.
+    scanned_bytes: usize,
+    /// Requests refused while blocked because the input ring had no room for them.
+    refused_while_blocked: usize,
+    /// Whether the client's close of its sending side has been handled.
+    hang_up_reported: bool,
+    /// When the front shut down its sending side.
+    finished_at: Option<u64>,
+    /// When the connection was expelled for breaking the protocol: its requests are answered, and further input is
+    /// discarded.
+    expelled_at: Option<u64>,
 }
 
 impl Client {
-    /// Danger: on each connection numbers start at 1 and go up. One that begins elsewhere, or goes back, is no
-    /// client of ours: what it sends must not take the executors' time, nor break the connections that others'
-    /// requests share.
-    fn in_order(&mut self, seq: i32) -> bool {
-        let first = self.highest == 0 && u64::try_from(seq).is_ok_and(|s| s > self.messages);
-        let good = seq > self.highest && !first;
-        self.highest = self.highest.max(if good { seq } else { 0 });
-        good
+    /// Returns whether a sequence number is in order, and records it. On each connection numbers start at 1 and increase.
+    /// A peer that starts elsewhere or goes back is not a valid client: its requests must not use the executors' time or
+    /// break the connections to executors that other clients' requests share.
+    fn accept_seq(&mut self, seq: i32) -> bool {
+        let first = self.highest_seq == 0 && u64::try_from(seq).is_ok_and(|s| s > self.messages_received);
+        let valid = seq > self.highest_seq && !first;
+        self.highest_seq = self.highest_seq.max(if valid { seq } else { 0 });
+        valid
     }
 }
 
@@ -88,25 +96,25 @@
     type Out = Vec<Call>;
 
     fn received(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
-        if self.expelled.is_some() {
+        if self.expelled_at.is_some() {
             input.consume(input.len());
             return Ok(());
         }
         let bytes = input.contiguous();
-        let mut done = if self.blocked { self.scanned } else { 0 };
-        while let Some(size) = wire::frame(&bytes[done..])? {
-            let call = wire::read(&bytes[done + 4..done + size])?;
+        let mut done = if self.blocked { self.scanned_bytes } else { 0 };
+        while let Some(size) = wire::frame_size(&bytes[done..])? {
+            let call = wire::read_call(&bytes[done + 4..done + size])?;
             done += size;
-            // Danger: a client that takes no answers may still take back what it asked; that must not wait.
+            // A client that reads no answers may still cancel its requests; a cancellation must not wait behind them.
             if !self.blocked || matches!(call, Call::Forget { .. }) {
                 out.push(call);
             }
         }
         if self.blocked {
-            self.scanned = done;
-            return self.make_room(input, out);
+            self.scanned_bytes = done;
+            return self.free_input_space(input, out);
         }
-        (self.scanned, self.unkept) = (0, 0);
+        (self.scanned_bytes, self.refused_while_blocked) = (0, 0);
         input.consume(done);
         Ok(())
     }
@@ -117,18 +125,23 @@
 }
 
 impl Client {
-    /// Danger: behind more requests than are kept while it takes no answers lies word that it has gone. Those that wait are handed
-    /// on, to be refused: as many as may be open at a time, so that one that asks without end is left to wait all the same.
-    fn make_room(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
+    /// Frees space in a full input ring of a blocked client. Without space the end of the stream behind the waiting
+    /// requests is not read, and the client's hang-up goes unnoticed. Waiting requests are passed on to be refused, at most
+    /// `MAX_OPEN_REQUESTS` of them, so that a client that sends without end is blocked all the same.
+    fn free_input_space(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
         let mut at = 0;
-        while input.room() < wire::MOST_FRAME && at < self.scanned && self.unkept < MOST_OPEN {
+        while input.room() < wire::MAX_FRAME_BYTES
+            && at < self.scanned_bytes
+            && self.refused_while_blocked < MAX_OPEN_REQUESTS
+        {
             let bytes = &input.contiguous()[at..];
-            let Some(size) = wire::frame(bytes)? else { break };
-            let call = wire::read(&bytes[4..size])?;
+            let Some(size) = wire::frame_size(bytes)? else { break };
+            let call = wire::read_call(&bytes[4..size])?;
             if matches!(call, Call::Serve { .. }) {
                 out.push(call);
                 input.cut(at, size);
-                (self.scanned, self.unkept) = (self.scanned - size, self.unkept + 1);
+                (self.scanned_bytes, self.refused_while_blocked) =
+                    (self.scanned_bytes - size, self.refused_while_blocked + 1);
             } else {
                 at += size;
             }
@@ -137,7 +150,7 @@
     }
 }
 
-/// The front.
+/// The Thrift front.
 pub struct Front {
     id: u8,
     listener: Option<Listener>,
@@ -146,18 +159,18 @@
     unsent: usize,
     paused_until: Option<u64>,
     next_sweep: u64,
-    /// Connections are being ended; what comes after this time is refused, since the process is about to go.
-    leaving: Option<u64>,
+    /// Set while draining: requests received after this time are refused, since the process is about to exit.
+    refuse_from: Option<u64>,
     calls: Vec<Call>,
     counters: Rc<Counters>,
-    /// Whether health checks are answered well.
+    /// Whether health checks are answered as healthy.
     pub well: bool,
-    /// What clients asked, in order.
+    /// Events from clients, in order of arrival.
     pub intake: Vec<Intake>,
 }
 
 impl Front {
-    /// Takes connections from the listener.
+    /// Creates a front that accepts connections from the listener.
     pub fn new(id: u8, listener: Listener, limits: Limits, counters: Rc<Counters>) -> Front {
         Front {
             id,
@@ -167,7 +180,7 @@
             unsent: 0,
             paused_until: None,
             next_sweep: 0,
-            leaving: None,
+            refuse_from: None,
             calls: Vec::new(),
             counters,
             well: true,
@@ -175,76 +188,77 @@
         }
     }
 
-    /// Leaves connections to wait, or takes them.
+    /// Starts or pauses accepting; while paused, connections wait in the kernel's queue.
     pub fn accepting(&mut self, poll: &Poll, open: bool) {
         if let Some(listener) = &mut self.listener {
             listener.listen(poll, open);
         }
     }
 
-    /// The address it listens on.
+    /// Returns the address that the front listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref().and_then(|l| l.address().ok())
     }
 
-    /// Connections of clients.
+    /// Returns the number of client connections.
     pub fn connections(&self) -> usize {
         self.links.len()
     }
 
-    /// New bounds; idle connections beyond them are closed.
+    /// Sets new limits and closes idle connections beyond them.
     pub fn bound(&mut self, now: u64, limits: Limits) {
         self.limits = limits;
-        while self.links.len() > self.limits.connections && self.evict(now) {}
+        while self.links.len() > self.limits.connections && self.evict_idle(now) {}
     }
 
-    /// Accepts no more, once all that wait have been accepted. Danger: those in the system's queue have asked already,
-    /// and a listener that closes resets them.
+    /// Closes the listener once all waiting connections have been accepted: those in the kernel's queue may already have
+    /// sent requests, and closing the listener resets them.
     pub fn stop_listening(&mut self, poll: &mut Poll, now: u64) {
         if self.listens() && self.accept(poll, now) {
             self.shut(poll);
         }
     }
 
-    /// Accepts no more, whoever waits: another process takes those, or there is no time left for them.
+    /// Closes the listener even if connections wait: another process accepts them, or no time is left for them.
     pub fn shut(&mut self, poll: &Poll) {
         if let Some(listener) = self.listener.take() {
             listener.close(poll);
         }
     }
 
-    /// Whether it still accepts.
+    /// Returns whether the listener is open.
     pub fn listens(&self) -> bool {
         self.listener.is_some()
     }
 
-    /// Ends each connection as soon as nothing is open on it, so that its client goes elsewhere.
-    pub fn leave(&mut self, now: u64, last_calls: u64) {
-        self.leaving.get_or_insert(last_calls);
+    /// Drains the front: ends each connection as soon as nothing is open on it, so that its client connects elsewhere.
+    /// Requests received from `refuse_from` on are refused.
+    pub fn leave(&mut self, now: u64, refuse_from: u64) {
+        self.refuse_from.get_or_insert(refuse_from);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
-        slots.into_iter().for_each(|slot| self.finish(now, slot));
+        slots.into_iter().for_each(|slot| self.finish_if_idle(now, slot));
     }
 
-    /// Tells a client that nothing more will be sent, if nothing is owed to it. Danger: a close with something
-    /// unread would reset the connection and could cost the client its last answer; so it closes first.
-    fn finish(&mut self, now: u64, slot: usize) {
-        let leaving = self.leaving.is_some();
-        let Some(link) = self.links.get_mut(slot).filter(|l| leaving || l.peer.expelled.is_some()) else {
+    /// Shuts down the sending side of a connection that is draining or expelled and owes no answer. The client closes
+    /// first: closing with unread input would reset the connection and could lose the client's last answer.
+    fn finish_if_idle(&mut self, now: u64, slot: usize) {
+        let draining = self.refuse_from.is_some();
+        let Some(link) = self.links.get_mut(slot).filter(|l| draining || l.peer.expelled_at.is_some()) else {
             return;
         };
-        let idle = link.peer.open.is_empty() && link.io.unsent() == 0 && link.io.unread() == 0;
-        if idle && link.peer.finished.is_none() && !link.io.pending() {
+        let idle = link.peer.open_requests.is_empty() && link.io.unsent() == 0 && link.io.unread() == 0;
+        if idle && link.peer.finished_at.is_none() && !link.io.pending() {
             link.io.finish();
-            link.peer.finished = Some(now);
+            link.peer.finished_at = Some(now);
         }
     }
 
-    /// Whether all connections have ended, or could have.
+    /// Returns whether every connection has been closed or has had its time to close.
     pub fn left(&self, now: u64) -> bool {
-        self.links.iter().all(|(_, l)| l.peer.finished.is_some_and(|at| now >= at + LINGER))
+        self.links.iter().all(|(_, l)| l.peer.finished_at.is_some_and(|at| now >= at + LINGER_US))
     }
 
-    /// Whether answers wait to be taken.
+    /// Returns whether any answer is unsent.
     pub fn unsent(&self) -> bool {
         self.links.iter().any(|(_, l)| l.io.unsent() > 0)
     }
@@ -254,7 +268,7 @@
         Ticket { front: self.id, conn: (slot as u64) << 32 | u64::from(serial), seq: i64::from(seq) }
     }
 
-    /// Handles what happened to a descriptor of this front.
+    /// Handles readiness of one of this front's descriptors.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
             self.accept(poll, now);
@@ -266,25 +280,26 @@
         let mut calls = std::mem::take(&mut self.calls);
         let mut result = link.ready(poll, ready, &mut calls);
         if ready.read {
-            link.peer.heard = now;
+            link.peer.last_received = now;
         }
-        // Answers leave while the client reads: only so is it known to be alive.
+        // Unsent bytes shrink only while the client reads, which shows that it is alive.
         if link.io.unsent() < before {
-            link.peer.used = now;
+            link.peer.last_activity = now;
         }
         self.unsent = self.unsent + link.io.unsent() - before;
         for call in calls.drain(..) {
-            if let Err(m) = self.call(now, slot, call) {
+            if let Err(m) = self.handle_call(now, slot, call) {
                 result = Err(Closed::Malformed(m.0));
             }
         }
         self.calls = calls;
-        self.hung_up(slot);
+        self.report_hang_up(slot);
         if let Some(link) = self.links.get_mut(slot) {
-            let since = link.peer.partial.unwrap_or(now);
-            link.peer.partial = (link.peer.messages == 0 || link.io.unread() > 0).then_some(since);
-            if link.peer.offences >= MOST_OFFENCES && link.peer.expelled.is_none() {
-                result = result.and(Err(Closed::Malformed("one offence after another")));
+            let since = link.peer.partial_since.unwrap_or(now);
+            link.peer.partial_since =
+                (link.peer.messages_received == 0 || link.io.unread() > 0).then_some(since);
+            if link.peer.protocol_errors >= MAX_PROTOCOL_ERRORS && link.peer.expelled_at.is_none() {
+                result = result.and(Err(Closed::Malformed("too many protocol errors on one connection")));
             }
         }
         match result {
@@ -294,40 +309,42 @@
         }
     }
 
-    /// Ends the connection of a client that breaks the protocol. Each request that was read on it gets its final answer
-    /// first: a connection that ends without one loses the request, whatever else its client has sent.
+    /// Ends the connection of a client that breaks the protocol. Each request that was read from it gets its final answer
+    /// first: a connection that ends without it loses the request, whatever else the client has sent.
     fn expel(&mut self, poll: &Poll, now: u64, slot: usize) {
         let Some(link) = self.links.get_mut(slot) else { return };
-        if link.peer.expelled.is_none() {
+        if link.peer.expelled_at.is_none() {
             count(&self.counters.clients_malformed);
         }
-        link.peer.expelled.get_or_insert(now);
-        let open = std::mem::take(&mut link.peer.open);
+        link.peer.expelled_at.get_or_insert(now);
+        let open = std::mem::take(&mut link.peer.open_requests);
         for seq in open {
             let ticket = self.ticket(slot, seq);
-            self.forget(ticket);
+            self.cancel(ticket);
             self.queue(slot, &wire::failed(seq, "its connection broke the protocol"));
         }
         self.flush(poll, now, slot);
     }
 
-    /// Whether it has closed its end for the first time: nothing more is begun for what it has asked, but what runs may
-    /// still be answered, since a client that only says that it sends no more looks the same.
-    fn hung_up(&mut self, slot: usize) {
-        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.ended && !l.peer.hung_up) else { return };
-        link.peer.hung_up = true;
-        let open: Vec<i32> = link.peer.open.iter().copied().collect();
+    /// Reports the open requests of a client that has just closed its sending side: no further attempts start for them, but
+    /// running ones may still be answered, since a client that only shuts down its sending side looks the same.
+    fn report_hang_up(&mut self, slot: usize) {
+        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.ended && !l.peer.hang_up_reported) else {
+            return;
+        };
+        link.peer.hang_up_reported = true;
+        let open: Vec<i32> = link.peer.open_requests.iter().copied().collect();
         for seq in open {
             let ticket = self.ticket(slot, seq);
             self.intake.push(Intake::HungUp(ticket));
         }
     }
 
-    /// Accepts who waits; whether nobody waits any more.
+    /// Accepts waiting connections; returns whether none is left waiting.
     fn accept(&mut self, poll: &mut Poll, now: u64) -> bool {
         loop {
-            if self.links.len() >= self.limits.connections && !self.evict(now) {
-                self.pause(poll, now);
+            if self.links.len() >= self.limits.connections && !self.evict_idle(now) {
+                self.pause_accepting(poll, now);
                 return false;
             }
             let Some(listener) = &self.listener else { return true };
@@ -336,62 +353,63 @@
                     let entry = self.links.vacant_entry();
                     let token = poll.token(self.id, entry.key());
                     let client = Client {
-                        open: BTreeSet::new(),
-                        used: now,
-                        heard: now,
-                        partial: Some(now),
-                        messages: 0,
-                        highest: 0,
-                        offences: 0,
+                        open_requests: BTreeSet::new(),
+                        last_activity: now,
+                        last_received: now,
+                        partial_since: Some(now),
+                        messages_received: 0,
+                        highest_seq: 0,
+                        protocol_errors: 0,
                         blocked: false,
-                        scanned: 0,
-                        unkept: 0,
-                        hung_up: false,
-                        finished: None,
-                        expelled: None,
+                        scanned_bytes: 0,
+                        refused_while_blocked: 0,
+                        hang_up_reported: false,
+                        finished_at: None,
+                        expelled_at: None,
                     };
-                    let limits = (wire::MOST_FRAME * 2, MOST_UNSENT);
+                    let limits = (wire::MAX_FRAME_BYTES * 2, MAX_UNSENT_BYTES);
                     if let Ok(link) = Link::accepted(poll, fd, token, client, limits) {
                         count(&self.counters.clients_accepted);
                         entry.insert(link);
                     }
                 }
                 Accepted::None => return true,
-                Accepted::OutOfDescriptors if self.evict(now) => {}
+                Accepted::OutOfDescriptors if self.evict_idle(now) => {}
                 Accepted::OutOfDescriptors => {
-                    self.pause(poll, now);
+                    self.pause_accepting(poll, now);
                     return false;
                 }
             }
         }
     }
 
-    /// Danger: with no descriptor left, the listener stays readable and the loop would spin on it.
-    fn pause(&mut self, poll: &Poll, now: u64) {
+    /// Pauses accepting. While no connection can be accepted the listener stays readable, and the loop would spin on it.
+    fn pause_accepting(&mut self, poll: &Poll, now: u64) {
         count(&self.counters.accepts_paused);
-        self.paused_until = Some(now + PAUSE);
+        self.paused_until = Some(now + ACCEPT_PAUSE_US);
         if let Some(listener) = &mut self.listener {
             listener.listen(poll, false);
         }
     }
 
-    /// Closes the connection that has been idle longest, if one has nothing open.
-    fn evict(&mut self, now: u64) -> bool {
-        // Danger: a request may be on its way on a connection that has just been accepted or used.
-        let rank = |l: &Link<Client>| match (l.io.unread() > 0, l.peer.messages > 0) {
-            (false, false) => (0, EVICTABLE),
-            (false, true) => (1, ANSWERED),
-            (true, _) => (2, STUCK),
+    /// Closes an evictable connection, if there is one: first those that never sent a message, then idle ones, then those
+    /// with an incomplete message; within each group the one idle longest.
+    fn evict_idle(&mut self, now: u64) -> bool {
+        // Connections are not evicted right after being accepted or used: a request may be in flight on them.
+        let rank = |l: &Link<Client>| match (l.io.unread() > 0, l.peer.messages_received > 0) {
+            (false, false) => (0, UNUSED_EVICT_AFTER_US),
+            (false, true) => (1, IDLE_EVICT_AFTER_US),
+            (true, _) => (2, PARTIAL_EVICT_AFTER_US),
         };
         let idle = |l: &Link<Client>| {
-            let quiet = l.peer.open.is_empty() && l.io.unsent() == 0;
-            quiet && now >= l.peer.used.max(l.peer.heard) + rank(l).1
+            let settled = l.peer.open_requests.is_empty() && l.io.unsent() == 0;
+            settled && now >= l.peer.last_activity.max(l.peer.last_received) + rank(l).1
         };
-        let first = |l: &Link<Client>| (rank(l).0, l.peer.used.max(l.peer.heard));
+        let first = |l: &Link<Client>| (rank(l).0, l.peer.last_activity.max(l.peer.last_received));
         let idle = self.links.iter().filter(|(_, l)| idle(l));
         let mut oldest: Vec<_> = idle.map(|(slot, l)| (first(l), slot)).collect();
         oldest.sort_unstable();
-        // Danger: a request may have come and not been read, in this turn or while the process stood still.
+        // A request may have arrived and not been read yet, in this turn or while the process was stalled.
         let unread = |slot: usize| self.links.get(slot).is_some_and(|l| l.io.pending());
         let Some(slot) = oldest.into_iter().map(|(_, slot)| slot).find(|slot| !unread(*slot)) else {
             return false;
@@ -401,36 +419,42 @@
         true
     }
 
-    fn call(&mut self, now: u64, slot: usize, call: Call) -> Result<(), Malformed> {
+    fn handle_call(&mut self, now: u64, slot: usize, call: Call) -> Result<(), Malformed> {
         let Some(link) = self.links.get_mut(slot) else { return Ok(()) };
-        // It crossed the end of the connection; its client sends it again.
-        if link.peer.finished.is_some() {
+        // The message crossed the end of the connection; its client resends it elsewhere.
+        if link.peer.finished_at.is_some() {
             count(&self.counters.requests_crossed);
             return Ok(());
         }
-        // Danger: one that takes no answers is not kept alive by what it asks.
+        // Requests do not keep a client alive that reads no answers.
         if !link.peer.blocked {
-            link.peer.used = now;
+            link.peer.last_activity = now;
         }
-        link.peer.partial = None;
-        link.peer.messages += 1;
+        link.peer.partial_since = None;
+        link.peer.messages_received += 1;
         match call {
             Call::Serve { seq, fields, body } => {
-                // Danger: two answers under one number could not be told apart.
-                if link.peer.open.contains(&seq) {
+                // Two answers under one sequence number could not be told apart.
+                if link.peer.open_requests.contains(&seq) {
                     return Err(Malformed("a sequence number that is still open"));
                 }
-                if !link.peer.in_order(seq) {
+                if !link.peer.accept_seq(seq) {
                     let text = "sequence numbers start at 1 and go up";
-                    self.offence(slot, &wire::exception("serve", seq, wire::BAD_SEQUENCE_ID, text));
+                    self.reply_protocol_error(
+                        slot,
+                        &wire::exception("serve", seq, wire::BAD_SEQUENCE_ID, text),
+                    );
                     return Ok(());
                 }
-                if link.peer.open.len() >= MOST_OPEN {
+                if link.peer.open_requests.len() >= MAX_OPEN_REQUESTS {
                     let text = "too many requests open on this connection";
-                    self.offence(slot, &wire::exception("serve", seq, wire::INTERNAL_ERROR, text));
+                    self.reply_protocol_error(
+                        slot,
+                        &wire::exception("serve", seq, wire::INTERNAL_ERROR, text),
+                    );
                     return Ok(());
                 }
-                if self.leaving.is_some_and(|last| now >= last) {
+                if self.refuse_from.is_some_and(|last| now >= last) {
                     count(&self.counters.requests_too_late);
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
@@ -441,26 +465,29 @@
                     return Ok(());
                 }
                 match Sketch::read(&fields) {
-                    // Danger: it waited here, in the system or in its queue of connections, and its client has gone.
+                    // The request waited here or in the kernel, and its client has closed in the meantime.
                     Ok(_) if link.io.ended => {
                         count(&self.counters.requests_deserted);
                         self.queue(slot, &wire::refused(seq, Some(0)));
                     }
                     Ok(sketch) => {
-                        link.peer.open.insert(seq);
+                        link.peer.open_requests.insert(seq);
                         let ticket = self.ticket(slot, seq);
                         self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again: false });
                     }
                     Err(invalid) => {
                         let text = invalid.to_string();
-                        self.offence(slot, &wire::exception("serve", seq, wire::PROTOCOL_ERROR, &text));
+                        self.reply_protocol_error(
+                            slot,
+                            &wire::exception("serve", seq, wire::PROTOCOL_ERROR, &text),
+                        );
                     }
                 }
             }
             Call::Forget { seq } => {
-                if link.peer.open.remove(&seq) {
+                if link.peer.open_requests.remove(&seq) {
                     let ticket = self.ticket(slot, seq);
-                    self.forget(ticket);
+                    self.cancel(ticket);
                 }
             }
             Call::IsWell { seq } => {
@@ -469,24 +496,27 @@
                 self.queue(slot, &wire::answer("isWell", seq, &[], well));
             }
             Call::Unknown { seq, method } => {
-                self.offence(slot, &wire::exception(&method, seq, wire::UNKNOWN_METHOD, "no such method"));
+                self.reply_protocol_error(
+                    slot,
+                    &wire::exception(&method, seq, wire::UNKNOWN_METHOD, "no such method"),
+                );
             }
         }
         Ok(())
     }
 
-    /// Answers a message that breaks the protocol.
-    fn offence(&mut self, slot: usize, message: &[u8]) {
+    /// Answers a message that breaks the protocol, and counts it against the connection.
+    fn reply_protocol_error(&mut self, slot: usize, message: &[u8]) {
         count(&self.counters.requests_invalid);
         if let Some(link) = self.links.get_mut(slot) {
-            link.peer.offences += 1;
+            link.peer.protocol_errors += 1;
             self.queue(slot, message);
         }
     }
 
-    /// Nothing is owed under the ticket any more. Danger: hundreds of requests that are taken back in the same
-    /// breath would all go out to executors first; what has not been handed on yet never is.
-    fn forget(&mut self, ticket: Ticket) {
+    /// Cancels a request. One that is still in the intake is removed from it: otherwise hundreds of requests that are
+    /// cancelled right after they were sent would all go to executors first.
+    fn cancel(&mut self, ticket: Ticket) {
         let same = |i: &Intake| matches!(i, Intake::Serve { ticket: t, .. } if *t == ticket);
         match self.intake.iter().rposition(same) {
             Some(place) => {
@@ -497,12 +527,21 @@
         }
     }
 
-    /// A request whose class or tenant the settings lack: nothing was taken in. It is no offence of a client that
-    /// could not know better.
-    pub fn invalid(&mut self, poll: &Poll, now: u64, ticket: Ticket, invalid: &Invalid, offence: bool) {
+    /// Rejects a request whose class or tenant is not in the settings. `counts_as_error` says whether it counts as a
+    /// protocol error of the client; it does not if the client could not have known.
+    pub fn invalid(
+        &mut self,
+        poll: &Poll,
+        now: u64,
+        ticket: Ticket,
+        invalid: &Invalid,
+        counts_as_error: bool,
+    ) {
         let here = self.ticket((ticket.conn >> 32) as usize, ticket.seq as i32) == ticket;
-        if let Some(link) = self.links.get_mut((ticket.conn >> 32) as usize).filter(|_| here && offence) {
-            link.peer.offences += 1;
+        if let Some(link) =
+            self.links.get_mut((ticket.conn >> 32) as usize).filter(|_| here && counts_as_error)
+        {
+            link.peer.protocol_errors += 1;
         }
         count(&self.counters.requests_invalid);
         self.reply(poll, now, ticket, |seq| {
@@ -510,7 +549,7 @@
         });
     }
 
-    /// Writes the final answer of a request.
+    /// Writes the final answer to a request.
     pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: &Final) {
         self.reply(poll, now, ticket, |seq| match answer {
             Final::Served(body) => wire::answer("serve", seq, body, true),
@@ -522,11 +561,12 @@
     fn reply(&mut self, poll: &Poll, now: u64, ticket: Ticket, message: impl FnOnce(i32) -> Vec<u8>) {
         let (slot, seq) = ((ticket.conn >> 32) as usize, ticket.seq as i32);
         let here = self.ticket(slot, seq) == ticket;
-        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.peer.open.contains(&seq)) else {
+        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.peer.open_requests.contains(&seq))
+        else {
             return count(&self.counters.answers_lost);
         };
-        link.peer.open.remove(&seq);
-        link.peer.used = now;
+        link.peer.open_requests.remove(&seq);
+        link.peer.last_activity = now;
         self.queue(slot, &message(seq));
         self.flush(poll, now, slot);
     }
@@ -540,7 +580,7 @@
             return self.close(slot);
         }
         if self.unsent > self.limits.unsent {
-            // Danger: clients that take no answers fill the memory. The one that holds most goes.
+            // Clients that read no answers would exhaust the memory: the one with the most unsent bytes is closed.
             let worst = self.links.iter().max_by_key(|(_, l)| l.io.unsent()).map(|(slot, _)| slot);
             if let Some(worst) = worst {
                 self.close(worst);
@@ -548,52 +588,52 @@
         }
     }
 
-    /// Sends what can be sent; a client that takes no answers is not read from until it does.
+    /// Sends what can be sent; a client that does not read its answers is not read from until it does.
     fn flush(&mut self, poll: &Poll, now: u64, slot: usize) {
         let mut calls = Vec::new();
         let mut result = Ok(());
         let link = loop {
             for call in calls.drain(..) {
-                result = result.and(self.call(now, slot, call).map_err(|m| Closed::Malformed(m.0)));
+                result = result.and(self.handle_call(now, slot, call).map_err(|m| Closed::Malformed(m.0)));
             }
             let Some(link) = self.links.get_mut(slot) else { return };
             let before = link.io.unsent();
-            let was = std::mem::replace(&mut link.peer.blocked, before > MUCH_UNSENT);
+            let was = std::mem::replace(&mut link.peer.blocked, before > READ_PAUSE_UNSENT_BYTES);
             result = result.and_then(|()| link.flush(poll));
             let left = link.io.unsent();
             self.unsent = self.unsent + left - before;
-            let freed = (was || link.peer.blocked) && left <= MUCH_UNSENT;
+            let freed = (was || link.peer.blocked) && left <= READ_PAUSE_UNSENT_BYTES;
             if result.is_err() || !freed {
                 if link.peer.blocked && !was {
                     count(&self.counters.clients_blocked);
                 }
                 break link;
             }
-            // It takes answers again: what it asked meanwhile has waited on the ring.
+            // The client reads again: the messages that waited in the input ring are handled now.
             link.peer.blocked = false;
             result = link.resume(&mut calls);
         };
-        let over = link.io.ended && link.peer.open.is_empty() && link.io.unsent() == 0;
+        let over = link.io.ended && link.peer.open_requests.is_empty() && link.io.unsent() == 0;
         match result {
             Err(Closed::Malformed(_)) => self.expel(poll, now, slot),
             Err(_) => self.close(slot),
-            // A client that has sent its last still gets what it asked for.
+            // A client that has closed its sending side still gets its answers before the close.
             Ok(()) if over => self.close(slot),
-            Ok(()) => self.finish(now, slot),
+            Ok(()) => self.finish_if_idle(now, slot),
         }
     }
 
     fn close(&mut self, slot: usize) {
-        let serial = self.ticket(slot, 0);
+        let ticket = self.ticket(slot, 0);
         let Some(link) = self.links.try_remove(slot) else { return };
         count(&self.counters.clients_closed);
         self.unsent -= link.io.unsent();
-        for seq in link.peer.open {
-            self.forget(Ticket { seq: i64::from(seq), ..serial });
+        for seq in link.peer.open_requests {
+            self.cancel(Ticket { seq: i64::from(seq), ..ticket });
         }
     }
 
-    /// Resumes accepting, and closes connections that stalled.
+    /// Resumes accepting after a pause, and closes stalled and idle connections.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
@@ -604,29 +644,29 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + SWEEP;
-        if let Some(last) = self.leaving {
+        self.next_sweep = now + SWEEP_INTERVAL_US;
+        if let Some(last) = self.refuse_from {
             self.leave(now, last);
         }
         let mut over = Vec::new();
         for (slot, link) in &self.links {
-            // One that goes on sending what nobody reads is not waited for longer.
-            let ended = link.peer.expelled.filter(|_| link.io.unsent() == 0).or(link.peer.finished);
-            if ended.is_some_and(|at| now >= at + LINGER) {
+            // A client that keeps sending after its connection ended gets no longer than `LINGER_US`.
+            let ended = link.peer.expelled_at.filter(|_| link.io.unsent() == 0).or(link.peer.finished_at);
+            if ended.is_some_and(|at| now >= at + LINGER_US) {
                 over.push(slot);
                 continue;
             }
-            let silent = link.peer.partial.is_some_and(|since| now >= since + SILENT);
-            let stalled = link.io.unsent() > 0 && now >= link.peer.used + STALLED;
-            let idle = silent || now >= link.peer.used + IDLE;
-            if stalled || (link.peer.open.is_empty() && link.io.unsent() == 0 && idle) {
+            let silent = link.peer.partial_since.is_some_and(|since| now >= since + MESSAGE_TIMEOUT_US);
+            let stalled = link.io.unsent() > 0 && now >= link.peer.last_activity + STALL_TIMEOUT_US;
+            let idle = silent || now >= link.peer.last_activity + IDLE_TIMEOUT_US;
+            if stalled || (link.peer.open_requests.is_empty() && link.io.unsent() == 0 && idle) {
                 over.push(slot);
             }
         }
         over.into_iter().for_each(|slot| self.close(slot));
     }
 
-    /// When `advance` next has something to do.
+    /// Returns when `advance` next has work to do.
     pub fn due(&self) -> u64 {
         self.paused_until.unwrap_or(u64::MAX).min(self.next_sweep)
     }
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -1,4 +1,4 @@
-//! The front by itself, on real connections: what a turn of the loop may find in an order that only the kernel decides.
+//! Tests of the front alone on real connections, with orders of events that only the kernel decides in production.
 
 use super::{Front, Limits};
 use crate::core::{Final, Ticket};
@@ -10,106 +10,106 @@
 
 const SECOND: u64 = 1_000_000;
 
-/// A front for two clients at a time, and the loop's end of it.
-struct Bed {
+/// A front for two concurrent clients, with its event loop driven by the test.
+struct TestFront {
     poll: Poll,
     front: Front,
     counters: Rc<Counters>,
 }
 
-impl Bed {
-    fn new(unsent: usize) -> Bed {
+impl TestFront {
+    fn new(unsent: usize) -> TestFront {
         let mut poll = Poll::new().expect("epoll");
         let listener =
             Listener::bind(&mut poll, 3, "127.0.0.1:0".parse().expect("an address")).expect("a listener");
         let counters = Rc::new(Counters::default());
         let limits = Limits { connections: 2, unsent };
         let front = Front::new(3, listener, limits, counters.clone());
-        Bed { poll, front, counters }
+        TestFront { poll, front, counters }
     }
 
     fn client(&self) -> Client {
         Client::connect(self.front.address().expect("an address"))
     }
 
-    /// What is ready now: at least one thing, waited for.
-    fn happened(&mut self) -> Vec<Ready> {
-        let mut happened = Vec::new();
-        while happened.is_empty() {
-            self.poll.wait(SECOND, &mut happened).expect("events");
+    /// Waits for at least one event and returns the events that are ready.
+    fn wait_ready(&mut self) -> Vec<Ready> {
+        let mut events = Vec::new();
+        while events.is_empty() {
+            self.poll.wait(SECOND, &mut events).expect("events");
         }
-        happened
+        events
     }
 
-    /// Handles what is ready until that much has been taken in or accepted.
-    fn until(&mut self, now: u64, done: impl Fn(&Bed) -> bool) {
+    /// Handles events until the condition holds.
+    fn run_until(&mut self, now: u64, done: impl Fn(&TestFront) -> bool) {
         while !done(self) {
-            for ready in self.happened() {
+            for ready in self.wait_ready() {
                 self.front.ready(&mut self.poll, now, ready);
             }
         }
     }
 }
 
-/// The client asks, and the front takes it in.
-fn asked(bed: &mut Bed, client: &mut Client, seq: i32) -> Ticket {
+/// Sends a request and returns its ticket once the front has taken it in.
+fn submit(fixture: &mut TestFront, client: &mut Client, seq: i32) -> Ticket {
     client.serve(seq, &fields("flow-read", &format!("{seq:016x}"), 20_000), b"");
-    bed.until(0, |b| !b.front.intake.is_empty());
-    match bed.front.intake.pop() {
+    fixture.run_until(0, |b| !b.front.intake.is_empty());
+    match fixture.front.intake.pop() {
         Some(Intake::Serve { ticket, .. }) => ticket,
         _ => panic!("a request"),
     }
 }
 
 #[test]
-fn one_that_takes_no_answers_is_closed_in_its_time_whatever_it_says_meanwhile() {
-    let mut bed = Bed::new(1 << 24);
-    let mut client = bed.client();
-    let open: Vec<Ticket> = (1..=9).map(|seq| asked(&mut bed, &mut client, seq)).collect();
+fn client_that_reads_no_answers_is_closed_after_stall_timeout_even_if_it_sends() {
+    let mut fixture = TestFront::new(1 << 24);
+    let mut client = fixture.client();
+    let open: Vec<Ticket> = (1..=9).map(|seq| submit(&mut fixture, &mut client, seq)).collect();
     let mut seq = 9;
-    // The system takes what it can hold for a client that reads nothing, and then no more.
-    while !bed.front.links.iter().all(|(_, link)| link.peer.blocked) {
+    // The kernel buffers answers for a client that reads nothing until its buffers are full.
+    while !fixture.front.links.iter().all(|(_, link)| link.peer.blocked) {
         seq += 1;
-        let ticket = asked(&mut bed, &mut client, seq);
-        bed.front.answer(&bed.poll, 0, ticket, &Final::Served(vec![7; 600_000]));
-        let mut happened = Vec::new();
-        while bed.poll.wait(SECOND / 5, &mut happened).is_ok() && !happened.is_empty() {
-            happened.drain(..).for_each(|ready| bed.front.ready(&mut bed.poll, 0, ready));
+        let ticket = submit(&mut fixture, &mut client, seq);
+        fixture.front.answer(&fixture.poll, 0, ticket, &Final::Served(vec![7; 600_000]));
+        let mut events = Vec::new();
+        while fixture.poll.wait(SECOND / 5, &mut events).is_ok() && !events.is_empty() {
+            events.drain(..).for_each(|ready| fixture.front.ready(&mut fixture.poll, 0, ready));
         }
     }
     for (second, ticket) in (1..).zip(&open) {
         client.forget(seq + second as i32, ticket.seq as i32);
-        bed.until(second * SECOND, |b| !b.front.intake.is_empty());
-        assert!(matches!(bed.front.intake.pop(), Some(Intake::Forget(t)) if t == *ticket));
-        bed.front.advance(&mut bed.poll, second * SECOND);
-        assert_eq!(bed.front.connections(), 1, "its time is not over");
+        fixture.run_until(second * SECOND, |b| !b.front.intake.is_empty());
+        assert!(matches!(fixture.front.intake.pop(), Some(Intake::Forget(t)) if t == *ticket));
+        fixture.front.advance(&mut fixture.poll, second * SECOND);
+        assert_eq!(fixture.front.connections(), 1, "its stall time-out is not over");
     }
-    bed.front.advance(&mut bed.poll, 10 * SECOND);
-    assert_eq!(bed.front.connections(), 0);
+    fixture.front.advance(&mut fixture.poll, 10 * SECOND);
+    assert_eq!(fixture.front.connections(), 0);
 }
 
 #[test]
-fn a_place_is_made_by_closing_a_client_of_whom_nothing_lies_unread() {
-    let mut bed = Bed::new(1 << 20);
-    let mut clients = [bed.client(), bed.client()];
-    bed.until(0, |b| b.front.connections() == 2);
-    // Both were heard, the first one longer ago; both may be closed for another's sake.
+fn client_with_unread_input_is_not_evicted_for_a_new_one() {
+    let mut fixture = TestFront::new(1 << 20);
+    let mut clients = [fixture.client(), fixture.client()];
+    fixture.run_until(0, |b| b.front.connections() == 2);
+    // Both have sent a message, the first one earlier; both may be evicted for a new client.
     for (n, client) in (1..).zip(&mut clients) {
         client.other("isWell", 1);
-        bed.until(n, |b| b.counters.health_checks.get() == n);
+        fixture.run_until(n, |b| b.counters.health_checks.get() == n);
         assert!(client.receive().is_some());
     }
-    // With both places taken accepting has paused; it goes on.
-    bed.front.advance(&mut bed.poll, SECOND);
-    let _third = bed.client();
-    let accepts = bed.happened();
-    // The first asks only after the turn has learned what is ready, and before it accepts.
+    // Accepting paused with both slots taken; it resumes here.
+    fixture.front.advance(&mut fixture.poll, SECOND);
+    let _third = fixture.client();
+    let accepts = fixture.wait_ready();
+    // The first client sends its request after the loop has polled and before it accepts.
     clients[0].serve(2, &fields("flow-read", "0000000000000001", 1_000), b"");
-    while bed.happened().iter().all(|r| accepts.iter().any(|a| a.token == r.token)) {}
+    while fixture.wait_ready().iter().all(|r| accepts.iter().any(|a| a.token == r.token)) {}
     for ready in accepts {
-        bed.front.ready(&mut bed.poll, SECOND, ready);
+        fixture.front.ready(&mut fixture.poll, SECOND, ready);
     }
-    assert_eq!((bed.counters.clients_evicted.get(), bed.front.connections()), (1, 2));
-    bed.until(SECOND, |b| !b.front.intake.is_empty());
-    assert!(matches!(bed.front.intake[..], [Intake::Serve { .. }]));
+    assert_eq!((fixture.counters.clients_evicted.get(), fixture.front.connections()), (1, 2));
+    fixture.run_until(SECOND, |b| !b.front.intake.is_empty());
+    assert!(matches!(fixture.front.intake[..], [Intake::Serve { .. }]));
 }
--- a/src/front/thrift/mod.rs
+++ b/src/front/thrift/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's front: framed Thrift over TCP. Bytes to requests and back; nothing is decided here.
+//! The platform's front: framed Thrift over TCP. It decodes calls into requests and encodes replies; the number of
+//! connections, the requests open on each and the bytes of unsent answers are bounded.
 
 mod front;
 mod wire;
--- a/src/front/thrift/wire.rs
+++ b/src/front/thrift/wire.rs
@@ -1,12 +1,13 @@
-//! Framed Thrift, strict binary protocol: reads calls, writes replies.
+//! Framed Thrift, strict binary protocol: decodes calls and encodes replies, without I/O. The frame size and the nesting
+//! depth of skipped values are bounded.
 
 use crate::front::Fields;
 use crate::net::{Malformed, Reader};
 
-/// The largest frame taken: a body of 16 KiB, its fields, and room to spare.
-pub const MOST_FRAME: usize = 32 * 1024;
-/// The deepest nesting of values that are skipped.
-const MOST_DEPTH: usize = 16;
+/// The largest accepted frame: a body of 16 KiB and its fields, with a margin.
+pub const MAX_FRAME_BYTES: usize = 32 * 1024;
+/// The deepest accepted nesting of skipped values.
+const MAX_NESTING: usize = 16;
 
 const STOP: u8 = 0;
 const BOOL: u8 = 2;
@@ -20,13 +21,13 @@
 const EXCEPTION: u8 = 3;
 const ONEWAY: u8 = 4;
 
-/// Application exceptions, by their public numbers.
+/// Application exception type of the Thrift specification: the method does not exist.
 pub const UNKNOWN_METHOD: i32 = 1;
-/// A sequence number that can't be.
+/// Application exception type: the sequence number is invalid.
 pub const BAD_SEQUENCE_ID: i32 = 4;
-/// Any failure inside.
+/// Application exception type: a failure in the server.
 pub const INTERNAL_ERROR: i32 = 6;
-/// Arguments that can't be used.
+/// Application exception type: the arguments are invalid.
 pub const PROTOCOL_ERROR: i32 = 7;
 
 /// A message from a client.
@@ -41,9 +42,9 @@
         /// Its body.
         body: Vec<u8>,
     },
-    /// The client stopped waiting.
+    /// The client no longer waits for a request.
     Forget {
-        /// For this request.
+        /// The sequence number of that request.
         seq: i32,
     },
     /// A health check.
@@ -51,7 +52,7 @@
         /// Its sequence number.
         seq: i32,
     },
-    /// A method that this service lacks.
+    /// A call of a method that this service does not have.
     Unknown {
         /// Its sequence number.
         seq: i32,
@@ -60,14 +61,14 @@
     },
 }
 
-/// How Thrift puts values on the wire.
+/// Decoding of Thrift's values.
 trait Values<'a>: Sized {
     fn i32(&mut self) -> Result<i32, Malformed>;
     fn size(&mut self) -> Result<usize, Malformed>;
     fn binary(&mut self) -> Result<&'a [u8], Malformed>;
     fn string(&mut self) -> Result<String, Malformed>;
     fn strings(&mut self) -> Result<Fields, Malformed>;
-    /// Calls `take` with each field's type and number.
+    /// Calls `take` with the type and number of each field.
     fn fields(
         &mut self,
         take: impl FnMut(&mut Self, u8, i16) -> Result<(), Malformed>,
@@ -97,9 +98,9 @@
     fn strings(&mut self) -> Result<Fields, Malformed> {
         let (key, value, size) = (self.u8()?, self.u8()?, self.size()?);
         if size > 0 && (key, value) != (STRING, STRING) {
-            return Err(Malformed("a map of other things than text"));
+            return Err(Malformed("a map whose keys or values are not strings"));
         }
-        // No room is set aside by a size that the peer merely claims.
+        // Nothing is preallocated by the announced size: a peer could announce any size without sending the data.
         let mut fields = Fields::new();
         for _ in 0..size {
             let key = self.string()?;
@@ -123,7 +124,7 @@
     }
 
     fn skip(&mut self, kind: u8, depth: usize) -> Result<(), Malformed> {
-        if depth > MOST_DEPTH {
+        if depth > MAX_NESTING {
             return Err(Malformed("values nested too deeply"));
         }
         match kind {
@@ -149,18 +150,18 @@
     }
 }
 
-/// The length of the whole frame at the front of `bytes`, with its four bytes of length, once that is there.
-pub fn frame(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
+/// Returns the size of the frame at the start of `bytes`, including its four-byte length prefix, once it is complete.
+pub fn frame_size(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let Some(head) = bytes.first_chunk::<4>() else { return Ok(None) };
     let size = u32::from_be_bytes(*head) as usize;
-    if size > MOST_FRAME {
+    if size > MAX_FRAME_BYTES {
         return Err(Malformed("a frame larger than allowed"));
     }
     Ok((bytes.len() >= 4 + size).then_some(4 + size))
 }
 
-/// Reads the message in a frame, given without its length.
-pub fn read(message: &[u8]) -> Result<Call, Malformed> {
+/// Decodes the message of a frame, given without its length prefix.
+pub fn read_call(message: &[u8]) -> Result<Call, Malformed> {
     let mut r = Reader::new(message);
     let head = r.i32()? as u32;
     if head >> 16 != 0x8001 {
@@ -225,8 +226,8 @@
     out
 }
 
-/// A reply with an `Answer`.
-pub fn answer(method: &str, seq: i32, body: &[u8], good: bool) -> Vec<u8> {
+/// Encodes a reply with an `Answer`.
+pub fn answer(method: &str, seq: i32, body: &[u8], healthy: bool) -> Vec<u8> {
     message(REPLY, method, seq, |out| {
         put_field(out, STRUCT, 0);
         put_field(out, STRING, 1);
@@ -234,11 +235,11 @@
         put_field(out, MAP, 2);
         put_strings(out, &[]);
         put_field(out, BOOL, 3);
-        out.extend([u8::from(good), STOP, STOP]);
+        out.extend([u8::from(healthy), STOP, STOP]);
     })
 }
 
-fn thrown(seq: i32, number: i16, fields: &[(&str, &str)]) -> Vec<u8> {
+fn declared_exception(seq: i32, number: i16, fields: &[(&str, &str)]) -> Vec<u8> {
     message(REPLY, "serve", seq, |out| {
         put_field(out, STRUCT, number);
         put_field(out, MAP, 1);
@@ -247,20 +248,20 @@
     })
 }
 
-/// A reply with `Trylater`; `pushback` in milliseconds.
+/// Encodes a reply with `Trylater`; `pushback` is in milliseconds.
 pub fn refused(seq: i32, pushback: Option<u64>) -> Vec<u8> {
     match pushback {
-        Some(ms) => thrown(seq, 1, &[("pushback", &ms.to_string())]),
-        None => thrown(seq, 1, &[]),
+        Some(ms) => declared_exception(seq, 1, &[("pushback", &ms.to_string())]),
+        None => declared_exception(seq, 1, &[]),
     }
 }
 
-/// A reply with `Aborted`.
+/// Encodes a reply with `Aborted`.
 pub fn failed(seq: i32, why: &str) -> Vec<u8> {
-    thrown(seq, 2, &[("why", why)])
+    declared_exception(seq, 2, &[("why", why)])
 }
 
-/// An application exception.
+/// Encodes an application exception.
 pub fn exception(method: &str, seq: i32, number: i32, text: &str) -> Vec<u8> {
     message(EXCEPTION, method, seq, |out| {
         put_field(out, STRING, 1);
@@ -271,7 +272,7 @@
     })
 }
 
-/// A client's health check.
+/// Encodes a health check, as a client sends it.
 pub fn ask_well() -> Vec<u8> {
     message(CALL, "isWell", 1, |out| {
         put_field(out, BOOL, 1);
@@ -279,24 +280,24 @@
     })
 }
 
-/// The answer to a health check at the front of `bytes`: the size of its frame, and whether all is well.
+/// Decodes the answer to a health check at the start of `bytes`: the size of its frame, and whether the server is healthy.
 pub fn read_well(bytes: &[u8]) -> Result<Option<(usize, bool)>, Malformed> {
-    let Some(size) = frame(bytes)? else { return Ok(None) };
+    let Some(size) = frame_size(bytes)? else { return Ok(None) };
     let mut r = Reader::new(&bytes[4..size]);
     let head = r.i32()? as u32;
     r.string()?;
     r.i32()?;
-    let mut good = false;
+    let mut healthy = false;
     if head as u8 == REPLY {
         r.fields(|r, kind, number| match (kind, number) {
             (STRUCT, 0) => r.fields(|r, kind, number| match (kind, number) {
-                (BOOL, 3) => r.u8().map(|b| good = b == 1),
+                (BOOL, 3) => r.u8().map(|b| healthy = b == 1),
                 _ => r.skip(kind, 0),
             }),
             _ => r.skip(kind, 0),
         })?;
     }
-    Ok(Some((size, good)))
+    Ok(Some((size, healthy)))
 }
 
 #[cfg(test)]
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,18 +1,18 @@
-//! As much HTTP/1.1 as health checks, operators and the command line need: one call a connection, its head read by httparse. The agent and the
-//! operators' door share it.
+//! A minimal HTTP/1.1 server side for health checks, operators and the command line: one request per connection, whose head
+//! is parsed by httparse. The agent and the operators' door share it. Head and body sizes are bounded.
 
 use crate::net::{Callbacks, Malformed, Ring};
 
-/// The longest head of a request.
-pub const MOST_HEAD: usize = 8 * 1024;
-/// The most headers of a request: as many as the longest head has room for.
-const MOST_HEADERS: usize = MOST_HEAD / 4;
-/// The longest body, which nothing here reads.
-const MOST_BODY: usize = 4 * 1024;
-/// Bytes that a connection's input must hold.
-pub const MOST_CALL: usize = MOST_HEAD + MOST_BODY + 1024;
+/// The longest accepted head of a request.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Headers per request: as many as fit in the longest head.
+const MAX_HEADERS: usize = MAX_HEAD_BYTES / 4;
+/// The longest accepted body; bodies are ignored.
+const MAX_BODY_BYTES: usize = 4 * 1024;
+/// The required capacity of a connection's input buffer.
+pub const MOST_CALL: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024;
 
-/// A request: its method and path.
+/// A parsed request.
 #[derive(Debug, PartialEq)]
 pub struct Asked {
     /// Its method.
@@ -21,18 +21,18 @@
     pub path: String,
 }
 
-/// A call that can't be used: the status that it is answered with.
+/// The status that an invalid request is answered with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bad(pub u16);
 
-/// The speaker on a connection that asks. The first call counts; what follows it is dropped.
+/// Decodes the input of a server connection. Only the first request is handled; further input is discarded.
 #[derive(Default)]
 pub struct Http {
     asked: bool,
 }
 
 impl Http {
-    /// Whether its call has come, good or bad.
+    /// Returns whether a request has been received, valid or not.
     pub fn asked(&self) -> bool {
         self.asked
     }
@@ -43,10 +43,10 @@
 
     fn received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed> {
         if !self.asked
-            && let Some(call) = read(input.contiguous())
+            && let Some(request) = parse_request(input.contiguous())
         {
             self.asked = true;
-            out.push(call);
+            out.push(request);
         }
         if self.asked {
             input.consume(input.len());
@@ -55,58 +55,58 @@
     }
 }
 
-/// Reads a call once it is whole; what can't become one is known as soon as the part that is at fault is.
-pub fn read(bytes: &[u8]) -> Option<Result<Asked, Bad>> {
-    // Empty lines ahead of a call are passed over.
-    let skipped = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-    let bytes = &bytes[skipped..];
-    let mut headers = vec![httparse::EMPTY_HEADER; MOST_HEADERS];
-    let mut call = httparse::Request::new(&mut headers);
-    let head = match call.parse(&bytes[..bytes.len().min(MOST_HEAD)]) {
+/// Parses a request once it is complete; an invalid one is reported as soon as its invalid part has arrived.
+pub fn parse_request(bytes: &[u8]) -> Option<Result<Asked, Bad>> {
+    // Empty lines before a request are skipped.
+    let empty_bytes = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+    let bytes = &bytes[empty_bytes..];
+    let mut headers = vec![httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    let head = match request.parse(&bytes[..bytes.len().min(MAX_HEAD_BYTES)]) {
         Ok(httparse::Status::Complete(head)) => Some(head),
         Ok(httparse::Status::Partial) => None,
         Err(httparse::Error::TooManyHeaders) => return Some(Err(Bad(431))),
         Err(_) => return Some(Err(Bad(400))),
     };
-    let shown = |path: &str| path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic());
-    if call.path.is_some_and(|path| !shown(path)) {
+    let is_valid = |path: &str| path.starts_with('/') && path.bytes().all(|b| b.is_ascii_graphic());
+    if request.path.is_some_and(|path| !is_valid(path)) {
         return Some(Err(Bad(400)));
     }
-    // Of a call that is not whole, those that are come first.
-    let length = match length(call.headers.iter().take_while(|h| !h.name.is_empty())) {
+    // In an incomplete request the parsed headers come first; the rest are empty.
+    let length = match content_length(request.headers.iter().take_while(|h| !h.name.is_empty())) {
         Ok(length) => length,
         Err(bad) => return Some(Err(bad)),
     };
-    let Some(head) = head else { return (bytes.len() >= MOST_HEAD).then_some(Err(Bad(431))) };
-    if length > MOST_BODY {
+    let Some(head) = head else { return (bytes.len() >= MAX_HEAD_BYTES).then_some(Err(Bad(431))) };
+    if length > MAX_BODY_BYTES {
         return Some(Err(Bad(413)));
     }
-    let (method, path) = call.method.zip(call.path)?;
+    let (method, path) = request.method.zip(request.path)?;
     (bytes.len() >= head + length).then(|| Ok(Asked { method: method.to_string(), path: path.to_string() }))
 }
 
-/// The bytes of the body that the headers announce.
-fn length<'a>(headers: impl Iterator<Item = &'a httparse::Header<'a>>) -> Result<usize, Bad> {
+/// Returns the length of the body according to the headers.
+fn content_length<'a>(headers: impl Iterator<Item = &'a httparse::Header<'a>>) -> Result<usize, Bad> {
     let mut length = None;
     for header in headers {
-        // A body without a length is more than is read here.
+        // Transfer codings are not supported, so a length is required.
         if header.name.eq_ignore_ascii_case("transfer-encoding") {
             return Err(Bad(411));
         }
         if header.name.eq_ignore_ascii_case("content-length") {
             let digits = !header.value.is_empty() && header.value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(header.value).ok().filter(|_| digits).ok_or(Bad(400))?;
-            let told: usize = text.parse().map_err(|_| Bad(413))?;
-            if length.is_some_and(|l| l != told) {
+            let announced: usize = text.parse().map_err(|_| Bad(413))?;
+            if length.is_some_and(|l| l != announced) {
                 return Err(Bad(400));
             }
-            length = Some(told);
+            length = Some(announced);
         }
     }
     Ok(length.unwrap_or(0))
 }
 
-/// The path's bytes with `%XX` taken for the byte that it stands for.
+/// Decodes percent-escapes; returns `None` if an escape is invalid or the result is not UTF-8.
 pub fn unescape(path: &str) -> Option<String> {
     let mut out = Vec::with_capacity(path.len());
     let mut rest = path.as_bytes();
@@ -124,7 +124,7 @@
     String::from_utf8(out).ok()
 }
 
-/// An answer, after which the connection closes.
+/// Encodes a response, after which the connection is closed.
 pub fn answer(status: u16, body: &str) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
