--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -238,7 +238,7 @@
             before = resident();
         }
     }
-    (resident() - before) / (bed.router.sizes().marks - FUNCTIONS) as f64
+    (resident() - before) / (bed.router.sizes().replicas - FUNCTIONS) as f64
 }
 
 fn main() {
--- a/src/control.rs
+++ b/src/control.rs
@@ -40,7 +40,7 @@
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, Use, drop_while};
 use reports::{Fields, Report};
-use tables::{Attempt, Function, Mark, Pool, Request, Worker, mark_mut, rendezvous, sanitized};
+use tables::{Attempt, Function, Pool, Replica, Request, Worker, rendezvous, replica_mut, sanitized};
 
 // ---- Learning of run times, load times and losses ----
 
@@ -373,8 +373,8 @@
             Event::ListRefused if self.set.list_on_request => out.push(Action::Watch),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
-                if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].marks.get_mut(&f)) {
-                    (mark.copies, mark.loading) = (*copies, None);
+                if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
+                    (mark.count, mark.loading) = (*copies, None);
                 }
             }
             Event::ListRefused | Event::Loaded { .. } => {}
@@ -459,8 +459,9 @@
         self.renewals_checked_at = self.now;
         let keep_alive = self.set.keep_alive as f64;
         let workers = &self.workers;
-        let is_latest =
-            |used: &Use| workers[used.worker].marks.get(&used.function).is_some_and(|m| m.used == used.at);
+        let is_latest = |used: &Use| {
+            workers[used.worker].replicas.get(&used.function).is_some_and(|m| m.last_used == used.at)
+        };
         let uses: Vec<Use> = self
             .renewals
             .due(self.now, keep_alive, (RENEW_KEEP_ALIVE_SHARE, WARM_KEEP_ALIVE_SHARE), is_latest)
@@ -469,9 +470,9 @@
         let mut due: Vec<(f64, usize, usize)> = Vec::new();
         for Use { worker: worker_slot, function: function_slot, .. } in uses {
             let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
-            let mark = &worker.marks[&function_slot];
-            let unused_keep_alives = (self.now - mark.asked) as f64 / keep_alive;
-            let idle_copy = worker.up && mark.copies > 0 && mark.loading.is_none() && mark.own == 0;
+            let mark = &worker.replicas[&function_slot];
+            let unused_keep_alives = (self.now - mark.last_requested) as f64 / keep_alive;
+            let idle_copy = worker.up && mark.count > 0 && mark.loading.is_none() && mark.own_in_flight == 0;
             if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
                 // If every router renewed the copies that all of them use, there would be as many load orders
                 // as requests. So a copy that the others use often enough is left to them.
@@ -495,7 +496,7 @@
             }
             self.ordered.push_back(self.now);
             let (w, id) = (&mut self.workers[worker], self.functions[function].id.clone());
-            w.marks.entry(function).and_modify(|m| m.used = self.now);
+            w.replicas.entry(function).and_modify(|m| m.last_used = self.now);
             self.renewals.push(Use { at: self.now, worker, function });
             out.push(Action::Load { worker: w.id.clone(), function: id, copies: 1 });
         }
@@ -705,13 +706,13 @@
         let run_time = function.run * slowness * request.size.size;
         let cold_turn =
             self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
-        let mark = target.marks.get(&request.function).copied().unwrap_or_default();
+        let mark = target.replicas.get(&request.function).copied().unwrap_or_default();
         let warmth = self.warmth(&mark);
         let whole_load = self.whole_load(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
         let peer_copy = rank.map(|rank| self.peer_copy_probability(function, rank, known));
         let (load_wait, copies) = match warmth {
-            Warmth::Warm => (0.0, mark.copies),
+            Warmth::Warm => (0.0, mark.count),
             Warmth::Loading(left) => (left, 1),
             Warmth::Cold => ((1.0 - peer_copy.unwrap_or(0.0)) * whole_load, 1),
         };
@@ -725,7 +726,7 @@
         let concurrency =
             if self.report_fields.told() { WORKER_CONCURRENCY_REPORTED } else { function.lanes.min(2.0) };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
-        let in_flight = f64::from(mark.own) + mark.others_in_flight;
+        let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
         let lanes = function.lanes * f64::from(copies.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
         let total = self.set.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
@@ -816,7 +817,7 @@
     }
 
     /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
-    fn warmth(&self, mark: &Mark) -> Warmth {
+    fn warmth(&self, mark: &Replica) -> Warmth {
         if let Some((began, due)) = mark.loading {
             let timeout = LOAD_TIMEOUT_FACTOR * (due - began) as f64;
             if ((self.now - began) as f64) < timeout {
@@ -825,8 +826,10 @@
                 return Warmth::Loading(left.max(so_far.min(due - began)) as f64);
             }
         }
-        let idle = self.now.saturating_sub(mark.used) as f64;
-        if mark.copies > 0 && (mark.own > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) {
+        let idle = self.now.saturating_sub(mark.last_used) as f64;
+        if mark.count > 0
+            && (mark.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.set.keep_alive as f64)
+        {
             return Warmth::Warm;
         }
         Warmth::Cold
@@ -919,12 +922,12 @@
         let w = &mut self.workers[e.worker];
         self.budget.enter(w);
         w.open.push((id, request.attempts.len()));
-        let mark = mark_mut(w, e.worker, &mut self.functions[function], function);
+        let mark = replica_mut(w, e.worker, &mut self.functions[function], function);
         self.renewals.push(Use { at: self.now, worker: e.worker, function });
-        mark.own += 1;
-        (mark.used, mark.asked) = (self.now, self.now);
+        mark.own_in_flight += 1;
+        (mark.last_used, mark.last_requested) = (self.now, self.now);
         if e.cold {
-            (mark.copies, mark.others_in_flight) = (0, 0.0);
+            (mark.count, mark.others_in_flight) = (0, 0.0);
             mark.loading = Some((self.now, self.now.saturating_add(load)));
         }
         request.attempts.push(Attempt {
@@ -1088,10 +1091,10 @@
         if let Some(held) = self.report_fields.held(report) {
             w.report = Report::hear(now, held, w.open.len());
         }
-        let mark = mark_mut(w, worker, &mut self.functions[function], function);
-        mark.own = mark.own.saturating_sub(1);
+        let mark = replica_mut(w, worker, &mut self.functions[function], function);
+        mark.own_in_flight = mark.own_in_flight.saturating_sub(1);
         if let Some(crowd) = crowd {
-            mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own));
+            mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own_in_flight));
         }
         // A load that outlasts its request is never reported, and the next request would be sent there to
         // wait for it too. So such a timeout counts as a copy not found. It is not counted for the class,
@@ -1112,8 +1115,8 @@
                 self.served.add(now, self.half, 1.0);
                 self.functions.served(now, function);
                 self.renewals.push(Use { at: now, worker, function });
-                mark.used = now;
-                mark.copies = mark.copies.max(1);
+                mark.last_used = now;
+                mark.count = mark.count.max(1);
                 mark.loading = None;
                 let took = *latency as f64;
                 match found {
@@ -1129,7 +1132,7 @@
                     _ => {}
                 }
             }
-            Outcome::Miss => *mark = Mark { copies: 0, loading: None, ..*mark },
+            Outcome::Miss => *mark = Replica { count: 0, loading: None, ..*mark },
             Outcome::Error | Outcome::Full => {
                 if found == Found::LoadFailed {
                     mark.loading = None;
@@ -1142,7 +1145,7 @@
                 w.connection_failed(now, outcome == Outcome::ConnectFailed);
             }
             // The attempt was never sent, so the load that it was meant to start is not under way.
-            Outcome::Moot if e.cold && mark.own == 0 => mark.loading = None,
+            Outcome::Moot if e.cold && mark.own_in_flight == 0 => mark.loading = None,
             Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
         }
     }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -111,7 +111,7 @@
     pub(super) fn new(router: &'a Router, request: &'a Request, known: &'a Known) -> Search<'a> {
         let function = &router.functions[request.function];
         let holds = |worker: &usize| {
-            let mark = router.workers[*worker].marks.get(&request.function);
+            let mark = router.workers[*worker].replicas.get(&request.function);
             mark.is_some_and(|mark| !matches!(router.warmth(mark), Warmth::Cold))
         };
         let mut holders: Vec<usize> =
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -332,7 +332,7 @@
         );
         let mut marks: BTreeSet<(usize, u32)> = BTreeSet::new();
         for (slot, worker) in router.workers.iter().enumerate() {
-            marks.extend(worker.marks.keys().map(|function| (*function, slot as u32)));
+            marks.extend(worker.replicas.keys().map(|function| (*function, slot as u32)));
             assert_eq!(router.worker_ids[&worker.id], slot);
             assert_eq!(router.unlisted.contains(&slot), !worker.listed, "{}", worker.id);
         }
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -5,7 +5,7 @@
 //! No requests are decided here.
 
 use super::preference::PreferenceRing;
-use super::tables::{Function, Mark, Pool, Worker};
+use super::tables::{Function, Pool, Replica, Worker};
 use super::{Evidence, Router};
 use crate::api::{Micros, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
         };
         let plausible_pool =
             |p: &Pool| p.load.is_none_or(plausible) && plausible(p.run) && plausible_evidence(&p.found);
-        let plausible_marks = |w: &Worker| w.marks.values().all(|mark| mark.copies <= MAX_COPIES);
+        let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_COPIES);
         let all_plausible = self.functions.iter().all(plausible_function)
             && self.pools.iter().all(plausible_pool)
             && self.workers.iter().all(|w| plausible_evidence(&w.slow) && plausible_marks(w));
@@ -53,15 +53,15 @@
             return None;
         }
         let classes = self.pools.len();
-        let mark = |m: Mark| Mark {
-            copies: m.copies,
-            used: rebased(m.used),
-            asked: rebased(m.asked),
-            ..Mark::default()
+        let mark = |m: Replica| Replica {
+            count: m.count,
+            last_used: rebased(m.last_used),
+            last_requested: rebased(m.last_requested),
+            ..Replica::default()
         };
         let worker = |w: Worker| Worker {
             ready_at: w.ready_at.map(rebased),
-            marks: w.marks.into_iter().map(|(f, m)| (f, mark(m))).collect(),
+            replicas: w.replicas.into_iter().map(|(f, m)| (f, mark(m))).collect(),
             slow: w.slow.rebased(behind),
             lost: vec![Evidence::default(); classes],
             heard: vec![0; classes],
@@ -99,9 +99,9 @@
         let (functions, classes) = (self.functions.len(), self.pools.len());
         let worker = |w: &Worker| {
             let per_class = w.lost.len() == classes && w.heard.len() == classes;
-            let marks = w.marks.iter().all(|(function, mark)| {
+            let marks = w.replicas.iter().all(|(function, mark)| {
                 let loading = mark.loading.is_none_or(|(began, due)| began <= now && began <= due);
-                *function < functions && loading && mark.used <= now && mark.asked <= now
+                *function < functions && loading && mark.last_used <= now && mark.last_requested <= now
             });
             per_class && marks && w.sent <= now
         };
@@ -127,8 +127,8 @@
         functions.extend(self.functions.dormant_functions().take(MAX_DORMANT));
         let renumbered = |w: &Worker| {
             let marks =
-                w.marks.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
-            Worker { marks, ..w.clone() }
+                w.replicas.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
+            Worker { replicas: marks, ..w.clone() }
         };
         Learned {
             workers: self.workers.iter().map(renumbered).collect(),
@@ -156,9 +156,10 @@
         let slots = self.functions.replace(now, functions);
         for (worker_slot, worker) in self.workers.iter_mut().enumerate() {
             worker.open.clear();
-            let marks = std::mem::take(&mut worker.marks).into_iter();
-            worker.marks = marks.map(|(number, mark)| (slots[number], Mark { own: 0, ..mark })).collect();
-            for function_slot in worker.marks.keys() {
+            let marks = std::mem::take(&mut worker.replicas).into_iter();
+            worker.replicas =
+                marks.map(|(number, mark)| (slots[number], Replica { own_in_flight: 0, ..mark })).collect();
+            for function_slot in worker.replicas.keys() {
                 self.functions[*function_slot].holders.push(worker_slot as u32);
             }
         }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -6,7 +6,7 @@
 use super::fleet::{FleetSums, TimeConstants};
 use super::functions::{LEAST_FUNCTION_BYTES, RetiredFunction};
 use super::renewal::{RenewalQueue, Use};
-use super::tables::{Function, Mark, Worker};
+use super::tables::{Function, Replica, Worker};
 use super::{DORMANT, Evidence, Router, Warmth};
 use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
 use std::collections::HashSet;
@@ -39,7 +39,7 @@
     /// Requests in progress.
     pub requests: usize,
     /// Marks of functions at workers, over all workers.
-    pub marks: usize,
+    pub replicas: usize,
     /// Attempts without an outcome yet, over all workers.
     pub open: usize,
     /// Zones with evidence of recent attempts.
@@ -127,7 +127,7 @@
             ring_bytes: self.ring.bytes(),
             renewals: self.renewals.len(),
             requests: self.requests.len(),
-            marks: self.workers.iter().map(|w| w.marks.len()).sum(),
+            replicas: self.workers.iter().map(|w| w.replicas.len()).sum(),
             open: self.workers.iter().map(|w| w.open.len()).sum(),
             zones: self.zones.len(),
             window: self.taken.len() + self.ordered.len(),
@@ -177,7 +177,7 @@
         let slot = reusable.unwrap_or(self.workers.len());
         if reusable.is_some() {
             let old = std::mem::replace(&mut self.workers[slot], worker);
-            for function in old.marks.keys() {
+            for function in old.replicas.keys() {
                 self.functions[*function].holders.retain(|worker| *worker as usize != slot);
             }
             self.worker_ids.remove(&old.id);
@@ -216,11 +216,12 @@
         let oldest = self.now.saturating_sub((DORMANT * self.set.keep_alive as f64) as Micros);
         let mut holders = std::mem::take(&mut self.functions[function].holders);
         holders.retain(|worker| {
-            let mark = self.workers[*worker as usize].marks.get(&function);
-            let warm = |mark: &Mark| !matches!(self.warmth(mark), Warmth::Cold);
-            let kept = mark.is_some_and(|mark| mark.own > 0 || mark.used >= oldest || warm(mark));
+            let mark = self.workers[*worker as usize].replicas.get(&function);
+            let warm = |mark: &Replica| !matches!(self.warmth(mark), Warmth::Cold);
+            let kept =
+                mark.is_some_and(|mark| mark.own_in_flight > 0 || mark.last_used >= oldest || warm(mark));
             if !kept {
-                self.workers[*worker as usize].marks.remove(&function);
+                self.workers[*worker as usize].replicas.remove(&function);
             }
             kept
         });
@@ -235,7 +236,7 @@
             self.functions.maintain(self.now, self.now.saturating_sub(idle))
         {
             for worker in holders {
-                self.workers[worker as usize].marks.remove(&slot);
+                self.workers[worker as usize].replicas.remove(&slot);
             }
         }
     }
@@ -246,9 +247,9 @@
         self.fleet = FleetSums::of(times, &self.workers, self.now);
         let mut uses = Vec::new();
         for (slot, worker) in self.workers.iter().enumerate() {
-            let marks = worker.marks.iter();
+            let marks = worker.replicas.iter();
             uses.extend(marks.map(|(function, mark)| Use {
-                at: mark.used,
+                at: mark.last_used,
                 worker: slot,
                 function: *function,
             }));
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -1,5 +1,5 @@
 //! The records that a router keeps of workers, functions, classes and requests, and small helpers on them. No
-//! request is decided here. `Worker`, `Mark`, `Function` and `Pool` are handed to the next process, so the
+//! request is decided here. `Worker`, `Replica`, `Function` and `Pool` are handed to the next process, so the
 //! order and the serialised names of their fields are fixed. Times are in microseconds.
 
 use super::hints::{Power, Size, Usual};
@@ -23,7 +23,8 @@
     /// When its process last started, if that is not long past.
     pub(super) ready_at: Option<Micros>,
     /// Its copies, by the slot of their function.
-    pub(super) marks: BTreeMap<usize, Mark>,
+    #[serde(rename = "marks")]
+    pub(super) replicas: BTreeMap<usize, Replica>,
     /// Open attempts there: the request, and the number of the attempt.
     pub(super) open: Vec<(RequestId, usize)>,
     /// Observed over predicted times. Above 1 for slow machines and for queues fed by other routers.
@@ -51,16 +52,20 @@
 
 /// The assumed state of a function's copies at a worker.
 #[derive(Default, Clone, Copy, Serialize, Deserialize)]
-pub(super) struct Mark {
-    pub(super) copies: u32,
+pub(super) struct Replica {
+    #[serde(rename = "copies")]
+    pub(super) count: u32,
     /// When the load under way began, and when it is expected to end.
     pub(super) loading: Option<(Micros, Micros)>,
     /// When a copy was last used or ordered loaded.
-    pub(super) used: Micros,
+    #[serde(rename = "used")]
+    pub(super) last_used: Micros,
     /// When this router last sent a request for it there.
-    pub(super) asked: Micros,
+    #[serde(rename = "asked")]
+    pub(super) last_requested: Micros,
     /// Open attempts of this router.
-    pub(super) own: u32,
+    #[serde(rename = "own")]
+    pub(super) own_in_flight: u32,
     /// Requests of other routers for the function, by the last answer.
     #[serde(rename = "others")]
     pub(super) others_in_flight: f64,
@@ -180,7 +185,9 @@
 
     /// Assumes that no copy is loaded there any more. Open attempts stay counted.
     pub(super) fn forget_copies(&mut self) {
-        self.marks.values_mut().for_each(|m| *m = Mark { own: m.own, ..Mark::default() });
+        self.replicas
+            .values_mut()
+            .for_each(|m| *m = Replica { own_in_flight: m.own_in_flight, ..Replica::default() });
     }
 }
 
@@ -204,14 +211,14 @@
 
 /// Returns the mark of a function at a worker. Creates an empty one, and lists the worker as a holder, if
 /// there is none.
-pub(super) fn mark_mut<'a>(
+pub(super) fn replica_mut<'a>(
     worker: &'a mut Worker,
     worker_slot: usize,
     function: &mut Function,
     function_slot: usize,
-) -> &'a mut Mark {
-    worker.marks.entry(function_slot).or_insert_with(|| {
+) -> &'a mut Replica {
+    worker.replicas.entry(function_slot).or_insert_with(|| {
         function.holders.push(worker_slot as u32);
-        Mark::default()
+        Replica::default()
     })
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -875,7 +875,7 @@
             ring_bytes: most.ring_bytes.max(sizes.ring_bytes),
             renewals: most.renewals.max(sizes.renewals),
             requests: most.requests.max(sizes.requests),
-            marks: most.marks.max(sizes.marks),
+            replicas: most.replicas.max(sizes.replicas),
             open: most.open.max(sizes.open),
             zones: most.zones.max(sizes.zones),
             window: most.window.max(sizes.window),
@@ -888,13 +888,16 @@
     assert!(most_late.function_bytes <= FUNCTION_BYTES, "{most_late:?}");
     // Every request has ended: none is left under way.
     assert!(most_late.requests <= 2 && most_late.open <= 2, "{most_late:?}");
-    assert!(most_late.marks <= most_late.workers * 1_024, "{most_late:?}");
+    assert!(most_late.replicas <= most_late.workers * 1_024, "{most_late:?}");
     // No growth: the last quarter needs no more entries than the three before it.
     assert!(
         most_late.workers <= most_early.workers && most_late.functions <= most_early.functions,
         "{most_late:?}"
     );
-    assert!(most_late.marks <= most_early.marks && most_late.window <= most_early.window, "{most_late:?}");
+    assert!(
+        most_late.replicas <= most_early.replicas && most_late.window <= most_early.window,
+        "{most_late:?}"
+    );
     assert!(
         most_late.dormant <= most_early.dormant && most_late.renewals <= most_early.renewals,
         "{most_late:?}"
