--- a/src/control.rs
+++ b/src/control.rs
@@ -351,8 +351,8 @@
             self.pools.push(Pool { queue_aim_share, ..known.unwrap_or_else(initial) });
         }
         for worker in &mut self.workers {
-            worker.lost.resize(settings.classes.len(), Evidence::default());
-            worker.heard.resize(settings.classes.len(), 0);
+            worker.losses_by_class.resize(settings.classes.len(), Evidence::default());
+            worker.last_answer_by_class.resize(settings.classes.len(), 0);
         }
         let full = |quota: &f64| TenantQuota {
             tokens: quota * QUOTA_BURST_US / 1e6,
@@ -508,8 +508,9 @@
     /// the weight. The weight is one sample at most, and none for a cold worker.
     fn slowness_sample(&self, worker: &Worker) -> (f64, f64) {
         let cold = self.present_share(worker) < 1.0;
-        let weight = if cold { 0.0 } else { self.thin * worker.slow.samples(self.now, self.half).min(1.0) };
-        (weight * worker.slow.own_mean().unwrap_or(1.0), weight)
+        let weight =
+            if cold { 0.0 } else { self.thin * worker.slowness.samples(self.now, self.half).min(1.0) };
+        (weight * worker.slowness.own_mean().unwrap_or(1.0), weight)
     }
 
     /// Returns the estimated slowness of a worker: observed over expected times. One of many routers observes
@@ -518,7 +519,7 @@
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
         let own = self.slowness_sample(worker);
         let peers = (DOUBT + peers.0 - own.0) / (DOUBT + peers.1 - own.1);
-        worker.slow.mean(self.now, self.half, peers.powf(self.present_share(worker)), DOUBT)
+        worker.slowness.mean(self.now, self.half, peers.powf(self.present_share(worker)), DOUBT)
     }
 
     /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
@@ -542,7 +543,7 @@
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
         let slow = self.slowness(&self.workers[worker], self.peers());
-        self.workers[worker].slow.learn(self.now, self.half, slow * (1.0 + error), MAX_WORKER_SAMPLES);
+        self.workers[worker].slowness.learn(self.now, self.half, slow * (1.0 + error), MAX_WORKER_SAMPLES);
         self.fleet.update(worker, &self.workers[worker], self.now);
     }
 
@@ -637,7 +638,7 @@
         let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
         let warm_after = self.set.warm_after as f64;
         if age >= warm_after {
-            return Some(worker.turn);
+            return Some(worker.last_cold_turn);
         }
         let (alive, parts, my_part) =
             self.division.unwrap_or((self.set.balancers, self.set.balancers, self.set.me));
@@ -660,7 +661,7 @@
             (full_rate * (cold_share * age + (1.0 - cold_share) * age * age / (2.0 * warm_after))) as u64
         };
         let lapsed = turns_at((age - lifetime).max(0.0));
-        let after = lapsed.max(worker.turn);
+        let after = lapsed.max(worker.last_cold_turn);
         let offset = rendezvous(&worker.id, &worker.id).wrapping_add(my_part as u64) % parts;
         let next = after + 1 + (offset + parts - (after + 1) % parts) % parts;
         (next <= turns_at(age)).then_some(next)
@@ -718,7 +719,7 @@
         };
         let run_time_of =
             |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.e.run_time);
-        let own_work: f64 = target.open.iter().filter_map(run_time_of).sum();
+        let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
         let routers = self.set.balancers as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
         let (reported, report_weight) = target.report.others(self.now);
@@ -746,10 +747,11 @@
         // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
         // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
         // The penalty only ranks workers; it causes no refusal.
-        let risk_penalty = target.lost[request.class].mean(self.now, self.half, expected_loss, DOUBT)
-            * class.deadline as f64
-            + crossing * class.aim as f64
-            + if rejected { class.deadline as f64 } else { 0.0 };
+        let risk_penalty =
+            target.losses_by_class[request.class].mean(self.now, self.half, expected_loss, DOUBT)
+                * class.deadline as f64
+                + crossing * class.aim as f64
+                + if rejected { class.deadline as f64 } else { 0.0 };
         let total_if_warm = total - load_wait;
         Some(Estimate {
             worker,
@@ -766,8 +768,8 @@
             cold_turn,
             // The wait grows with the number of routers, so that all of them together try an unused worker
             // with about one request at a time.
-            idle: target.open.is_empty()
-                && (self.now - target.sent) as f64
+            idle: target.open_attempts.is_empty()
+                && (self.now - target.last_sent) as f64
                     >= (self.set.balancers - 1) as f64 * self.pools[request.class].run,
         })
     }
@@ -921,7 +923,7 @@
         let function = request.function;
         let w = &mut self.workers[e.worker];
         self.budget.enter(w);
-        w.open.push((id, request.attempts.len()));
+        w.open_attempts.push((id, request.attempts.len()));
         let mark = replica_mut(w, e.worker, &mut self.functions[function], function);
         self.renewals.push(Use { at: self.now, worker: e.worker, function });
         mark.own_in_flight += 1;
@@ -938,8 +940,8 @@
             rejected: false,
             presumed_lost: false,
         });
-        self.tally.cold_turns += u64::from(w.turn != e.cold_turn);
-        (w.sent, w.turn) = (self.now, e.cold_turn);
+        self.tally.cold_turns += u64::from(w.last_cold_turn != e.cold_turn);
+        (w.last_sent, w.last_cold_turn) = (self.now, e.cold_turn);
         let hedge_at = self.now.saturating_add((HEDGE_DELAY_FACTOR * e.total_if_cold) as Micros);
         out.push(Action::Send { id, worker: w.id.clone(), until: None });
         if hedge_at < request.deadline {
@@ -958,12 +960,17 @@
         let mut due = Micros::MAX;
         for a in request.attempts.iter_mut().filter(|a| a.open && !a.presumed_lost) {
             let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.e.total_if_cold) as Micros);
-            let no_answer_since = self.workers[a.e.worker].heard[class] <= a.sent_at;
+            let no_answer_since = self.workers[a.e.worker].last_answer_by_class[class] <= a.sent_at;
             a.presumed_lost = self.now >= lost_at;
             if !a.presumed_lost {
                 due = due.min(lost_at);
             } else if no_answer_since {
-                self.workers[a.e.worker].lost[class].learn(self.now, self.half, 1.0, MAX_WORKER_SAMPLES);
+                self.workers[a.e.worker].losses_by_class[class].learn(
+                    self.now,
+                    self.half,
+                    1.0,
+                    MAX_WORKER_SAMPLES,
+                );
             }
         }
         if due < request.deadline {
@@ -974,7 +981,7 @@
         let last = request.attempts.last().filter(|a| a.open);
         let too_early = |a: &Attempt| {
             (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.e.total_if_cold
-                || self.workers[a.e.worker].heard[class] > a.sent_at
+                || self.workers[a.e.worker].last_answer_by_class[class] > a.sent_at
         };
         if self.hedge_tokens < 1.0 || last.is_none_or(too_early) {
             return;
@@ -1082,14 +1089,14 @@
         }
         let w = &mut self.workers[worker];
         if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
-            w.lost[class].learn(now, self.half, sample, MAX_WORKER_SAMPLES);
+            w.losses_by_class[class].learn(now, self.half, sample, MAX_WORKER_SAMPLES);
             self.zones.entry(w.zone).or_default().learn(now, self.half, sample, MAX_ZONE_SAMPLES);
-            w.heard[class] = now;
+            w.last_answer_by_class[class] = now;
             w.last_answer = if sample == 0.0 { now } else { w.last_answer };
         }
-        w.open.retain(|o| *o != (id, number));
+        w.open_attempts.retain(|o| *o != (id, number));
         if let Some(held) = self.report_fields.held(report) {
-            w.report = Report::hear(now, held, w.open.len());
+            w.report = Report::hear(now, held, w.open_attempts.len());
         }
         let mark = replica_mut(w, worker, &mut self.functions[function], function);
         mark.own_in_flight = mark.own_in_flight.saturating_sub(1);
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -121,8 +121,8 @@
                 self.zones.remove(zone);
                 let workers = self.workers.iter_mut().enumerate();
                 for (slot, worker) in workers.filter(|(_, worker)| worker.zone == *zone) {
-                    worker.lost.fill(Default::default());
-                    worker.slow = Default::default();
+                    worker.losses_by_class.fill(Default::default());
+                    worker.slowness = Default::default();
                     self.fleet.update(slot, worker, self.now);
                 }
             }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -185,7 +185,7 @@
         (self.visited_up, self.last_down_at) = if visited.up {
             (self.visited_up + 1.0, self.last_down_at)
         } else {
-            (self.visited_up, self.last_down_at.max(visited.fell))
+            (self.visited_up, self.last_down_at.max(visited.down_since))
         };
         self.visited += 1;
         true
@@ -364,8 +364,11 @@
             }
             ranks.push(Rank { worker, up, all: ranks.len() as f64, fell: last_down_at });
             let visited = &self.workers[worker];
-            (up, last_down_at) =
-                if visited.up { (up + 1.0, last_down_at) } else { (up, last_down_at.max(visited.fell)) };
+            (up, last_down_at) = if visited.up {
+                (up + 1.0, last_down_at)
+            } else {
+                (up, last_down_at.max(visited.down_since))
+            };
         }
         ranks.sort_unstable_by_key(|rank| rank.worker);
         ranks
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -99,7 +99,7 @@
         self.workers[slot] = WorkerTerms {
             up: worker.up,
             warm_at: warm_at.filter(|at| now < *at),
-            slowness: worker.slow,
+            slowness: worker.slowness,
             ..WorkerTerms::default()
         };
         self.apply(slot, now, true);
--- a/src/control/fleet/tests.rs
+++ b/src/control/fleet/tests.rs
@@ -24,8 +24,8 @@
     for worker in workers {
         let warm = worker.ready_at.is_none_or(|ready| now >= ready.saturating_add(times.warm_after));
         let weight =
-            if warm { worker.slow.samples(now, times.half_life).min(MAX_WORKER_WEIGHT) } else { 0.0 };
-        sums[0] += weight * worker.slow.own_mean().unwrap_or(1.0);
+            if warm { worker.slowness.samples(now, times.half_life).min(MAX_WORKER_WEIGHT) } else { 0.0 };
+        sums[0] += weight * worker.slowness.own_mean().unwrap_or(1.0);
         sums[1] += weight;
         if worker.up {
             sums[2] += if warm { 1.0 } else { share(worker) };
@@ -68,16 +68,16 @@
         for step in steps {
             let changed = match step {
                 Step::Answer(w, sample) => {
-                    workers[w].slow.learn(now, HALF_LIFE, sample, 10.0);
+                    workers[w].slowness.learn(now, HALF_LIFE, sample, 10.0);
                     Some(w)
                 }
                 Step::Restart(w) => {
                     workers[w].ready_at = Some(now);
-                    workers[w].slow = Evidence::default();
+                    workers[w].slowness = Evidence::default();
                     Some(w)
                 }
                 Step::Forget(w) => {
-                    workers[w].slow = Evidence::default();
+                    workers[w].slowness = Evidence::default();
                     Some(w)
                 }
                 Step::SetUp(w, up) => {
@@ -101,7 +101,7 @@
             prop_assert_eq!(sums.up() as f64, recomputed[3]);
             let order: Vec<f64> = sums.by_slowness().map(|(slowness, _)| slowness).collect();
             prop_assert!(order.is_sorted() && order.len() == workers.len());
-            let known: Vec<f64> = workers.iter().filter_map(|w| w.slow.own_mean()).collect();
+            let known: Vec<f64> = workers.iter().filter_map(|w| w.slowness.own_mean()).collect();
             let range = known.iter().copied().reduce(f64::min).zip(known.iter().copied().reduce(f64::max));
             prop_assert_eq!(sums.slowness_range(), range);
         }
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -48,7 +48,7 @@
         let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_COPIES);
         let all_plausible = self.functions.iter().all(plausible_function)
             && self.pools.iter().all(plausible_pool)
-            && self.workers.iter().all(|w| plausible_evidence(&w.slow) && plausible_marks(w));
+            && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_marks(w));
         if !all_plausible {
             return None;
         }
@@ -62,9 +62,9 @@
         let worker = |w: Worker| Worker {
             ready_at: w.ready_at.map(rebased),
             replicas: w.replicas.into_iter().map(|(f, m)| (f, mark(m))).collect(),
-            slow: w.slow.rebased(behind),
-            lost: vec![Evidence::default(); classes],
-            heard: vec![0; classes],
+            slowness: w.slowness.rebased(behind),
+            losses_by_class: vec![Evidence::default(); classes],
+            last_answer_by_class: vec![0; classes],
             id: w.id,
             zone: w.zone,
             cell: w.cell,
@@ -98,12 +98,12 @@
     fn is_consistent(&self, now: Micros) -> bool {
         let (functions, classes) = (self.functions.len(), self.pools.len());
         let worker = |w: &Worker| {
-            let per_class = w.lost.len() == classes && w.heard.len() == classes;
+            let per_class = w.losses_by_class.len() == classes && w.last_answer_by_class.len() == classes;
             let marks = w.replicas.iter().all(|(function, mark)| {
                 let loading = mark.loading.is_none_or(|(began, due)| began <= now && began <= due);
                 *function < functions && loading && mark.last_used <= now && mark.last_requested <= now
             });
-            per_class && marks && w.sent <= now
+            per_class && marks && w.last_sent <= now
         };
         // Two entries with one id would give one worker or function two slots.
         let worker_ids: HashSet<&str> = self.workers.iter().map(|w| &*w.id).collect();
@@ -155,7 +155,7 @@
         }
         let slots = self.functions.replace(now, functions);
         for (worker_slot, worker) in self.workers.iter_mut().enumerate() {
-            worker.open.clear();
+            worker.open_attempts.clear();
             let marks = std::mem::take(&mut worker.replicas).into_iter();
             worker.replicas =
                 marks.map(|(number, mark)| (slots[number], Replica { own_in_flight: 0, ..mark })).collect();
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -82,7 +82,7 @@
             let workers = self.workers.iter_mut().enumerate();
             for (slot, worker) in workers.filter(|(_, worker)| !named.contains(&worker.id)) {
                 if worker.up {
-                    (worker.fell, worker.up) = (self.now, false);
+                    (worker.down_since, worker.up) = (self.now, false);
                     self.fleet.update(slot, worker, self.now);
                 }
                 worker.listed = false;
@@ -101,12 +101,13 @@
                 worker.ready_at = entry.ready_at;
                 self.zones.remove(&entry.zone);
                 worker.forget_copies();
-                worker.slow = Evidence::default();
-                worker.turn = 0;
-                worker.lost.fill(Evidence::default());
+                worker.slowness = Evidence::default();
+                worker.last_cold_turn = 0;
+                worker.losses_by_class.fill(Evidence::default());
             }
             let up = entry.standing == Standing::Healthy;
-            (worker.fell, worker.up) = (if worker.up && !up { self.now } else { worker.fell }, up);
+            (worker.down_since, worker.up) =
+                (if worker.up && !up { self.now } else { worker.down_since }, up);
             if worker.listed {
                 self.unlisted.remove(&slot)
             } else {
@@ -128,7 +129,7 @@
             renewals: self.renewals.len(),
             requests: self.requests.len(),
             replicas: self.workers.iter().map(|w| w.replicas.len()).sum(),
-            open: self.workers.iter().map(|w| w.open.len()).sum(),
+            open: self.workers.iter().map(|w| w.open_attempts.len()).sum(),
             zones: self.zones.len(),
             window: self.taken.len() + self.ordered.len(),
         }
@@ -164,8 +165,9 @@
         let attempts = self.requests.values().flat_map(|r| &r.attempts);
         let referenced: HashSet<usize> = attempts.map(|attempt| attempt.e.worker).collect();
         // Requests sent recently still count against the cold budget of a worker that is listed again soon.
-        let settled =
-            |worker: &Worker| worker.sent + self.set.warm_after < self.now && worker.open.is_empty();
+        let settled = |worker: &Worker| {
+            worker.last_sent + self.set.warm_after < self.now && worker.open_attempts.is_empty()
+        };
         let reusable = |slot: &&usize| settled(&self.workers[**slot]) && !referenced.contains(*slot);
         self.unlisted.iter().filter(reusable).copied().collect()
     }
@@ -173,7 +175,13 @@
     fn add_worker(&mut self, entry: &Listing, reusable: Option<usize>, changes: &mut RingChanges) -> usize {
         let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.set.classes.len());
         let (lost, heard) = (vec![Evidence::default(); classes], vec![0; classes]);
-        let worker = Worker { id: id.clone(), ready_at, lost, heard, ..Worker::default() };
+        let worker = Worker {
+            id: id.clone(),
+            ready_at,
+            losses_by_class: lost,
+            last_answer_by_class: heard,
+            ..Worker::default()
+        };
         let slot = reusable.unwrap_or(self.workers.len());
         if reusable.is_some() {
             let old = std::mem::replace(&mut self.workers[slot], worker);
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -26,13 +26,17 @@
     #[serde(rename = "marks")]
     pub(super) replicas: BTreeMap<usize, Replica>,
     /// Open attempts there: the request, and the number of the attempt.
-    pub(super) open: Vec<(RequestId, usize)>,
+    #[serde(rename = "open")]
+    pub(super) open_attempts: Vec<(RequestId, usize)>,
     /// Observed over predicted times. Above 1 for slow machines and for queues fed by other routers.
-    pub(super) slow: Evidence,
+    #[serde(rename = "slow")]
+    pub(super) slowness: Evidence,
     /// The share of lost attempts, by class.
-    pub(super) lost: Vec<Evidence>,
+    #[serde(rename = "lost")]
+    pub(super) losses_by_class: Vec<Evidence>,
     /// When it last answered, by class.
-    pub(super) heard: Vec<Micros>,
+    #[serde(rename = "heard")]
+    pub(super) last_answer_by_class: Vec<Micros>,
     /// When a connection to it last broke or was refused.
     #[serde(rename = "broke")]
     pub(super) last_broken: Micros,
@@ -40,14 +44,17 @@
     #[serde(rename = "heard_any")]
     pub(super) last_answer: Micros,
     /// When this router last sent a request there.
-    pub(super) sent: Micros,
+    #[serde(rename = "sent")]
+    pub(super) last_sent: Micros,
     /// When it last stopped being healthy, by the list.
-    pub(super) fell: Micros,
+    #[serde(rename = "fell")]
+    pub(super) down_since: Micros,
     /// Its last load report.
     #[serde(default)]
     pub(super) report: Report,
     /// While cold: the number of the last turn that this router took there.
-    pub(super) turn: u64,
+    #[serde(rename = "turn")]
+    pub(super) last_cold_turn: u64,
 }
 
 /// The assumed state of a function's copies at a worker.
