--- a/src/control.rs
+++ b/src/control.rs
@@ -384,7 +384,7 @@
                 }
                 let function = self.function(function, *class, *lanes, *load_time);
                 let (f, pool) = (&mut self.functions[function], &mut self.pools[*class]);
-                let size = Size::weigh(*work, &mut f.hinted, &mut pool.hinted, pool.hint_power);
+                let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.hinted, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
                 self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
                 let deadline = self.now.saturating_add(*time_left);
@@ -412,7 +412,7 @@
                 // arrives.
                 out.push(Action::Timer { at: deadline, cookie: *id });
                 self.dispatch(*id, out);
-                self.functions[function].seen.add(self.now, self.half, 1.0);
+                self.functions[function].request_rate.add(self.now, self.half, 1.0);
                 self.renew_copies(out);
                 self.retire_functions();
             }
@@ -476,7 +476,7 @@
             if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
                 // If every router renewed the copies that all of them use, there would be as many load orders
                 // as requests. So a copy that the others use often enough is left to them.
-                let rate = function.seen.rate(self.now, self.half);
+                let rate = function.request_rate.rate(self.now, self.half);
                 let peers = (self.set.balancers - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
                 let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
@@ -530,7 +530,11 @@
 
     /// Returns the load time of a function while the store works at its usual speed.
     fn base_load_time(&self, function: &Function) -> f64 {
-        function.told_load.or(function.load).or(self.pools[function.class].load).unwrap_or(PRIOR_LOAD_US)
+        function
+            .stated_load_time
+            .or(function.load_time)
+            .or(self.pools[function.class].load)
+            .unwrap_or(PRIOR_LOAD_US)
     }
 
     /// Returns the expected load time of a function at the present speed of the store.
@@ -553,13 +557,14 @@
         let error = (took / expected.max(1.0)).min(MAX_ERROR_RATIO) - 1.0;
         self.learn_slowness(worker, error);
         let f = &mut self.functions[function];
-        f.answers += 1;
+        f.answer_count += 1;
         // A large excess is a queue at the worker and says nothing about the function, whose run time would
         // otherwise grow with every queue. So the error is capped here.
         let error = error.min(1.0);
-        f.run += (1.0 / (f64::from(f.answers) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run * error;
+        f.run_time +=
+            (1.0 / (f64::from(f.answer_count) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run_time * error;
         let class = &mut self.pools[f.class].run;
-        *class += RUN_TIME_LEARNING_RATE * (f.run - *class);
+        *class += RUN_TIME_LEARNING_RATE * (f.run_time - *class);
     }
 
     /// Updates the load times of the function and its class and the slowness of the store from a load that
@@ -572,12 +577,12 @@
         }
         let store = self.store.mean(self.now, self.half, 1.0, DOUBT);
         let f = &mut self.functions[function];
-        if f.told_load.or(f.load).is_some() {
+        if f.stated_load_time.or(f.load_time).is_some() {
             self.store.add(self.now, self.half, (took / base).min(MAX_ERROR_RATIO));
         }
         let sample = took / store.max(1.0);
-        let load = f.load.unwrap_or(sample);
-        f.load = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
+        let load = f.load_time.unwrap_or(sample);
+        f.load_time = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
         let class = self.pools[f.class].load.unwrap_or(sample);
         self.pools[f.class].load = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
     }
@@ -704,7 +709,7 @@
         let class = &request.rules;
         let slowness =
             self.slowness(target, known.peers) / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
-        let run_time = function.run * slowness * request.size.size;
+        let run_time = function.run_time * slowness * request.size.size;
         let cold_turn =
             self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
         let mark = target.replicas.get(&request.function).copied().unwrap_or_default();
@@ -780,12 +785,12 @@
         // Of many rarely used functions each router sees a few by chance. Scaling every request up by the
         // number of routers would give all of them many homes. So the request that made the function known
         // here counts once, and only further ones are scaled up.
-        let (seen, routers) = (function.seen.samples(self.now, self.half), self.set.balancers as f64);
+        let (seen, routers) = (function.request_rate.samples(self.now, self.half), self.set.balancers as f64);
         let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
-        let rate = function.seen.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
-        let rate_times_run = rate * function.run;
+        let rate = function.request_rate.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
+        let rate_times_run = rate * function.run_time;
         let of_class = self.pools[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
-        let expected = (of_class + seen * rate * function.run) / (1.0 + seen);
+        let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
         let concurrency = function.concurrency.mean(self.now, self.half, expected, 1.0);
         let lane_use = if self.report_fields.told() {
             TARGET_LANE_USE_REPORTED
@@ -815,7 +820,7 @@
     /// observed no copy, once there has been time to load it.
     fn found(&self, f: &Function) -> f64 {
         let of_class = self.pools[f.class].found.mean(self.now, self.half, PRIOR_FOUND, 1.0);
-        f.found.mean(self.now, self.half, of_class, 1.0)
+        f.home_hits.mean(self.now, self.half, of_class, 1.0)
     }
 
     /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
@@ -904,7 +909,7 @@
                 // An estimate that refuses every request gets no answers to correct it. So each refusal moves
                 // the run time back towards its prior.
                 let f = &mut self.functions[function];
-                f.run -= RUN_TIME_LEARNING_RATE * (f.run - PRIOR_RUN_AIM_SHARE * aim).max(0.0);
+                f.run_time -= RUN_TIME_LEARNING_RATE * (f.run_time - PRIOR_RUN_AIM_SHARE * aim).max(0.0);
                 let excess = |e: Estimate| {
                     (e.probable_total() - left).max(e.total_without_load() - queue_limit).max(0.0)
                 };
@@ -1112,7 +1117,7 @@
         if e.unobserved && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
             let sample = if found == Found::Warm { 1.0 } else { 0.0 };
             let f = &mut self.functions[function];
-            f.found.add(now, self.half, sample);
+            f.home_hits.add(now, self.half, sample);
             if !outlasted {
                 self.pools[f.class].found.add(now, self.half, sample);
             }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -131,7 +131,7 @@
             visited_up: 0.0,
             last_down_at: 0,
             load_time: router.whole_load(request),
-            run_time: function.run * request.size.size,
+            run_time: function.run_time * request.size.size,
         }
     }
 
@@ -299,8 +299,11 @@
         &'a self,
         function: &'a Function,
     ) -> impl Iterator<Item = usize> + 'a {
-        let cached =
-            if function.preferred_version == self.ring.version() { &function.preferred[..] } else { &[] };
+        let cached = if function.preferred_version == self.ring.version() {
+            &function.preferred_workers[..]
+        } else {
+            &[]
+        };
         // The order is computed only once the cached part is exhausted.
         let rest = std::iter::once(()).flat_map(|()| self.preference_order(&function.id).skip(cached.len()));
         cached.iter().map(|worker| *worker as usize).chain(rest)
@@ -345,14 +348,14 @@
     pub(super) fn find_preferred(&mut self, function: usize, wanted: usize) {
         let entry = &self.functions[function];
         let wanted = wanted.clamp(MIN_PREFERRED_CACHED, MAX_PREFERRED_CACHED).min(self.ring.count());
-        if entry.preferred_version == self.ring.version() && entry.preferred.len() >= wanted {
+        if entry.preferred_version == self.ring.version() && entry.preferred_workers.len() >= wanted {
             return;
         }
         // Rounded up to a power of two, so that a function which needs one more each time is not looked up each time.
         let order = self.preference_order(&entry.id);
         let preferred = order.take(wanted.next_power_of_two()).map(|worker| worker as u32).collect();
         let entry = &mut self.functions[function];
-        (entry.preferred, entry.preferred_version) = (preferred, self.ring.version());
+        (entry.preferred_workers, entry.preferred_version) = (preferred, self.ring.version());
     }
 
     /// Returns the ranks of a function's homes, sorted by slot.
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -468,7 +468,7 @@
     });
     assert_detected("cached preference orders are reversed", |router| {
         let slots: Vec<usize> = router.functions.iter().map(|(slot, _)| slot).collect();
-        slots.into_iter().for_each(|slot| router.functions[slot].preferred.reverse());
+        slots.into_iter().for_each(|slot| router.functions[slot].preferred_workers.reverse());
     });
     assert_detected("all workers are indexed as slow", |router| router.fleet.corrupt_slowness_index());
 }
--- a/src/control/functions.rs
+++ b/src/control/functions.rs
@@ -42,12 +42,12 @@
     fn of(function: &Function) -> DormantRecord {
         DormantRecord {
             class: function.class as u32,
-            answers: function.answers,
+            answers: function.answer_count,
             lanes: function.lanes as f32,
-            told_load: function.told_load.map(|time| time as f32),
-            load: function.load.map(|time| time as f32),
-            run: function.run as f32,
-            hinted: function.hinted.to_compact(),
+            told_load: function.stated_load_time.map(|time| time as f32),
+            load: function.load_time.map(|time| time as f32),
+            run: function.run_time as f32,
+            hinted: function.usual_hint.to_compact(),
         }
     }
 
@@ -56,12 +56,12 @@
             id,
             served,
             class: self.class as usize,
-            answers: self.answers,
+            answer_count: self.answers,
             lanes: f64::from(self.lanes),
-            told_load: self.told_load.map(f64::from),
-            load: self.load.map(f64::from),
-            run: f64::from(self.run),
-            hinted: Usual::from_compact(self.hinted),
+            stated_load_time: self.told_load.map(f64::from),
+            load_time: self.load.map(f64::from),
+            run_time: f64::from(self.run),
+            usual_hint: Usual::from_compact(self.hinted),
             ..Function::default()
         }
     }
--- a/src/control/functions/tests.rs
+++ b/src/control/functions/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn new_function(n: usize) -> Function {
-    Function { id: id(n), lanes: 2.0, run: 1_000.0 + n as f64, ..Function::default() }
+    Function { id: id(n), lanes: 2.0, run_time: 1_000.0 + n as f64, ..Function::default() }
 }
 
 fn request(table: &mut FunctionTable, now: Micros, n: usize) -> usize {
@@ -20,7 +20,7 @@
     let slot = request(&mut table, 0, 7);
     table.served(0, slot);
     table[slot].holders = vec![3, 5];
-    (table[slot].run, table[slot].load, table[slot].answers) = (81_250.0, Some(640_000.0), 12);
+    (table[slot].run_time, table[slot].load_time, table[slot].answer_count) = (81_250.0, Some(640_000.0), 12);
     assert!(table.maintain(10 * S, 0).is_empty(), "a function in use stays active");
     let retired = table.maintain(90 * S, 10 * S);
     assert_eq!(retired.len(), 1);
@@ -29,7 +29,7 @@
     let slot = request(&mut table, 600 * S, 7);
     let reactivated = &table[slot];
     assert_eq!(
-        (reactivated.run, reactivated.load, reactivated.answers, reactivated.served),
+        (reactivated.run_time, reactivated.load_time, reactivated.answer_count, reactivated.served),
         (81_250.0, Some(640_000.0), 12, true)
     );
     assert!(reactivated.holders.is_empty() && table.counts() == (1, 0));
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -39,9 +39,9 @@
         let plausible = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
         let plausible_evidence = |evidence: &Evidence| evidence.is_plausible(MAX_FIGURE);
         let plausible_function = |f: &Function| {
-            let loads = f.told_load.iter().chain(&f.load).all(|load| plausible(*load));
-            let figures = loads && plausible(f.run) && plausible(f.lanes);
-            figures && plausible_evidence(&f.seen) && plausible_evidence(&f.found)
+            let loads = f.stated_load_time.iter().chain(&f.load_time).all(|load| plausible(*load));
+            let figures = loads && plausible(f.run_time) && plausible(f.lanes);
+            figures && plausible_evidence(&f.request_rate) && plausible_evidence(&f.home_hits)
         };
         let plausible_pool =
             |p: &Pool| p.load.is_none_or(plausible) && plausible(p.run) && plausible_evidence(&p.found);
@@ -71,15 +71,15 @@
             ..Worker::default()
         };
         let function = |f: Function| Function {
-            seen: f.seen.rebased(behind),
-            found: f.found.rebased(behind),
+            request_rate: f.request_rate.rebased(behind),
+            home_hits: f.home_hits.rebased(behind),
             id: f.id,
             class: f.class,
             lanes: f.lanes,
-            told_load: f.told_load,
-            load: f.load,
-            run: f.run,
-            answers: f.answers,
+            stated_load_time: f.stated_load_time,
+            load_time: f.load_time,
+            run_time: f.run_time,
+            answer_count: f.answer_count,
             served: f.served,
             ..Function::default()
         };
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -208,13 +208,14 @@
         load: Option<Micros>,
     ) -> usize {
         let run = self.pools[class].run;
-        let create = || Function { id: id.clone(), class, lanes: 1.0, run, ..Function::default() };
+        let create = || Function { id: id.clone(), class, lanes: 1.0, run_time: run, ..Function::default() };
         let slot = self.functions.activate(self.now, id, create);
         self.drop_expired_marks(slot);
         let function = &mut self.functions[slot];
         function.class = class;
         function.lanes = if lanes.is_finite() { lanes.max(1.0) } else { 1.0 };
-        function.told_load = load.filter(|load| *load > 0).map(|load| load as f64).or(function.told_load);
+        function.stated_load_time =
+            load.filter(|load| *load > 0).map(|load| load as f64).or(function.stated_load_time);
         slot
     }
 
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -86,25 +86,32 @@
     /// Requests that one copy runs at a time.
     pub(super) lanes: f64,
     /// Load time given by requests.
-    pub(super) told_load: Option<f64>,
+    #[serde(rename = "told_load")]
+    pub(super) stated_load_time: Option<f64>,
     /// Learned load time.
-    pub(super) load: Option<f64>,
+    #[serde(rename = "load")]
+    pub(super) load_time: Option<f64>,
     /// Learned run time.
-    pub(super) run: f64,
+    #[serde(rename = "run")]
+    pub(super) run_time: f64,
     /// Answers that the run time was learned from.
-    pub(super) answers: u32,
+    #[serde(rename = "answers")]
+    pub(super) answer_count: u32,
     /// The usual hint of its requests.
     #[serde(default)]
-    pub(super) hinted: Usual,
+    #[serde(rename = "hinted")]
+    pub(super) usual_hint: Usual,
     /// Whether any request for it was served.
     pub(super) served: bool,
     /// Requests for it at this router.
-    pub(super) seen: Evidence,
+    #[serde(rename = "seen")]
+    pub(super) request_rate: Evidence,
     /// Whether a copy was found at homes where this router had observed none.
-    pub(super) found: Evidence,
+    #[serde(rename = "found")]
+    pub(super) home_hits: Evidence,
     /// The first workers in its order of preference, which all dispatchers share.
     #[serde(skip)]
-    pub(super) preferred: Vec<u32>,
+    pub(super) preferred_workers: Vec<u32>,
     /// The version of the ring that `preferred` was taken from.
     #[serde(skip)]
     pub(super) preferred_version: u64,
