--- a/src/control.rs
+++ b/src/control.rs
@@ -40,7 +40,9 @@
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, Use, drop_while};
 use reports::{Fields, Report};
-use tables::{Attempt, Function, Pool, Replica, Request, Worker, rendezvous, replica_mut, sanitized};
+use tables::{
+    Attempt, ClassEstimates, Function, Replica, Request, Worker, rendezvous, replica_mut, sanitized,
+};
 
 // ---- Learning of run times, load times and losses ----
 
@@ -254,7 +256,7 @@
     scans: bool,
     requests: BTreeMap<RequestId, Request>,
     /// What is learned for each class.
-    pools: Vec<Pool>,
+    class_estimates: Vec<ClassEstimates>,
     /// Answers received, for their rate.
     served: Evidence,
     /// Recent losses in each zone over all its workers: 0 is an answer, 1 a loss.
@@ -299,7 +301,7 @@
             renewals: RenewalQueue::default(),
             scans: false,
             requests: BTreeMap::new(),
-            pools: Vec::new(),
+            class_estimates: Vec::new(),
             served: Evidence::default(),
             zones: BTreeMap::new(),
             store: Evidence::default(),
@@ -342,13 +344,16 @@
         let settings = sanitized(settings);
         self.half = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
         let highest_credit = settings.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
-        let mut old_pools = std::mem::take(&mut self.pools);
+        let mut old_pools = std::mem::take(&mut self.class_estimates);
         for (index, class) in settings.classes.iter().enumerate() {
             let known = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
-            let initial = || Pool { run: class.aim as f64 * PRIOR_RUN_AIM_SHARE, ..Pool::default() };
+            let initial = || ClassEstimates {
+                run_time: class.aim as f64 * PRIOR_RUN_AIM_SHARE,
+                ..ClassEstimates::default()
+            };
             let worth = (class.credit / highest_credit).clamp(0.0, 1.0);
             let queue_aim_share = IDLE_AIM_SHARE + (1.0 - IDLE_AIM_SHARE) * worth.sqrt();
-            self.pools.push(Pool { queue_aim_share, ..known.unwrap_or_else(initial) });
+            self.class_estimates.push(ClassEstimates { queue_aim_share, ..known.unwrap_or_else(initial) });
         }
         for worker in &mut self.workers {
             worker.losses_by_class.resize(settings.classes.len(), Evidence::default());
@@ -383,8 +388,8 @@
                     return out.push(Action::Refuse { id: *id, retry_after: 0 });
                 }
                 let function = self.function(function, *class, *lanes, *load_time);
-                let (f, pool) = (&mut self.functions[function], &mut self.pools[*class]);
-                let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.hinted, pool.hint_power);
+                let (f, pool) = (&mut self.functions[function], &mut self.class_estimates[*class]);
+                let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
                 self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
                 let deadline = self.now.saturating_add(*time_left);
@@ -533,7 +538,7 @@
         function
             .stated_load_time
             .or(function.load_time)
-            .or(self.pools[function.class].load)
+            .or(self.class_estimates[function.class].load_time)
             .unwrap_or(PRIOR_LOAD_US)
     }
 
@@ -563,7 +568,7 @@
         let error = error.min(1.0);
         f.run_time +=
             (1.0 / (f64::from(f.answer_count) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run_time * error;
-        let class = &mut self.pools[f.class].run;
+        let class = &mut self.class_estimates[f.class].run_time;
         *class += RUN_TIME_LEARNING_RATE * (f.run_time - *class);
     }
 
@@ -583,8 +588,8 @@
         let sample = took / store.max(1.0);
         let load = f.load_time.unwrap_or(sample);
         f.load_time = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
-        let class = self.pools[f.class].load.unwrap_or(sample);
-        self.pools[f.class].load = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
+        let class = self.class_estimates[f.class].load_time.unwrap_or(sample);
+        self.class_estimates[f.class].load_time = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
     }
 
     // ---- Requests and attempts: which sends are allowed ----
@@ -650,7 +655,8 @@
         let parts = parts.max(1) as u64;
         let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
         let rate_per_worker = self.served.rate(self.now, self.half) * alive as f64 / fleet_capacity;
-        let rate_per_worker = rate_per_worker.max(1.0 / self.pools[function.class].run.max(1.0));
+        let rate_per_worker =
+            rate_per_worker.max(1.0 / self.class_estimates[function.class].run_time.max(1.0));
         // With many routers, the one whose turn it is often has no request to use it for. The rotation is
         // sped up to make up for the turns that are expected to lapse.
         let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.set.fall_window as f64;
@@ -728,7 +734,8 @@
         let routers = self.set.balancers as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
         let (reported, report_weight) = target.report.others(self.now);
-        let reported_work = report_weight * REMAINING_RUN_SHARE * reported * self.pools[request.class].run;
+        let reported_work =
+            report_weight * REMAINING_RUN_SHARE * reported * self.class_estimates[request.class].run_time;
         let concurrency =
             if self.report_fields.told() { WORKER_CONCURRENCY_REPORTED } else { function.lanes.min(2.0) };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
@@ -775,7 +782,7 @@
             // with about one request at a time.
             idle: target.open_attempts.is_empty()
                 && (self.now - target.last_sent) as f64
-                    >= (self.set.balancers - 1) as f64 * self.pools[request.class].run,
+                    >= (self.set.balancers - 1) as f64 * self.class_estimates[request.class].run_time,
         })
     }
 
@@ -789,7 +796,8 @@
         let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
         let rate = function.request_rate.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
         let rate_times_run = rate * function.run_time;
-        let of_class = self.pools[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
+        let of_class =
+            self.class_estimates[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
         let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
         let concurrency = function.concurrency.mean(self.now, self.half, expected, 1.0);
         let lane_use = if self.report_fields.told() {
@@ -819,7 +827,7 @@
     /// Returns the probability that a function is found warm at one of its homes where this router has
     /// observed no copy, once there has been time to load it.
     fn found(&self, f: &Function) -> f64 {
-        let of_class = self.pools[f.class].found.mean(self.now, self.half, PRIOR_FOUND, 1.0);
+        let of_class = self.class_estimates[f.class].home_hits.mean(self.now, self.half, PRIOR_FOUND, 1.0);
         f.home_hits.mean(self.now, self.half, of_class, 1.0)
     }
 
@@ -879,8 +887,11 @@
         }
         let worth = self.worth(request.class);
         let left = request.deadline.saturating_sub(self.now) as f64;
-        let aim_share =
-            if request.over_quota { IDLE_AIM_SHARE } else { self.pools[request.class].queue_aim_share };
+        let aim_share = if request.over_quota {
+            IDLE_AIM_SHARE
+        } else {
+            self.class_estimates[request.class].queue_aim_share
+        };
         let (function, aim) = (request.function, request.rules.aim as f64);
         let queue_limit = aim_share * aim;
         let mut choice = self.trial(&request).or_else(|| self.best(&request, false));
@@ -1090,7 +1101,7 @@
             let f = &self.functions[function];
             let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
             self.functions[function].concurrency.learn(now, self.half, concurrency, MAX_WORKER_SAMPLES);
-            self.pools[class].concurrency.add(now, self.half, concurrency);
+            self.class_estimates[class].concurrency.add(now, self.half, concurrency);
         }
         let w = &mut self.workers[worker];
         if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
@@ -1119,7 +1130,7 @@
             let f = &mut self.functions[function];
             f.home_hits.add(now, self.half, sample);
             if !outlasted {
-                self.pools[f.class].found.add(now, self.half, sample);
+                self.class_estimates[f.class].home_hits.add(now, self.half, sample);
             }
         }
         match outcome {
@@ -1135,7 +1146,7 @@
                     Found::BeganLoad => self.learn_load_time(function, (took - e.run_time).max(0.0)),
                     Found::Warm => {
                         let usual = (e.total_if_warm / size.size).max(1.0);
-                        self.pools[class].hint_power.learn(size.ratio, took / usual);
+                        self.class_estimates[class].hint_power.learn(size.ratio, took / usual);
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
                     Found::Untold if !e.cold && took < e.total_if_warm => {
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -5,7 +5,7 @@
 //! No requests are decided here.
 
 use super::preference::PreferenceRing;
-use super::tables::{Function, Pool, Replica, Worker};
+use super::tables::{ClassEstimates, Function, Replica, Worker};
 use super::{Evidence, Router};
 use crate::api::{Micros, WorkerId};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,8 @@
 pub struct Learned {
     workers: Vec<Worker>,
     functions: Vec<Function>,
-    pools: Vec<Pool>,
+    #[serde(rename = "pools")]
+    class_estimates: Vec<ClassEstimates>,
     /// Evidence of the rate of answers, and of the slowness of the function store.
     rates: (Evidence, Evidence),
     /// Times of the requests and of the load orders that the load ration counts.
@@ -43,16 +44,17 @@
             let figures = loads && plausible(f.run_time) && plausible(f.lanes);
             figures && plausible_evidence(&f.request_rate) && plausible_evidence(&f.home_hits)
         };
-        let plausible_pool =
-            |p: &Pool| p.load.is_none_or(plausible) && plausible(p.run) && plausible_evidence(&p.found);
+        let plausible_pool = |p: &ClassEstimates| {
+            p.load_time.is_none_or(plausible) && plausible(p.run_time) && plausible_evidence(&p.home_hits)
+        };
         let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_COPIES);
         let all_plausible = self.functions.iter().all(plausible_function)
-            && self.pools.iter().all(plausible_pool)
+            && self.class_estimates.iter().all(plausible_pool)
             && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_marks(w));
         if !all_plausible {
             return None;
         }
-        let classes = self.pools.len();
+        let classes = self.class_estimates.len();
         let mark = |m: Replica| Replica {
             count: m.count,
             last_used: rebased(m.last_used),
@@ -83,12 +85,16 @@
             served: f.served,
             ..Function::default()
         };
-        let pool =
-            |p: Pool| Pool { found: p.found.rebased(behind), run: p.run, load: p.load, ..Pool::default() };
+        let pool = |p: ClassEstimates| ClassEstimates {
+            home_hits: p.home_hits.rebased(behind),
+            run_time: p.run_time,
+            load_time: p.load_time,
+            ..ClassEstimates::default()
+        };
         Some(Learned {
             workers: self.workers.into_iter().map(worker).collect(),
             functions: self.functions.into_iter().map(function).collect(),
-            pools: self.pools.into_iter().map(pool).collect(),
+            class_estimates: self.class_estimates.into_iter().map(pool).collect(),
             ..Learned::default()
         })
     }
@@ -96,7 +102,7 @@
     /// Returns whether all indexes refer to existing entries, all times are in the past and ids are unique. A message from
     /// another process may contain anything.
     fn is_consistent(&self, now: Micros) -> bool {
-        let (functions, classes) = (self.functions.len(), self.pools.len());
+        let (functions, classes) = (self.functions.len(), self.class_estimates.len());
         let worker = |w: &Worker| {
             let per_class = w.losses_by_class.len() == classes && w.last_answer_by_class.len() == classes;
             let marks = w.replicas.iter().all(|(function, mark)| {
@@ -133,7 +139,7 @@
         Learned {
             workers: self.workers.iter().map(renumbered).collect(),
             functions,
-            pools: self.pools.clone(),
+            class_estimates: self.class_estimates.clone(),
             rates: (self.served, self.store),
             ration: (self.taken.clone(), self.ordered.clone()),
         }
@@ -147,8 +153,8 @@
         if !usable {
             return false;
         }
-        let Learned { workers, functions, pools, rates, ration } = learned;
-        (self.workers, self.pools) = (workers, pools);
+        let Learned { workers, functions, class_estimates: pools, rates, ration } = learned;
+        (self.workers, self.class_estimates) = (workers, pools);
         ((self.served, self.store), (self.taken, self.ordered)) = (rates, ration);
         for times in [&mut self.taken, &mut self.ordered] {
             times.make_contiguous().sort_unstable();
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -207,7 +207,7 @@
         lanes: f64,
         load: Option<Micros>,
     ) -> usize {
-        let run = self.pools[class].run;
+        let run = self.class_estimates[class].run_time;
         let create = || Function { id: id.clone(), class, lanes: 1.0, run_time: run, ..Function::default() };
         let slot = self.functions.activate(self.now, id, create);
         self.drop_expired_marks(slot);
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -1,5 +1,5 @@
 //! The records that a router keeps of workers, functions, classes and requests, and small helpers on them. No
-//! request is decided here. `Worker`, `Replica`, `Function` and `Pool` are handed to the next process, so the
+//! request is decided here. `Worker`, `Replica`, `Function` and `ClassEstimates` are handed to the next process, so the
 //! order and the serialised names of their fields are fixed. Times are in microseconds.
 
 use super::hints::{Power, Size, Usual};
@@ -128,19 +128,23 @@
 
 /// What is learned for a class over all its functions.
 #[derive(Default, Clone, Serialize, Deserialize)]
-pub(super) struct Pool {
+pub(super) struct ClassEstimates {
     /// Learned run time.
-    pub(super) run: f64,
+    #[serde(rename = "run")]
+    pub(super) run_time: f64,
     /// Learned load time.
-    pub(super) load: Option<f64>,
+    #[serde(rename = "load")]
+    pub(super) load_time: Option<f64>,
     /// Whether a copy was found at homes where this router had observed none.
-    pub(super) found: Evidence,
+    #[serde(rename = "found")]
+    pub(super) home_hits: Evidence,
     /// Concurrency of a function of the class, as in [`Function`].
     #[serde(rename = "crowd")]
     pub(super) concurrency: Evidence,
     /// The usual hint of its requests.
     #[serde(default)]
-    pub(super) hinted: Usual,
+    #[serde(rename = "hinted")]
+    pub(super) usual_hint: Usual,
     /// How well hints predict run times.
     #[serde(default, rename = "power")]
     pub(super) hint_power: Power,
