--- a/src/control.rs
+++ b/src/control.rs
@@ -403,7 +403,7 @@
                 let request = Request {
                     class,
                     tenant,
-                    rules,
+                    class_settings: rules,
                     max_attempts,
                     function,
                     size,
@@ -596,16 +596,16 @@
 
     /// Returns whether the request may be sent to the worker now. Every send is checked here.
     fn may_send(&self, request: &Request, worker: usize) -> bool {
-        let (class, target) = (&request.rules, &self.workers[worker]);
+        let (class, target) = (&request.class_settings, &self.workers[worker]);
         let over = request.ended || request.streaming || self.now >= request.deadline;
-        let blocks = |a: &Attempt| a.open && (!self.set.may_duplicate || a.e.worker == worker);
+        let blocks = |a: &Attempt| a.open && (!self.set.may_duplicate || a.estimate.worker == worker);
         let exhausted = request.attempts.len() >= request.max_attempts.min(self.set.max_attempts);
         let allowed = !over && target.up && !exhausted && self.budget.open(target);
         if !allowed || request.attempts.iter().any(blocks) {
             return false;
         }
         let Some(first) = request.attempts.iter().find(|a| a.may_have_run) else { return true };
-        let first_worker = &self.workers[first.e.worker];
+        let first_worker = &self.workers[first.estimate.worker];
         match class.effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => false,
@@ -626,7 +626,7 @@
 
     /// Returns whether the request may be refused: if the client may retry it, or if no attempt can have run.
     fn may_refuse(&self, request: &Request) -> bool {
-        let class = &request.rules;
+        let class = &request.class_settings;
         class.effect == Effect::Idempotent
             || (class.effect == Effect::Deduplicated && class.key_scope == KeyScope::All)
             || request.attempts.iter().all(|a| !a.may_have_run)
@@ -698,7 +698,7 @@
 
     /// Returns the time of a load, plus the price of its fetch converted to time.
     fn whole_load(&self, request: &Request) -> f64 {
-        self.load_time(request.function) + self.set.fetch_price * request.rules.aim as f64
+        self.load_time(request.function) + self.set.fetch_price * request.class_settings.aim as f64
     }
 
     /// Predicts the completion of a request at a worker; `None` if it may not be sent there now. `rank` is
@@ -712,7 +712,7 @@
     ) -> Option<Estimate> {
         let target = &self.workers[worker];
         let function = &self.functions[request.function];
-        let class = &request.rules;
+        let class = &request.class_settings;
         let slowness =
             self.slowness(target, known.peers) / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
         let run_time = function.run_time * slowness * request.size.size;
@@ -729,7 +729,7 @@
             Warmth::Cold => ((1.0 - peer_copy.unwrap_or(0.0)) * whole_load, 1),
         };
         let run_time_of =
-            |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.e.run_time);
+            |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.estimate.run_time);
         let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
         let routers = self.set.balancers as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
@@ -745,7 +745,7 @@
         let total = self.set.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
         // A worker that has just rejected this request would probably do so again: every other worker comes
         // first.
-        let rejected = request.attempts.iter().any(|a| a.e.worker == worker && a.rejected);
+        let rejected = request.attempts.iter().any(|a| a.estimate.worker == worker && a.rejected);
         let crossing = if target.zone == self.set.my_zone {
             0.0
         } else {
@@ -892,7 +892,7 @@
         } else {
             self.class_estimates[request.class].queue_aim_share
         };
-        let (function, aim) = (request.function, request.rules.aim as f64);
+        let (function, aim) = (request.function, request.class_settings.aim as f64);
         let queue_limit = aim_share * aim;
         let mut choice = self.trial(&request).or_else(|| self.best(&request, false));
         if choice.is_some_and(|e| !e.idle && e.total_without_load() > queue_limit) {
@@ -949,7 +949,7 @@
             mark.loading = Some((self.now, self.now.saturating_add(load)));
         }
         request.attempts.push(Attempt {
-            e,
+            estimate: e,
             sent_at: self.now,
             open: true,
             may_have_run: true,
@@ -975,13 +975,13 @@
         let (class, last_number) = (request.class, request.attempts.len() - 1);
         let mut due = Micros::MAX;
         for a in request.attempts.iter_mut().filter(|a| a.open && !a.presumed_lost) {
-            let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.e.total_if_cold) as Micros);
-            let no_answer_since = self.workers[a.e.worker].last_answer_by_class[class] <= a.sent_at;
+            let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.estimate.total_if_cold) as Micros);
+            let no_answer_since = self.workers[a.estimate.worker].last_answer_by_class[class] <= a.sent_at;
             a.presumed_lost = self.now >= lost_at;
             if !a.presumed_lost {
                 due = due.min(lost_at);
             } else if no_answer_since {
-                self.workers[a.e.worker].losses_by_class[class].learn(
+                self.workers[a.estimate.worker].losses_by_class[class].learn(
                     self.now,
                     self.half,
                     1.0,
@@ -996,15 +996,15 @@
         // and none is sent while the worker still answers others of the class.
         let last = request.attempts.last().filter(|a| a.open);
         let too_early = |a: &Attempt| {
-            (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.e.total_if_cold
-                || self.workers[a.e.worker].last_answer_by_class[class] > a.sent_at
+            (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.estimate.total_if_cold
+                || self.workers[a.estimate.worker].last_answer_by_class[class] > a.sent_at
         };
         if self.hedge_tokens < 1.0 || last.is_none_or(too_early) {
             return;
         }
         if self.set.may_duplicate {
             self.send_hedge(id, out);
-        } else if self.set.may_cancel && request.rules.effect == Effect::Idempotent {
+        } else if self.set.may_cancel && request.class_settings.effect == Effect::Idempotent {
             out.push(Action::Cancel { id, attempt: last_number });
         }
     }
@@ -1015,7 +1015,7 @@
         let left = request.deadline.saturating_sub(self.now) as f64;
         // A copy loaded for a second attempt displaces others and mostly comes too late. So a cold worker
         // qualifies only if the answer is still expected within the aim.
-        let aim = request.rules.aim as f64;
+        let aim = request.class_settings.aim as f64;
         let spent = (self.now - request.attempts[0].sent_at) as f64;
         let worth_it =
             |e: &Estimate| e.probable_total() <= left && (!e.cold || spent + e.probable_total() <= aim);
@@ -1044,7 +1044,7 @@
     /// attempt that starts a load is not cancelled.
     fn clean_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.e.cold);
+        let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.estimate.cold);
         if self.set.may_cancel {
             out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
@@ -1065,7 +1065,7 @@
         let (function, size) = (request.function, request.size);
         let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.open) else { return };
         attempt.open = false;
-        let (now, worker) = (self.now, attempt.e.worker);
+        let (now, worker) = (self.now, attempt.estimate.worker);
         // How far the attempt counts as lost, from 0 (answered) to 1; `None` if it says nothing about the
         // worker.
         let loss = match outcome {
@@ -1086,7 +1086,7 @@
             // that.
             Outcome::Timeout
                 if !attempt.presumed_lost
-                    && *latency as f64 > LOST_DELAY_FACTOR * attempt.e.total_if_cold =>
+                    && *latency as f64 > LOST_DELAY_FACTOR * attempt.estimate.total_if_cold =>
             {
                 Some(1.0)
             }
@@ -1095,7 +1095,7 @@
         attempt.rejected = outcome == Outcome::Full;
         attempt.may_have_run =
             !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
-        let e = attempt.e;
+        let e = attempt.estimate;
         let class = self.functions[function].class;
         if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
             let f = &self.functions[function];
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -133,7 +133,7 @@
     /// Chooses a worker for a probe of a zone that the fleet tests: the one with the smallest estimate there, if it meets the
     /// deadline. Only first attempts of idempotent requests are used, since a failed one is safe to repeat elsewhere.
     pub(super) fn trial(&mut self, request: &Request) -> Option<Estimate> {
-        let repeatable = request.attempts.is_empty() && request.rules.effect == Effect::Idempotent;
+        let repeatable = request.attempts.is_empty() && request.class_settings.effect == Effect::Idempotent;
         if !repeatable || !self.budget.zones.values().any(|gate| gate.wanted && gate.left > 0) {
             return None;
         }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -163,7 +163,7 @@
             return Vec::new();
         }
         let attempts = self.requests.values().flat_map(|r| &r.attempts);
-        let referenced: HashSet<usize> = attempts.map(|attempt| attempt.e.worker).collect();
+        let referenced: HashSet<usize> = attempts.map(|attempt| attempt.estimate.worker).collect();
         // Requests sent recently still count against the cold budget of a worker that is listed again soon.
         let settled = |worker: &Worker| {
             worker.last_sent + self.set.warm_after < self.now && worker.open_attempts.is_empty()
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -156,7 +156,7 @@
 /// One send of a request.
 pub(super) struct Attempt {
     /// The prediction by which its worker was chosen.
-    pub(super) e: Estimate,
+    pub(super) estimate: Estimate,
     pub(super) sent_at: Micros,
     /// No outcome has arrived yet.
     pub(super) open: bool,
@@ -173,7 +173,7 @@
     pub(super) class: usize,
     pub(super) tenant: usize,
     /// The settings of its class when it arrived.
-    pub(super) rules: Class,
+    pub(super) class_settings: Class,
     /// The attempts allowed when it arrived.
     pub(super) max_attempts: usize,
     /// The slot of its function.
