--- a/src/control.rs
+++ b/src/control.rs
@@ -234,12 +234,12 @@
 
 /// One dispatcher's decision logic.
 pub struct Router {
-    set: Settings,
+    settings: Settings,
     report_fields: Fields,
     rng: Pcg32,
     now: Micros,
     /// Half-life of observations, in microseconds.
-    half: f64,
+    half_life_us: f64,
     workers: Vec<Worker>,
     worker_ids: HashMap<WorkerId, usize>,
     /// Slots of workers that are not listed.
@@ -248,25 +248,25 @@
     ring: PreferenceRing,
     /// Whether the order of preference is by rendezvous hashing over all workers, as it is with up to
     /// `most_ranked` listed workers. Larger fleets use the ring.
-    ranks_all: bool,
-    most_ranked: usize,
+    uses_rendezvous: bool,
+    max_rendezvous_workers: usize,
     functions: FunctionTable,
     renewals: RenewalQueue,
     /// Whether every choice estimates every worker. For tests and benchmarks only.
-    scans: bool,
+    exhaustive_search: bool,
     requests: BTreeMap<RequestId, Request>,
     /// What is learned for each class.
     class_estimates: Vec<ClassEstimates>,
     /// Answers received, for their rate.
-    served: Evidence,
+    answer_rate: Evidence,
     /// Recent losses in each zone over all its workers: 0 is an answer, 1 a loss.
-    zones: BTreeMap<usize, Evidence>,
+    zone_losses: BTreeMap<usize, Evidence>,
     /// Observed load times over expected ones: the slowness of the store.
-    store: Evidence,
+    store_slowness: Evidence,
     /// How little of each worker's load this router sees, from 0 (enough) to 1 (nothing). The more it sees,
     /// the less it infers from other workers.
-    thin: f64,
-    tally: Tally,
+    sparsity: f64,
+    counters: Tally,
     /// Where dispatchers are members of one group: how many serve, into how many parts a cold worker's budget
     /// is divided, and which part is this router's.
     division: Option<(usize, usize, usize)>,
@@ -274,8 +274,8 @@
     resend_tokens: f64,
     hedge_tokens: f64,
     /// Times of the requests taken and the loads ordered within the ration's window.
-    taken: VecDeque<Micros>,
-    ordered: VecDeque<Micros>,
+    recent_requests: VecDeque<Micros>,
+    recent_load_orders: VecDeque<Micros>,
     /// When copies were last checked for renewal.
     renewals_checked_at: Micros,
     tenant_quotas: Vec<TenantQuota>,
@@ -285,9 +285,9 @@
     /// Creates a router with these settings and nothing learned.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Router {
         let mut router = Router {
-            set: settings.clone(),
+            settings: settings.clone(),
             report_fields: Fields::default(),
-            half: 1.0,
+            half_life_us: 1.0,
             rng: Pcg32::seed_from_u64(seed),
             now,
             workers: Vec::new(),
@@ -295,24 +295,24 @@
             unlisted: BTreeSet::new(),
             fleet: FleetSums::default(),
             ring: PreferenceRing::default(),
-            ranks_all: true,
-            most_ranked: MOST_RANKED,
+            uses_rendezvous: true,
+            max_rendezvous_workers: MOST_RANKED,
             functions: FunctionTable::new(USUAL_FUNCTION_BYTES),
             renewals: RenewalQueue::default(),
-            scans: false,
+            exhaustive_search: false,
             requests: BTreeMap::new(),
             class_estimates: Vec::new(),
-            served: Evidence::default(),
-            zones: BTreeMap::new(),
-            store: Evidence::default(),
-            thin: 1.0,
-            tally: Tally::default(),
+            answer_rate: Evidence::default(),
+            zone_losses: BTreeMap::new(),
+            store_slowness: Evidence::default(),
+            sparsity: 1.0,
+            counters: Tally::default(),
             division: None,
             budget: Budget::default(),
             resend_tokens: MAX_TOKENS,
             hedge_tokens: MAX_TOKENS,
-            taken: VecDeque::new(),
-            ordered: VecDeque::new(),
+            recent_requests: VecDeque::new(),
+            recent_load_orders: VecDeque::new(),
             renewals_checked_at: 0,
             tenant_quotas: Vec::new(),
         };
@@ -342,7 +342,7 @@
     /// Requests under way keep the rules that their class had when they arrived.
     pub fn configure(&mut self, settings: Settings, fresh: &[usize]) {
         let settings = sanitized(settings);
-        self.half = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
+        self.half_life_us = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
         let highest_credit = settings.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
         let mut old_pools = std::mem::take(&mut self.class_estimates);
         for (index, class) in settings.classes.iter().enumerate() {
@@ -366,7 +366,7 @@
         };
         self.tenant_quotas = settings.tenant_quotas.iter().map(full).collect();
         self.report_fields = Fields::of(&settings.report_fields);
-        self.set = settings;
+        self.settings = settings;
         self.rebuild();
     }
 
@@ -375,7 +375,7 @@
         self.now = self.now.max(now);
         match event {
             Event::Workers { complete, entries } => self.list(*complete, entries, out),
-            Event::ListRefused if self.set.list_on_request => out.push(Action::Watch),
+            Event::ListRefused if self.settings.list_on_request => out.push(Action::Watch),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
                 if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
@@ -384,19 +384,20 @@
             }
             Event::ListRefused | Event::Loaded { .. } => {}
             Event::Request { id, class, tenant, function, lanes, load_time, work, again, time_left } => {
-                if *class >= self.set.classes.len() || self.requests.contains_key(id) {
+                if *class >= self.settings.classes.len() || self.requests.contains_key(id) {
                     return out.push(Action::Refuse { id: *id, retry_after: 0 });
                 }
                 let function = self.function(function, *class, *lanes, *load_time);
                 let (f, pool) = (&mut self.functions[function], &mut self.class_estimates[*class]);
                 let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
-                self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
+                self.sparsity =
+                    1.0 / (1.0 + self.recent_requests.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
                 let deadline = self.now.saturating_add(*time_left);
                 self.resend_tokens = (self.resend_tokens + RESEND_SHARE).min(MAX_TOKENS);
                 self.hedge_tokens = (self.hedge_tokens + HEDGE_SHARE).min(MAX_TOKENS);
                 let (class, tenant, over_quota) = (*class, *tenant, self.charge_quota(*tenant, *again));
-                let (rules, max_attempts) = (self.set.classes[class], self.set.max_attempts);
+                let (rules, max_attempts) = (self.settings.classes[class], self.settings.max_attempts);
                 if *again {
                     self.budget.came_again();
                 }
@@ -417,7 +418,7 @@
                 // arrives.
                 out.push(Action::Timer { at: deadline, cookie: *id });
                 self.dispatch(*id, out);
-                self.functions[function].request_rate.add(self.now, self.half, 1.0);
+                self.functions[function].request_rate.add(self.now, self.half_life_us, 1.0);
                 self.renew_copies(out);
                 self.retire_functions();
             }
@@ -448,21 +449,21 @@
     /// Orders idle copies loaded again before their keep-alive runs out, within the ration of loads.
     /// Otherwise they would be unloaded, and the next request would wait for a load.
     fn renew_copies(&mut self, out: &mut Vec<Action>) {
-        self.taken.push_back(self.now);
-        if self.set.load_window == 0 || !self.set.orders {
+        self.recent_requests.push_back(self.now);
+        if self.settings.load_window == 0 || !self.settings.orders {
             // Without a ration nothing would bound the copies held: they would displace those that others
             // need, and memory has a price. So none is renewed.
             let since =
-                self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) as Micros);
+                self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64) as Micros);
             self.renewals.clear();
-            return drop_while(&mut self.taken, |t| t <= since);
+            return drop_while(&mut self.recent_requests, |t| t <= since);
         }
-        let too_early = self.now < self.renewals_checked_at + self.set.load_window / 100;
+        let too_early = self.now < self.renewals_checked_at + self.settings.load_window / 100;
         if too_early {
             return;
         }
         self.renewals_checked_at = self.now;
-        let keep_alive = self.set.keep_alive as f64;
+        let keep_alive = self.settings.keep_alive as f64;
         let workers = &self.workers;
         let is_latest = |used: &Use| {
             workers[used.worker].replicas.get(&used.function).is_some_and(|m| m.last_used == used.at)
@@ -481,25 +482,28 @@
             if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
                 // If every router renewed the copies that all of them use, there would be as many load orders
                 // as requests. So a copy that the others use often enough is left to them.
-                let rate = function.request_rate.rate(self.now, self.half);
-                let peers = (self.set.balancers - 1) as f64;
+                let rate = function.request_rate.rate(self.now, self.half_life_us);
+                let peers = (self.settings.balancers - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
                 let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
-                self.tally.loads_left += u64::from(left_to_peers);
+                self.counters.loads_left += u64::from(left_to_peers);
                 due.extend((!left_to_peers).then_some((rate, worker_slot, function_slot)));
             }
         }
         due.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
-        let since = self.now.saturating_sub(self.set.load_window);
-        drop_while(&mut self.taken, |t| t <= since);
-        drop_while(&mut self.ordered, |t| t < since);
-        let ration = self.set.loads_anyway + self.set.loads_per_request * self.taken.len() as f64;
+        let since = self.now.saturating_sub(self.settings.load_window);
+        drop_while(&mut self.recent_requests, |t| t <= since);
+        drop_while(&mut self.recent_load_orders, |t| t < since);
+        let ration =
+            self.settings.loads_anyway + self.settings.loads_per_request * self.recent_requests.len() as f64;
         let usable_ration = (LOAD_RATION_SHARE * ration) as usize;
-        for (_, worker, function) in due.into_iter().take(usable_ration.saturating_sub(self.ordered.len())) {
+        for (_, worker, function) in
+            due.into_iter().take(usable_ration.saturating_sub(self.recent_load_orders.len()))
+        {
             if !self.budget.order() {
                 break;
             }
-            self.ordered.push_back(self.now);
+            self.recent_load_orders.push_back(self.now);
             let (w, id) = (&mut self.workers[worker], self.functions[function].id.clone());
             w.replicas.entry(function).and_modify(|m| m.last_used = self.now);
             self.renewals.push(Use { at: self.now, worker, function });
@@ -513,8 +517,11 @@
     /// the weight. The weight is one sample at most, and none for a cold worker.
     fn slowness_sample(&self, worker: &Worker) -> (f64, f64) {
         let cold = self.present_share(worker) < 1.0;
-        let weight =
-            if cold { 0.0 } else { self.thin * worker.slowness.samples(self.now, self.half).min(1.0) };
+        let weight = if cold {
+            0.0
+        } else {
+            self.sparsity * worker.slowness.samples(self.now, self.half_life_us).min(1.0)
+        };
         (weight * worker.slowness.own_mean().unwrap_or(1.0), weight)
     }
 
@@ -524,13 +531,13 @@
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
         let own = self.slowness_sample(worker);
         let peers = (DOUBT + peers.0 - own.0) / (DOUBT + peers.1 - own.1);
-        worker.slowness.mean(self.now, self.half, peers.powf(self.present_share(worker)), DOUBT)
+        worker.slowness.mean(self.now, self.half_life_us, peers.powf(self.present_share(worker)), DOUBT)
     }
 
     /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
     fn peers(&self) -> (f64, f64) {
         let (sum, weight) = self.fleet.slowness(self.now);
-        (self.thin * sum, self.thin * weight)
+        (self.sparsity * sum, self.sparsity * weight)
     }
 
     /// Returns the load time of a function while the store works at its usual speed.
@@ -545,14 +552,19 @@
     /// Returns the expected load time of a function at the present speed of the store.
     fn load_time(&self, function: usize) -> f64 {
         self.base_load_time(&self.functions[function])
-            * self.store.mean(self.now, self.half, 1.0, DOUBT).max(0.5)
+            * self.store_slowness.mean(self.now, self.half_life_us, 1.0, DOUBT).max(0.5)
     }
 
     /// Adjusts a worker's slowness by the relative error of a prediction.
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
         let slow = self.slowness(&self.workers[worker], self.peers());
-        self.workers[worker].slowness.learn(self.now, self.half, slow * (1.0 + error), MAX_WORKER_SAMPLES);
+        self.workers[worker].slowness.learn(
+            self.now,
+            self.half_life_us,
+            slow * (1.0 + error),
+            MAX_WORKER_SAMPLES,
+        );
         self.fleet.update(worker, &self.workers[worker], self.now);
     }
 
@@ -580,10 +592,10 @@
         if took < MIN_LOAD_TIME_SHARE * base {
             return;
         }
-        let store = self.store.mean(self.now, self.half, 1.0, DOUBT);
+        let store = self.store_slowness.mean(self.now, self.half_life_us, 1.0, DOUBT);
         let f = &mut self.functions[function];
         if f.stated_load_time.or(f.load_time).is_some() {
-            self.store.add(self.now, self.half, (took / base).min(MAX_ERROR_RATIO));
+            self.store_slowness.add(self.now, self.half_life_us, (took / base).min(MAX_ERROR_RATIO));
         }
         let sample = took / store.max(1.0);
         let load = f.load_time.unwrap_or(sample);
@@ -598,8 +610,8 @@
     fn may_send(&self, request: &Request, worker: usize) -> bool {
         let (class, target) = (&request.class_settings, &self.workers[worker]);
         let over = request.ended || request.streaming || self.now >= request.deadline;
-        let blocks = |a: &Attempt| a.open && (!self.set.may_duplicate || a.estimate.worker == worker);
-        let exhausted = request.attempts.len() >= request.max_attempts.min(self.set.max_attempts);
+        let blocks = |a: &Attempt| a.open && (!self.settings.may_duplicate || a.estimate.worker == worker);
+        let exhausted = request.attempts.len() >= request.max_attempts.min(self.settings.max_attempts);
         let allowed = !over && target.up && !exhausted && self.budget.open(target);
         if !allowed || request.attempts.iter().any(blocks) {
             return false;
@@ -635,7 +647,7 @@
     /// Returns the share of its full capacity that a worker is sure to have now.
     fn present_share(&self, worker: &Worker) -> f64 {
         let Some(age) = worker.ready_at.map(|r| self.now.saturating_sub(r)) else { return 1.0 };
-        let (least, warm) = (self.set.cold_share, self.set.warm_after.max(1) as f64);
+        let (least, warm) = (self.settings.cold_share, self.settings.warm_after.max(1) as f64);
         (least + (1.0 - least) * age as f64 / warm).min(1.0)
     }
 
@@ -646,26 +658,28 @@
     /// core could.
     fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &Known) -> Option<u64> {
         let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
-        let warm_after = self.set.warm_after as f64;
+        let warm_after = self.settings.warm_after as f64;
         if age >= warm_after {
             return Some(worker.last_cold_turn);
         }
         let (alive, parts, my_part) =
-            self.division.unwrap_or((self.set.balancers, self.set.balancers, self.set.me));
+            self.division.unwrap_or((self.settings.balancers, self.settings.balancers, self.settings.me));
         let parts = parts.max(1) as u64;
         let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
-        let rate_per_worker = self.served.rate(self.now, self.half) * alive as f64 / fleet_capacity;
+        let rate_per_worker =
+            self.answer_rate.rate(self.now, self.half_life_us) * alive as f64 / fleet_capacity;
         let rate_per_worker =
             rate_per_worker.max(1.0 / self.class_estimates[function.class].run_time.max(1.0));
         // With many routers, the one whose turn it is often has no request to use it for. The rotation is
         // sped up to make up for the turns that are expected to lapse.
-        let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.set.fall_window as f64;
-        let observed_for = self.taken.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
-        let expected_requests =
-            COLD_ATTRACTION_FACTOR * lifetime / fleet_capacity * (self.taken.len() + 1) as f64 / observed_for;
+        let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.settings.fall_window as f64;
+        let observed_for = self.recent_requests.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
+        let expected_requests = COLD_ATTRACTION_FACTOR * lifetime / fleet_capacity
+            * (self.recent_requests.len() + 1) as f64
+            / observed_for;
         let used_share = (1.0 - (-expected_requests).exp()).max(MIN_TURN_USE_SHARE);
-        let full_rate = COLD_BUDGET_SHARE / used_share * self.set.fall_multiple * rate_per_worker;
-        let cold_share = self.set.cold_share;
+        let full_rate = COLD_BUDGET_SHARE / used_share * self.settings.fall_multiple * rate_per_worker;
+        let cold_share = self.settings.cold_share;
         // Turns dealt out up to an age: the integral of a rate that grows linearly from the cold share to the
         // full one.
         let turns_at = |age: f64| {
@@ -683,8 +697,8 @@
     /// Charges a request to this router's part of its tenant's quota and returns whether the quota was
     /// exhausted. A client's retry of a request that this router refused is not charged again.
     fn charge_quota(&mut self, tenant: usize, is_retry: bool) -> bool {
-        let Some(quota) = self.set.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
-        let tokens_per_us = quota / self.set.balancers as f64 / 1e6;
+        let Some(quota) = self.settings.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
+        let tokens_per_us = quota / self.settings.balancers as f64 / 1e6;
         let TenantQuota { tokens, updated_at, refused } = self.tenant_quotas[tenant];
         let refilled = tokens + tokens_per_us * (self.now - updated_at) as f64;
         let tokens = refilled.min((tokens_per_us * QUOTA_BURST_US).max(1.0));
@@ -698,7 +712,7 @@
 
     /// Returns the time of a load, plus the price of its fetch converted to time.
     fn whole_load(&self, request: &Request) -> f64 {
-        self.load_time(request.function) + self.set.fetch_price * request.class_settings.aim as f64
+        self.load_time(request.function) + self.settings.fetch_price * request.class_settings.aim as f64
     }
 
     /// Predicts the completion of a request at a worker; `None` if it may not be sent there now. `rank` is
@@ -731,7 +745,7 @@
         let run_time_of =
             |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.estimate.run_time);
         let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
-        let routers = self.set.balancers as f64;
+        let routers = self.settings.balancers as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
         let (reported, report_weight) = target.report.others(self.now);
         let reported_work =
@@ -742,25 +756,26 @@
         let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
         let lanes = function.lanes * f64::from(copies.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
-        let total = self.set.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
+        let total = self.settings.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
         // A worker that has just rejected this request would probably do so again: every other worker comes
         // first.
         let rejected = request.attempts.iter().any(|a| a.estimate.worker == worker && a.rejected);
-        let crossing = if target.zone == self.set.my_zone {
+        let crossing = if target.zone == self.settings.my_zone {
             0.0
         } else {
-            CROSSING_PRICE_FACTOR * self.set.cross_zone_price
+            CROSSING_PRICE_FACTOR * self.settings.cross_zone_price
         };
         // When a zone is lost, attempts fail at all its workers: failures at a few are held against the rest
         // too.
-        let zone_loss = self.zones.get(&target.zone).map_or(0.0, |h| h.mean(self.now, self.half, 0.0, 1.0));
+        let zone_loss =
+            self.zone_losses.get(&target.zone).map_or(0.0, |h| h.mean(self.now, self.half_life_us, 0.0, 1.0));
         let excess_loss = ((zone_loss - ZONE_LOSS_THRESHOLD) / (1.0 - ZONE_LOSS_THRESHOLD)).max(0.0);
-        let expected_loss = self.thin * excess_loss;
+        let expected_loss = self.sparsity * excess_loss;
         // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
         // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
         // The penalty only ranks workers; it causes no refusal.
         let risk_penalty =
-            target.losses_by_class[request.class].mean(self.now, self.half, expected_loss, DOUBT)
+            target.losses_by_class[request.class].mean(self.now, self.half_life_us, expected_loss, DOUBT)
                 * class.deadline as f64
                 + crossing * class.aim as f64
                 + if rejected { class.deadline as f64 } else { 0.0 };
@@ -782,7 +797,7 @@
             // with about one request at a time.
             idle: target.open_attempts.is_empty()
                 && (self.now - target.last_sent) as f64
-                    >= (self.set.balancers - 1) as f64 * self.class_estimates[request.class].run_time,
+                    >= (self.settings.balancers - 1) as f64 * self.class_estimates[request.class].run_time,
         })
     }
 
@@ -792,18 +807,24 @@
         // Of many rarely used functions each router sees a few by chance. Scaling every request up by the
         // number of routers would give all of them many homes. So the request that made the function known
         // here counts once, and only further ones are scaled up.
-        let (seen, routers) = (function.request_rate.samples(self.now, self.half), self.set.balancers as f64);
+        let (seen, routers) =
+            (function.request_rate.samples(self.now, self.half_life_us), self.settings.balancers as f64);
         let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
-        let rate = function.request_rate.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
+        let rate =
+            function.request_rate.rate(self.now, self.half_life_us) * (1.0 + (routers - 1.0) * further_share);
         let rate_times_run = rate * function.run_time;
-        let of_class =
-            self.class_estimates[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
+        let of_class = self.class_estimates[function.class].concurrency.mean(
+            self.now,
+            self.half_life_us,
+            rate_times_run,
+            1.0,
+        );
         let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
-        let concurrency = function.concurrency.mean(self.now, self.half, expected, 1.0);
+        let concurrency = function.concurrency.mean(self.now, self.half_life_us, expected, 1.0);
         let lane_use = if self.report_fields.told() {
             TARGET_LANE_USE_REPORTED
         } else {
-            TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.thin
+            TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.sparsity
         };
         (rate, (concurrency / (function.lanes.min(2.0) * lane_use)).max(1.0).ceil())
     }
@@ -818,17 +839,18 @@
             Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load_time(function)).max(0.0),
             None => f64::INFINITY,
         };
-        let uses = (rate / homes).max(1.0 / self.set.keep_alive as f64) * age;
+        let uses = (rate / homes).max(1.0 / self.settings.keep_alive as f64) * age;
         // All routers fill the homes in the same order, but estimate different numbers of them: the first
         // workers are homes by every estimate, the last ones by few.
-        known.found * (1.0 - (-uses).exp()) * (-self.thin * up_before / homes).exp()
+        known.found * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
     }
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
     /// observed no copy, once there has been time to load it.
     fn found(&self, f: &Function) -> f64 {
-        let of_class = self.class_estimates[f.class].home_hits.mean(self.now, self.half, PRIOR_FOUND, 1.0);
-        f.home_hits.mean(self.now, self.half, of_class, 1.0)
+        let of_class =
+            self.class_estimates[f.class].home_hits.mean(self.now, self.half_life_us, PRIOR_FOUND, 1.0);
+        f.home_hits.mean(self.now, self.half_life_us, of_class, 1.0)
     }
 
     /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
@@ -843,7 +865,7 @@
         }
         let idle = self.now.saturating_sub(mark.last_used) as f64;
         if mark.count > 0
-            && (mark.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.set.keep_alive as f64)
+            && (mark.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64)
         {
             return Warmth::Warm;
         }
@@ -859,10 +881,10 @@
             load * if self.report_fields.told() { COLD_TIE_LOAD_TIMES_REPORTED } else { COLD_TIE_LOAD_TIMES };
         // Without randomness, routers with the same delayed view would all choose the worker that looked best
         // and overload it.
-        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.set.balancers as f64));
+        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.balancers as f64));
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
         let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run_time;
-        if self.scans {
+        if self.exhaustive_search {
             return self.best_of_all(request, &known, only_cold, tie, key);
         }
         self.find_preferred(request.function, 0);
@@ -924,8 +946,8 @@
                 let excess = |e: Estimate| {
                     (e.probable_total() - left).max(e.total_without_load() - queue_limit).max(0.0)
                 };
-                let wait = choice.map_or(self.set.max_retry_after as f64, excess);
-                let retry_after = (wait as Micros).min(self.set.max_retry_after);
+                let wait = choice.map_or(self.settings.max_retry_after as f64, excess);
+                let retry_after = (wait as Micros).min(self.settings.max_retry_after);
                 self.finish(id, Action::Refuse { id, retry_after }, out);
             }
             _ => self.finish(id, Action::Fail { id }, out),
@@ -956,7 +978,7 @@
             rejected: false,
             presumed_lost: false,
         });
-        self.tally.cold_turns += u64::from(w.last_cold_turn != e.cold_turn);
+        self.counters.cold_turns += u64::from(w.last_cold_turn != e.cold_turn);
         (w.last_sent, w.last_cold_turn) = (self.now, e.cold_turn);
         let hedge_at = self.now.saturating_add((HEDGE_DELAY_FACTOR * e.total_if_cold) as Micros);
         out.push(Action::Send { id, worker: w.id.clone(), until: None });
@@ -983,7 +1005,7 @@
             } else if no_answer_since {
                 self.workers[a.estimate.worker].losses_by_class[class].learn(
                     self.now,
-                    self.half,
+                    self.half_life_us,
                     1.0,
                     MAX_WORKER_SAMPLES,
                 );
@@ -1002,9 +1024,9 @@
         if self.hedge_tokens < 1.0 || last.is_none_or(too_early) {
             return;
         }
-        if self.set.may_duplicate {
+        if self.settings.may_duplicate {
             self.send_hedge(id, out);
-        } else if self.set.may_cancel && request.class_settings.effect == Effect::Idempotent {
+        } else if self.settings.may_cancel && request.class_settings.effect == Effect::Idempotent {
             out.push(Action::Cancel { id, attempt: last_number });
         }
     }
@@ -1045,7 +1067,7 @@
     fn clean_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.estimate.cold);
-        if self.set.may_cancel {
+        if self.settings.may_cancel {
             out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
         if request.attempts.iter().all(|a| !a.open) {
@@ -1100,13 +1122,23 @@
         if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
             let f = &self.functions[function];
             let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
-            self.functions[function].concurrency.learn(now, self.half, concurrency, MAX_WORKER_SAMPLES);
-            self.class_estimates[class].concurrency.add(now, self.half, concurrency);
+            self.functions[function].concurrency.learn(
+                now,
+                self.half_life_us,
+                concurrency,
+                MAX_WORKER_SAMPLES,
+            );
+            self.class_estimates[class].concurrency.add(now, self.half_life_us, concurrency);
         }
         let w = &mut self.workers[worker];
         if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
-            w.losses_by_class[class].learn(now, self.half, sample, MAX_WORKER_SAMPLES);
-            self.zones.entry(w.zone).or_default().learn(now, self.half, sample, MAX_ZONE_SAMPLES);
+            w.losses_by_class[class].learn(now, self.half_life_us, sample, MAX_WORKER_SAMPLES);
+            self.zone_losses.entry(w.zone).or_default().learn(
+                now,
+                self.half_life_us,
+                sample,
+                MAX_ZONE_SAMPLES,
+            );
             w.last_answer_by_class[class] = now;
             w.last_answer = if sample == 0.0 { now } else { w.last_answer };
         }
@@ -1122,20 +1154,20 @@
         // A load that outlasts its request is never reported, and the next request would be sent there to
         // wait for it too. So such a timeout counts as a copy not found. It is not counted for the class,
         // because queues under overload look the same.
-        let outlasted = self.thin > 0.5
+        let outlasted = self.sparsity > 0.5
             && outcome == Outcome::Timeout
             && *latency as f64 > LOST_DELAY_FACTOR * e.total_if_warm;
         if e.unobserved && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
             let sample = if found == Found::Warm { 1.0 } else { 0.0 };
             let f = &mut self.functions[function];
-            f.home_hits.add(now, self.half, sample);
+            f.home_hits.add(now, self.half_life_us, sample);
             if !outlasted {
-                self.class_estimates[f.class].home_hits.add(now, self.half, sample);
+                self.class_estimates[f.class].home_hits.add(now, self.half_life_us, sample);
             }
         }
         match outcome {
             Outcome::Ok => {
-                self.served.add(now, self.half, 1.0);
+                self.answer_rate.add(now, self.half_life_us, 1.0);
                 self.functions.served(now, function);
                 self.renewals.push(Use { at: now, worker, function });
                 mark.last_used = now;
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -118,7 +118,7 @@
             // When the fleet readmits a zone, its failures and slowness are forgotten. Otherwise what was observed before it
             // was shut would keep this router from sending requests there for long.
             if gate.left > 0 && self.budget.zones.get(zone).is_some_and(|previous| previous.left == 0) {
-                self.zones.remove(zone);
+                self.zone_losses.remove(zone);
                 let workers = self.workers.iter_mut().enumerate();
                 for (slot, worker) in workers.filter(|(_, worker)| worker.zone == *zone) {
                     worker.losses_by_class.fill(Default::default());
@@ -150,8 +150,8 @@
 
     /// Returns a class's credit relative to the highest of any class, from 0 to 1.
     pub(super) fn worth(&self, class: usize) -> f64 {
-        let max = self.set.classes.iter().map(|class| class.credit).fold(f64::MIN_POSITIVE, f64::max);
-        (self.set.classes[class].credit / max).clamp(0.0, 1.0)
+        let max = self.settings.classes.iter().map(|class| class.credit).fold(f64::MIN_POSITIVE, f64::max);
+        (self.settings.classes[class].credit / max).clamp(0.0, 1.0)
     }
 
     /// Returns the retry-after time if the fleet's admission level sheds the request. Only requests without an attempt are
@@ -161,8 +161,8 @@
         if self.budget.level == 0 || !request.attempts.is_empty() {
             return None;
         }
-        let credit = |class: usize| self.set.classes[class].credit;
-        let mut credits: Vec<f64> = self.set.classes.iter().map(|class| class.credit).collect();
+        let credit = |class: usize| self.settings.classes[class].credit;
+        let mut credits: Vec<f64> = self.settings.classes.iter().map(|class| class.credit).collect();
         credits.sort_by(f64::total_cmp);
         credits.dedup();
         let rank = credits.iter().filter(|other| **other < credit(request.class)).count();
@@ -174,7 +174,7 @@
         self.budget.shed += 1;
         self.budget.shed_up_to = self.budget.shed_up_to.max(standing);
         let mean = self.budget.back;
-        Some((mean / 2 + u64::from(self.rng.next_u32()) % (mean + 1)).min(self.set.max_retry_after))
+        Some((mean / 2 + u64::from(self.rng.next_u32()) % (mean + 1)).min(self.settings.max_retry_after))
     }
 }
 
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -144,7 +144,7 @@
     fn max_found_chance(&self) -> f64 {
         let homes = self.known.homes;
         if self.homes_remain() {
-            self.known.found * (-self.router.thin * self.visited_up / homes).exp()
+            self.known.found * (-self.router.sparsity * self.visited_up / homes).exp()
         } else {
             0.0
         }
@@ -154,7 +154,8 @@
     /// replica with a chance of at most `found`.
     fn finish_bound(&self, found: f64, slowness: f64) -> f64 {
         let run_time = self.run_time * slowness.min(self.known.min_expected_slowness);
-        (self.router.set.tick as f64 + (1.0 - found) * self.load_time + run_time) * (1.0 - ROUNDING_MARGIN)
+        (self.router.settings.tick as f64 + (1.0 - found) * self.load_time + run_time)
+            * (1.0 - ROUNDING_MARGIN)
     }
 
     fn min_slowness(&self) -> f64 {
@@ -312,7 +313,7 @@
     /// Iterates over all workers, the most preferred for the function first: by rendezvous hashing over all of them in a
     /// small fleet, by the ring in a large one.
     fn preference_order<'a>(&'a self, function: &FunctionId) -> Box<dyn Iterator<Item = usize> + 'a> {
-        if !self.ranks_all {
+        if !self.uses_rendezvous {
             return Box::new(self.ring.order(function));
         }
         let score = |(slot, worker): (usize, &Worker)| (rendezvous(function, &worker.id), slot);
@@ -324,7 +325,7 @@
     /// Returns the key by which [`Router::preference_order`] sorts workers; the smaller, the more preferred.
     fn preference_distance(&self, function: &FunctionId, worker: usize) -> (u64, usize) {
         let id = &self.workers[worker].id;
-        if self.ranks_all {
+        if self.uses_rendezvous {
             return (!rendezvous(function, id), usize::MAX - worker);
         }
         (preference::distance(function, id), worker)
@@ -333,8 +334,8 @@
     /// Selects rendezvous hashing or the ring by the number of listed workers, so that all dispatchers with the same list
     /// use the same order.
     pub(super) fn update_preference_order(&mut self) {
-        let ranks_all = self.workers.len() - self.unlisted.len() <= self.most_ranked;
-        if std::mem::replace(&mut self.ranks_all, ranks_all) != ranks_all {
+        let ranks_all = self.workers.len() - self.unlisted.len() <= self.max_rendezvous_workers;
+        if std::mem::replace(&mut self.uses_rendezvous, ranks_all) != ranks_all {
             self.ring.invalidate_orders();
         }
     }
@@ -385,7 +386,7 @@
         // The slowness expected of a worker leaves out its own samples, which are at most one sample of the slowest mean:
         // taking out that much of the sum, and none of the weight, gives a lower bound for every worker.
         let slowest = self.fleet.slowness_range().map_or(0.0, |(_, max)| max);
-        let min_slowness = (DOUBT + (peers.0 - self.thin * slowest).max(0.0)) / (DOUBT + peers.1);
+        let min_slowness = (DOUBT + (peers.0 - self.sparsity * slowest).max(0.0)) / (DOUBT + peers.1);
         let found = self.found(&self.functions[function]);
         Known {
             rate,
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -55,7 +55,7 @@
         let (mut search, mut scan) = (router(), router());
         // Small and large fleets use different preference orders; some histories cross the limit between them.
         let most_ranked = [0, 0, 11, 40, usize::MAX][seed as usize % 5];
-        (search.most_ranked, scan.most_ranked) = (most_ranked, most_ranked);
+        (search.max_rendezvous_workers, scan.max_rendezvous_workers) = (most_ranked, most_ranked);
         scan.scan(true);
         let functions = [5, 40, 400][seed as usize % 3];
         let mut history = History {
@@ -321,7 +321,7 @@
         let now = self.now;
         let router = &mut self.search;
         router.fleet.advance(now);
-        let times = TimeConstants { half_life: router.half, warm_after: router.set.warm_after };
+        let times = TimeConstants { half_life: router.half_life_us, warm_after: router.settings.warm_after };
         let recomputed = recompute_sums(&router.workers, times, |w| router.present_share(w), now);
         let (sum, weight) = router.fleet.slowness(now);
         let capacity = router.fleet.capacity(|slot| router.present_share(&router.workers[slot]));
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -140,8 +140,8 @@
             workers: self.workers.iter().map(renumbered).collect(),
             functions,
             class_estimates: self.class_estimates.clone(),
-            rates: (self.served, self.store),
-            ration: (self.taken.clone(), self.ordered.clone()),
+            rates: (self.answer_rate, self.store_slowness),
+            ration: (self.recent_requests.clone(), self.recent_load_orders.clone()),
         }
     }
 
@@ -155,8 +155,9 @@
         }
         let Learned { workers, functions, class_estimates: pools, rates, ration } = learned;
         (self.workers, self.class_estimates) = (workers, pools);
-        ((self.served, self.store), (self.taken, self.ordered)) = (rates, ration);
-        for times in [&mut self.taken, &mut self.ordered] {
+        ((self.answer_rate, self.store_slowness), (self.recent_requests, self.recent_load_orders)) =
+            (rates, ration);
+        for times in [&mut self.recent_requests, &mut self.recent_load_orders] {
             times.make_contiguous().sort_unstable();
         }
         let slots = self.functions.replace(now, functions);
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -63,12 +63,12 @@
 
     /// Sets whether each choice estimates every worker instead of searching; the choices are the same.
     pub fn scan(&mut self, scans: bool) {
-        self.scans = scans;
+        self.exhaustive_search = scans;
     }
 
     /// Applies a list of workers: a complete one, or one of changes only.
     pub(super) fn list(&mut self, complete: bool, entries: &[Listing], out: &mut Vec<Action>) {
-        if self.worker_ids.is_empty() && self.set.list_on_request {
+        if self.worker_ids.is_empty() && self.settings.list_on_request {
             out.push(Action::Watch);
         }
         if complete {
@@ -99,7 +99,7 @@
             if entry.ready_at.is_some() && entry.ready_at != worker.ready_at {
                 // A restarted process holds no replicas, and what was observed of its predecessor does not apply to it.
                 worker.ready_at = entry.ready_at;
-                self.zones.remove(&entry.zone);
+                self.zone_losses.remove(&entry.zone);
                 worker.forget_copies();
                 worker.slowness = Evidence::default();
                 worker.last_cold_turn = 0;
@@ -130,14 +130,14 @@
             requests: self.requests.len(),
             replicas: self.workers.iter().map(|w| w.replicas.len()).sum(),
             open: self.workers.iter().map(|w| w.open_attempts.len()).sum(),
-            zones: self.zones.len(),
-            window: self.taken.len() + self.ordered.len(),
+            zones: self.zone_losses.len(),
+            window: self.recent_requests.len() + self.recent_load_orders.len(),
         }
     }
 
     /// Returns the counters of decisions about cold workers and renewals.
     pub fn tally(&self) -> Tally {
-        self.tally
+        self.counters
     }
 
     /// Returns the slots of the workers in a list and assigns slots to new ones. Slots of unlisted workers are reused, since
@@ -166,14 +166,14 @@
         let referenced: HashSet<usize> = attempts.map(|attempt| attempt.estimate.worker).collect();
         // Requests sent recently still count against the cold budget of a worker that is listed again soon.
         let settled = |worker: &Worker| {
-            worker.last_sent + self.set.warm_after < self.now && worker.open_attempts.is_empty()
+            worker.last_sent + self.settings.warm_after < self.now && worker.open_attempts.is_empty()
         };
         let reusable = |slot: &&usize| settled(&self.workers[**slot]) && !referenced.contains(*slot);
         self.unlisted.iter().filter(reusable).copied().collect()
     }
 
     fn add_worker(&mut self, entry: &Listing, reusable: Option<usize>, changes: &mut RingChanges) -> usize {
-        let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.set.classes.len());
+        let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.settings.classes.len());
         let (lost, heard) = (vec![Evidence::default(); classes], vec![0; classes]);
         let worker = Worker {
             id: id.clone(),
@@ -222,7 +222,7 @@
     /// Removes marks of a function that have not been used for [`DORMANT`] keep-alives and stand for no replica, so that the
     /// number of marks is bounded by recent use.
     fn drop_expired_marks(&mut self, function: usize) {
-        let oldest = self.now.saturating_sub((DORMANT * self.set.keep_alive as f64) as Micros);
+        let oldest = self.now.saturating_sub((DORMANT * self.settings.keep_alive as f64) as Micros);
         let mut holders = std::mem::take(&mut self.functions[function].holders);
         holders.retain(|worker| {
             let mark = self.workers[*worker as usize].replicas.get(&function);
@@ -240,7 +240,7 @@
     /// Makes functions dormant that have been idle for [`DORMANT`] keep-alives, evicts functions beyond the bound of the table,
     /// and removes the marks of both.
     pub(super) fn retire_functions(&mut self) {
-        let idle = (DORMANT * self.set.keep_alive as f64) as Micros;
+        let idle = (DORMANT * self.settings.keep_alive as f64) as Micros;
         for RetiredFunction { slot, holders } in
             self.functions.maintain(self.now, self.now.saturating_sub(idle))
         {
@@ -252,7 +252,7 @@
 
     /// Rebuilds the fleet sums and the renewal queue from the workers and their marks.
     pub(super) fn rebuild(&mut self) {
-        let times = TimeConstants { half_life: self.half, warm_after: self.set.warm_after };
+        let times = TimeConstants { half_life: self.half_life_us, warm_after: self.settings.warm_after };
         self.fleet = FleetSums::of(times, &self.workers, self.now);
         let mut uses = Vec::new();
         for (slot, worker) in self.workers.iter().enumerate() {
