--- a/src/control.rs
+++ b/src/control.rs
@@ -29,11 +29,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 pub use budget::{Budget, Tokens, ZoneGate};
-use candidates::{Known, MOST_RANKED, Rank, Search, least, least_of};
+use candidates::{Known, MAX_RENDEZVOUS_WORKERS, Rank, Search, least, least_of};
 use evidence::Evidence;
 use fleet::FleetSums;
 use functions::FunctionTable;
-pub use functions::{LEAST_FUNCTION_BYTES, USUAL_FUNCTION_BYTES};
+pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
 use hints::Size;
 pub use learned::Learned;
 pub use places::{Sizes, Tally};
@@ -55,7 +55,7 @@
 const RUN_TIME_LEARNING_RATE: f64 = 0.03;
 /// The prior expectation of a worker or function weighs as much as this many answers: run times vary, so that
 /// the first few answers say little.
-const DOUBT: f64 = 3.0;
+const PRIOR_SAMPLES: f64 = 3.0;
 /// At most this many answers of a worker are weighed, so that one that turns slow is noticed quickly.
 const MAX_WORKER_SAMPLES: f64 = 10.0;
 /// Weight of a new load in the load time of a function and of a class.
@@ -77,7 +77,7 @@
 const MAX_ZONE_SAMPLES: f64 = 5.0;
 const ZONE_LOSS_THRESHOLD: f64 = 0.4;
 /// Probability, before any answer, that other routers keep a function warm at its homes.
-const PRIOR_FOUND: f64 = 0.5;
+const PRIOR_HOME_HIT_PROBABILITY: f64 = 0.5;
 
 // ---- Which copies exist ----
 
@@ -175,7 +175,7 @@
 /// Share of the ration of loads that is used: clocks differ.
 const LOAD_RATION_SHARE: f64 = 0.9;
 /// A function without a request for this many keep-alives is kept as a compact record.
-const DORMANT: f64 = 8.0;
+const DORMANT_AFTER_KEEP_ALIVES: f64 = 8.0;
 
 /// The predicted completion of a request at one worker. Times are in microseconds.
 #[derive(Clone, Copy)]
@@ -296,8 +296,8 @@
             fleet: FleetSums::default(),
             ring: PreferenceRing::default(),
             uses_rendezvous: true,
-            max_rendezvous_workers: MOST_RANKED,
-            functions: FunctionTable::new(USUAL_FUNCTION_BYTES),
+            max_rendezvous_workers: MAX_RENDEZVOUS_WORKERS,
+            functions: FunctionTable::new(DEFAULT_FUNCTION_BYTES),
             renewals: RenewalQueue::default(),
             exhaustive_search: false,
             requests: BTreeMap::new(),
@@ -530,8 +530,13 @@
     /// colder it is, the less of their queueing is assumed.
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
         let own = self.slowness_sample(worker);
-        let peers = (DOUBT + peers.0 - own.0) / (DOUBT + peers.1 - own.1);
-        worker.slowness.mean(self.now, self.half_life_us, peers.powf(self.present_share(worker)), DOUBT)
+        let peers = (PRIOR_SAMPLES + peers.0 - own.0) / (PRIOR_SAMPLES + peers.1 - own.1);
+        worker.slowness.mean(
+            self.now,
+            self.half_life_us,
+            peers.powf(self.present_share(worker)),
+            PRIOR_SAMPLES,
+        )
     }
 
     /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
@@ -552,7 +557,7 @@
     /// Returns the expected load time of a function at the present speed of the store.
     fn load_time(&self, function: usize) -> f64 {
         self.base_load_time(&self.functions[function])
-            * self.store_slowness.mean(self.now, self.half_life_us, 1.0, DOUBT).max(0.5)
+            * self.store_slowness.mean(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES).max(0.5)
     }
 
     /// Adjusts a worker's slowness by the relative error of a prediction.
@@ -578,8 +583,9 @@
         // A large excess is a queue at the worker and says nothing about the function, whose run time would
         // otherwise grow with every queue. So the error is capped here.
         let error = error.min(1.0);
-        f.run_time +=
-            (1.0 / (f64::from(f.answer_count) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run_time * error;
+        f.run_time += (1.0 / (f64::from(f.answer_count) + PRIOR_SAMPLES)).max(RUN_TIME_LEARNING_RATE)
+            * f.run_time
+            * error;
         let class = &mut self.class_estimates[f.class].run_time;
         *class += RUN_TIME_LEARNING_RATE * (f.run_time - *class);
     }
@@ -592,7 +598,7 @@
         if took < MIN_LOAD_TIME_SHARE * base {
             return;
         }
-        let store = self.store_slowness.mean(self.now, self.half_life_us, 1.0, DOUBT);
+        let store = self.store_slowness.mean(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES);
         let f = &mut self.functions[function];
         if f.stated_load_time.or(f.load_time).is_some() {
             self.store_slowness.add(self.now, self.half_life_us, (took / base).min(MAX_ERROR_RATIO));
@@ -774,11 +780,14 @@
         // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
         // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
         // The penalty only ranks workers; it causes no refusal.
-        let risk_penalty =
-            target.losses_by_class[request.class].mean(self.now, self.half_life_us, expected_loss, DOUBT)
-                * class.deadline as f64
-                + crossing * class.aim as f64
-                + if rejected { class.deadline as f64 } else { 0.0 };
+        let risk_penalty = target.losses_by_class[request.class].mean(
+            self.now,
+            self.half_life_us,
+            expected_loss,
+            PRIOR_SAMPLES,
+        ) * class.deadline as f64
+            + crossing * class.aim as f64
+            + if rejected { class.deadline as f64 } else { 0.0 };
         let total_if_warm = total - load_wait;
         Some(Estimate {
             worker,
@@ -788,7 +797,7 @@
             load_wait: load_wait.min(self.base_load_time(function)),
             run_time,
             work_factor: request.size.size,
-            cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_FOUND),
+            cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_HOME_HIT_PROBABILITY),
             unobserved: peer_copy.is_some(),
             total_if_warm,
             total_if_cold: if peer_copy.is_some() { total_if_warm + whole_load } else { total },
@@ -848,8 +857,12 @@
     /// Returns the probability that a function is found warm at one of its homes where this router has
     /// observed no copy, once there has been time to load it.
     fn found(&self, f: &Function) -> f64 {
-        let of_class =
-            self.class_estimates[f.class].home_hits.mean(self.now, self.half_life_us, PRIOR_FOUND, 1.0);
+        let of_class = self.class_estimates[f.class].home_hits.mean(
+            self.now,
+            self.half_life_us,
+            PRIOR_HOME_HIT_PROBABILITY,
+            1.0,
+        );
         f.home_hits.mean(self.now, self.half_life_us, of_class, 1.0)
     }
 
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -14,7 +14,7 @@
 //! of the fleet's size. Where much of the fleet is failing or nearly all of it is slow, every worker may be estimated.
 
 use super::tables::{Function, Request, Worker, rendezvous};
-use super::{DOUBT, Estimate, PRIOR_FOUND, Router, Warmth, preference};
+use super::{Estimate, PRIOR_HOME_HIT_PROBABILITY, PRIOR_SAMPLES, Router, Warmth, preference};
 use crate::api::{FunctionId, Micros};
 use std::cell::OnceCell;
 
@@ -26,7 +26,7 @@
 const MAX_PREFERRED_CACHED: usize = 4_096;
 /// Up to this number of listed workers, the preference order is rendezvous hashing over all of them: it costs no more there
 /// than the ring, and functions keep the homes that earlier versions gave them.
-pub(super) const MOST_RANKED: usize = 256;
+pub(super) const MAX_RENDEZVOUS_WORKERS: usize = 256;
 /// Relative margin by which bounds are lowered, so that floating-point rounding cannot make one too high.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
@@ -169,7 +169,7 @@
 
     /// Returns a lower bound of the finish of any unvisited worker that would have to load the function.
     fn unvisited_cold_bound(&self) -> f64 {
-        self.finish_bound(self.max_found_chance().min(PRIOR_FOUND), self.min_slowness())
+        self.finish_bound(self.max_found_chance().min(PRIOR_HOME_HIT_PROBABILITY), self.min_slowness())
     }
 
     /// Visits the next worker in preference order and records its estimate; returns false if none is left.
@@ -196,7 +196,7 @@
     pub(super) fn take_warm(&mut self, key: impl Fn(&Estimate) -> f64) {
         let mut min_key = least(&self.warm, &key);
         while self.homes_remain()
-            && self.max_found_chance() > PRIOR_FOUND
+            && self.max_found_chance() > PRIOR_HOME_HIT_PROBABILITY
             && self.unvisited_bound() <= min_key
         {
             let before = self.warm.len();
@@ -386,7 +386,8 @@
         // The slowness expected of a worker leaves out its own samples, which are at most one sample of the slowest mean:
         // taking out that much of the sum, and none of the weight, gives a lower bound for every worker.
         let slowest = self.fleet.slowness_range().map_or(0.0, |(_, max)| max);
-        let min_slowness = (DOUBT + (peers.0 - self.sparsity * slowest).max(0.0)) / (DOUBT + peers.1);
+        let min_slowness =
+            (PRIOR_SAMPLES + (peers.0 - self.sparsity * slowest).max(0.0)) / (PRIOR_SAMPLES + peers.1);
         let found = self.found(&self.functions[function]);
         Known {
             rate,
--- a/src/control/functions.rs
+++ b/src/control/functions.rs
@@ -12,9 +12,9 @@
 use std::ops::{Index, IndexMut};
 
 /// Default bound of the table: together with the rest of a dispatcher's state it fits into 256 MB.
-pub const USUAL_FUNCTION_BYTES: usize = 96 << 20;
+pub const DEFAULT_FUNCTION_BYTES: usize = 96 << 20;
 /// Smallest accepted bound of the table. Less holds too few functions to be useful.
-pub const LEAST_FUNCTION_BYTES: usize = 64 << 10;
+pub const MIN_FUNCTION_BYTES: usize = 64 << 10;
 /// Bytes of an active function besides its id: the record, its index entries, its preferred workers, and the marks that
 /// workers hold of it. Measured by `cargo bench --bench routing`.
 const ACTIVE_BYTES: usize = size_of::<Function>() + 512;
--- a/src/control/functions/tests.rs
+++ b/src/control/functions/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn idle_function_keeps_what_was_learned_in_a_dormant_record() {
-    let mut table = FunctionTable::new(USUAL_FUNCTION_BYTES);
+    let mut table = FunctionTable::new(DEFAULT_FUNCTION_BYTES);
     let slot = request(&mut table, 0, 7);
     table.served(0, slot);
     table[slot].holders = vec![3, 5];
@@ -76,7 +76,7 @@
 
 #[test]
 fn idle_functions_become_dormant_a_few_at_a_time() {
-    let mut table = FunctionTable::new(USUAL_FUNCTION_BYTES);
+    let mut table = FunctionTable::new(DEFAULT_FUNCTION_BYTES);
     for n in 0..1_000 {
         request(&mut table, 0, n);
     }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -4,10 +4,10 @@
 //! so that the tables stay bounded however many workers and functions come and go. No requests are decided here.
 
 use super::fleet::{FleetSums, TimeConstants};
-use super::functions::{LEAST_FUNCTION_BYTES, RetiredFunction};
+use super::functions::{MIN_FUNCTION_BYTES, RetiredFunction};
 use super::renewal::{RenewalQueue, Use};
 use super::tables::{Function, Replica, Worker};
-use super::{DORMANT, Evidence, Router, Warmth};
+use super::{DORMANT_AFTER_KEEP_ALIVES, Evidence, Router, Warmth};
 use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
 use std::collections::HashSet;
 
@@ -56,9 +56,9 @@
 }
 
 impl Router {
-    /// Sets the bound of the function table in bytes, at least [`LEAST_FUNCTION_BYTES`].
+    /// Sets the bound of the function table in bytes, at least [`MIN_FUNCTION_BYTES`].
     pub fn bound_functions(&mut self, bytes: usize) {
-        self.functions.set_max_bytes(bytes.max(LEAST_FUNCTION_BYTES));
+        self.functions.set_max_bytes(bytes.max(MIN_FUNCTION_BYTES));
     }
 
     /// Sets whether each choice estimates every worker instead of searching; the choices are the same.
@@ -219,10 +219,11 @@
         slot
     }
 
-    /// Removes marks of a function that have not been used for [`DORMANT`] keep-alives and stand for no replica, so that the
+    /// Removes marks of a function that have not been used for [`DORMANT_AFTER_KEEP_ALIVES`] keep-alives and stand for no replica, so that the
     /// number of marks is bounded by recent use.
     fn drop_expired_marks(&mut self, function: usize) {
-        let oldest = self.now.saturating_sub((DORMANT * self.settings.keep_alive as f64) as Micros);
+        let oldest =
+            self.now.saturating_sub((DORMANT_AFTER_KEEP_ALIVES * self.settings.keep_alive as f64) as Micros);
         let mut holders = std::mem::take(&mut self.functions[function].holders);
         holders.retain(|worker| {
             let mark = self.workers[*worker as usize].replicas.get(&function);
@@ -237,10 +238,10 @@
         self.functions[function].holders = holders;
     }
 
-    /// Makes functions dormant that have been idle for [`DORMANT`] keep-alives, evicts functions beyond the bound of the table,
+    /// Makes functions dormant that have been idle for [`DORMANT_AFTER_KEEP_ALIVES`] keep-alives, evicts functions beyond the bound of the table,
     /// and removes the marks of both.
     pub(super) fn retire_functions(&mut self) {
-        let idle = (DORMANT * self.settings.keep_alive as f64) as Micros;
+        let idle = (DORMANT_AFTER_KEEP_ALIVES * self.settings.keep_alive as f64) as Micros;
         for RetiredFunction { slot, holders } in
             self.functions.maintain(self.now, self.now.saturating_sub(idle))
         {
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -5,7 +5,7 @@
 
 use super::jobs::NETWORK_MARGIN_US;
 use crate::config::{Config, Settings};
-use crate::control::USUAL_FUNCTION_BYTES;
+use crate::control::DEFAULT_FUNCTION_BYTES;
 use crate::core::Bounds;
 use crate::executor;
 use crate::front::thrift;
@@ -25,7 +25,7 @@
 /// limit, up to the module's default. Bodies, half-read answers and unsent answers use the rest. Two processes get half each.
 pub(super) fn function_bytes(config: &Config, configured: Option<usize>, two_processes: bool) -> usize {
     let memory = config.parts.resources.memory;
-    configured.unwrap_or((memory / 8 * 3).min(USUAL_FUNCTION_BYTES)) / if two_processes { 2 } else { 1 }
+    configured.unwrap_or((memory / 8 * 3).min(DEFAULT_FUNCTION_BYTES)) / if two_processes { 2 } else { 1 }
 }
 
 /// Returns the limits of the core, the executor pool and the Thrift front, and the number of connections of the operators'
