--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -291,7 +291,7 @@
                     bound(known == functions, format!("{label}: {known} functions are known"));
                 }
             }
-            bed.router.scan(true);
+            bed.router.set_exhaustive_search(true);
             let scanned = bed.calls(scans);
             println!("{label}_scan_mean {scanned:.2} us a call");
             println!("{label}_scan_over_search {:.1} ratio", scanned / mean);
@@ -301,7 +301,7 @@
                     format!("{label}: only {:.1} times cheaper than the scan", scanned / mean),
                 );
             }
-            bed.router.scan(false);
+            bed.router.set_exhaustive_search(false);
             if workers == 15_600 {
                 let [one, zone, whole] = lists(&mut bed, workers);
                 println!("{label}_list_one_changed {one:.3} ms");
--- a/src/control.rs
+++ b/src/control.rs
@@ -321,7 +321,7 @@
     }
 
     /// Returns the number of workers, of functions known in full, and of requests in its tables.
-    pub fn held(&self) -> (usize, usize, usize) {
+    pub fn entry_counts(&self) -> (usize, usize, usize) {
         (self.workers.len(), self.functions.counts().0, self.requests.len())
     }
 
@@ -367,14 +367,14 @@
         self.tenant_quotas = settings.tenant_quotas.iter().map(full).collect();
         self.report_fields = Fields::of(&settings.report_fields);
         self.settings = settings;
-        self.rebuild();
+        self.rebuild_indexes();
     }
 
     /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Workers { complete, entries } => self.list(*complete, entries, out),
+            Event::Workers { complete, entries } => self.apply_worker_list(*complete, entries, out),
             Event::ListRefused if self.settings.list_on_request => out.push(Action::Watch),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
@@ -387,7 +387,7 @@
                 if *class >= self.settings.classes.len() || self.requests.contains_key(id) {
                     return out.push(Action::Refuse { id: *id, retry_after: 0 });
                 }
-                let function = self.function(function, *class, *lanes, *load_time);
+                let function = self.function_slot(function, *class, *lanes, *load_time);
                 let (f, pool) = (&mut self.functions[function], &mut self.class_estimates[*class]);
                 let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
@@ -540,7 +540,7 @@
     }
 
     /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
-    fn peers(&self) -> (f64, f64) {
+    fn fleet_slowness(&self) -> (f64, f64) {
         let (sum, weight) = self.fleet.slowness(self.now);
         (self.sparsity * sum, self.sparsity * weight)
     }
@@ -563,7 +563,7 @@
     /// Adjusts a worker's slowness by the relative error of a prediction.
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
-        let slow = self.slowness(&self.workers[worker], self.peers());
+        let slow = self.slowness(&self.workers[worker], self.fleet_slowness());
         self.workers[worker].slowness.learn(
             self.now,
             self.half_life_us,
@@ -717,7 +717,7 @@
     }
 
     /// Returns the time of a load, plus the price of its fetch converted to time.
-    fn whole_load(&self, request: &Request) -> f64 {
+    fn load_cost(&self, request: &Request) -> f64 {
         self.load_time(request.function) + self.settings.fetch_price * request.class_settings.aim as f64
     }
 
@@ -740,7 +740,7 @@
             self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
         let mark = target.replicas.get(&request.function).copied().unwrap_or_default();
         let warmth = self.warmth(&mark);
-        let whole_load = self.whole_load(request);
+        let whole_load = self.load_cost(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
         let peer_copy = rank.map(|rank| self.peer_copy_probability(function, rank, known));
         let (load_wait, copies) = match warmth {
@@ -856,7 +856,7 @@
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
     /// observed no copy, once there has been time to load it.
-    fn found(&self, f: &Function) -> f64 {
+    fn home_hit_probability(&self, f: &Function) -> f64 {
         let of_class = self.class_estimates[f.class].home_hits.mean(
             self.now,
             self.half_life_us,
@@ -887,8 +887,8 @@
 
     /// Returns the worker with the smallest estimate. Ties between cold workers are broken by the order of
     /// preference that all routers share, ties between warm ones at random.
-    fn best(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
-        let known = self.known(request.function);
+    fn best_worker(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
+        let known = self.choice_inputs(request.function);
         let load = self.load_time(request.function);
         let tie =
             load * if self.report_fields.told() { COLD_TIE_LOAD_TIMES_REPORTED } else { COLD_TIE_LOAD_TIMES };
@@ -898,9 +898,9 @@
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
         let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run_time;
         if self.exhaustive_search {
-            return self.best_of_all(request, &known, only_cold, tie, key);
+            return self.best_by_scan(request, &known, only_cold, tie, key);
         }
-        self.find_preferred(request.function, 0);
+        self.cache_preferred(request.function, 0);
         let mut search = Search::new(self, request, &known);
         search.take_warm(key);
         let least_warm = least(&search.warm, Estimate::key);
@@ -909,18 +909,18 @@
         // Keeps as many preferred workers for the next choice, so that the ring is not searched again for
         // each.
         let taken = search.end();
-        self.find_preferred(request.function, taken);
+        self.cache_preferred(request.function, taken);
         found
     }
 
     /// Sends a request that has no open attempt to a worker, or refuses or fails it.
     fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
-        if let Some(retry_after) = self.sheds(&request) {
+        if let Some(retry_after) = self.shed_retry_after(&request) {
             self.requests.insert(id, request);
             return self.finish(id, Action::Refuse { id, retry_after }, out);
         }
-        let worth = self.worth(request.class);
+        let worth = self.relative_credit(request.class);
         let left = request.deadline.saturating_sub(self.now) as f64;
         let aim_share = if request.over_quota {
             IDLE_AIM_SHARE
@@ -929,10 +929,10 @@
         };
         let (function, aim) = (request.function, request.class_settings.aim as f64);
         let queue_limit = aim_share * aim;
-        let mut choice = self.trial(&request).or_else(|| self.best(&request, false));
+        let mut choice = self.zone_probe(&request).or_else(|| self.best_worker(&request, false));
         if choice.is_some_and(|e| !e.idle && e.total_without_load() > queue_limit) {
             let unqueued = |e: &Estimate| e.total_without_load() <= IDLE_AIM_SHARE * queue_limit;
-            choice = self.best(&request, true).filter(unqueued).or(choice);
+            choice = self.best_worker(&request, true).filter(unqueued).or(choice);
         }
         let may_refuse = self.may_refuse(&request);
         let resend_cost =
@@ -1054,7 +1054,7 @@
         let spent = (self.now - request.attempts[0].sent_at) as f64;
         let worth_it =
             |e: &Estimate| e.probable_total() <= left && (!e.cold || spent + e.probable_total() <= aim);
-        let choice = self.best(&request, false).filter(worth_it);
+        let choice = self.best_worker(&request, false).filter(worth_it);
         let already_hedged = request.attempts.iter().filter(|a| a.open).count() > 1;
         self.requests.insert(id, request);
         if let Some(e) = choice.filter(|_| !already_hedged) {
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -132,12 +132,12 @@
 
     /// Chooses a worker for a probe of a zone that the fleet tests: the one with the smallest estimate there, if it meets the
     /// deadline. Only first attempts of idempotent requests are used, since a failed one is safe to repeat elsewhere.
-    pub(super) fn trial(&mut self, request: &Request) -> Option<Estimate> {
+    pub(super) fn zone_probe(&mut self, request: &Request) -> Option<Estimate> {
         let repeatable = request.attempts.is_empty() && request.class_settings.effect == Effect::Idempotent;
         if !repeatable || !self.budget.zones.values().any(|gate| gate.wanted && gate.left > 0) {
             return None;
         }
-        let known = self.known(request.function);
+        let known = self.choice_inputs(request.function);
         let ranks = self.home_ranks(request.function, known.homes);
         let probed =
             |zone: &usize| self.budget.zones.get(zone).is_some_and(|gate| gate.wanted && gate.left > 0);
@@ -149,7 +149,7 @@
     }
 
     /// Returns a class's credit relative to the highest of any class, from 0 to 1.
-    pub(super) fn worth(&self, class: usize) -> f64 {
+    pub(super) fn relative_credit(&self, class: usize) -> f64 {
         let max = self.settings.classes.iter().map(|class| class.credit).fold(f64::MIN_POSITIVE, f64::max);
         (self.settings.classes[class].credit / max).clamp(0.0, 1.0)
     }
@@ -157,7 +157,7 @@
     /// Returns the retry-after time if the fleet's admission level sheds the request. Only requests without an attempt are
     /// shed. The times are spread over the time of recovery, at random from half to one and a half times [`Budget::back`], so
     /// that shed requests do not all return at once.
-    pub(super) fn sheds(&mut self, request: &Request) -> Option<Micros> {
+    pub(super) fn shed_retry_after(&mut self, request: &Request) -> Option<Micros> {
         if self.budget.level == 0 || !request.attempts.is_empty() {
             return None;
         }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -130,7 +130,7 @@
             visited: 0,
             visited_up: 0.0,
             last_down_at: 0,
-            load_time: router.whole_load(request),
+            load_time: router.load_cost(request),
             run_time: function.run_time * request.size.size,
         }
     }
@@ -346,7 +346,7 @@
     }
 
     /// Caches at least the `wanted` most preferred workers of a function, within the limits, unless they are cached already.
-    pub(super) fn find_preferred(&mut self, function: usize, wanted: usize) {
+    pub(super) fn cache_preferred(&mut self, function: usize, wanted: usize) {
         let entry = &self.functions[function];
         let wanted = wanted.clamp(MIN_PREFERRED_CACHED, MAX_PREFERRED_CACHED).min(self.ring.count());
         if entry.preferred_version == self.ring.version() && entry.preferred_workers.len() >= wanted {
@@ -379,16 +379,16 @@
     }
 
     /// Computes the inputs that all estimates of one choice of a worker for the function share.
-    pub(super) fn known(&mut self, function: usize) -> Known {
+    pub(super) fn choice_inputs(&mut self, function: usize) -> Known {
         self.fleet.advance(self.now);
         let (rate, homes) = self.demand(&self.functions[function]);
-        let peers = self.peers();
+        let peers = self.fleet_slowness();
         // The slowness expected of a worker leaves out its own samples, which are at most one sample of the slowest mean:
         // taking out that much of the sum, and none of the weight, gives a lower bound for every worker.
         let slowest = self.fleet.slowness_range().map_or(0.0, |(_, max)| max);
         let min_slowness =
             (PRIOR_SAMPLES + (peers.0 - self.sparsity * slowest).max(0.0)) / (PRIOR_SAMPLES + peers.1);
-        let found = self.found(&self.functions[function]);
+        let found = self.home_hit_probability(&self.functions[function]);
         Known {
             rate,
             homes,
@@ -399,8 +399,8 @@
         }
     }
 
-    /// Returns the best worker by estimates of all workers, the same one that [`Router::best`] finds by a search.
-    pub(super) fn best_of_all(
+    /// Returns the best worker by estimates of all workers, the same one that [`Router::best_worker`] finds by a search.
+    pub(super) fn best_by_scan(
         &self,
         request: &Request,
         known: &Known,
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -56,7 +56,7 @@
         // Small and large fleets use different preference orders; some histories cross the limit between them.
         let most_ranked = [0, 0, 11, 40, usize::MAX][seed as usize % 5];
         (search.max_rendezvous_workers, scan.max_rendezvous_workers) = (most_ranked, most_ranked);
-        scan.scan(true);
+        scan.set_exhaustive_search(true);
         let functions = [5, 40, 400][seed as usize % 3];
         let mut history = History {
             rng,
@@ -351,7 +351,7 @@
         let function = router.functions[slot].id.clone();
         let mut sorted: Vec<usize> = (0..router.workers.len()).collect();
         sorted.sort_by_key(|w| router.preference_distance(&function, *w));
-        let homes = router.known(slot).homes;
+        let homes = router.choice_inputs(slot).homes;
         let mut expected = Vec::new();
         let mut up = 0.0;
         for worker in &sorted {
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -178,7 +178,7 @@
         self.ring = PreferenceRing::default();
         self.ring.update(&[], &all);
         self.update_preference_order();
-        self.rebuild();
+        self.rebuild_indexes();
         true
     }
 }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -62,12 +62,12 @@
     }
 
     /// Sets whether each choice estimates every worker instead of searching; the choices are the same.
-    pub fn scan(&mut self, scans: bool) {
+    pub fn set_exhaustive_search(&mut self, scans: bool) {
         self.exhaustive_search = scans;
     }
 
     /// Applies a list of workers: a complete one, or one of changes only.
-    pub(super) fn list(&mut self, complete: bool, entries: &[Listing], out: &mut Vec<Action>) {
+    pub(super) fn apply_worker_list(&mut self, complete: bool, entries: &[Listing], out: &mut Vec<Action>) {
         if self.worker_ids.is_empty() && self.settings.list_on_request {
             out.push(Action::Watch);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Returns the counters of decisions about cold workers and renewals.
-    pub fn tally(&self) -> Tally {
+    pub fn counters(&self) -> Tally {
         self.counters
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Returns the slot of the function that a request names, after updating it with what the request states.
-    pub(super) fn function(
+    pub(super) fn function_slot(
         &mut self,
         id: &FunctionId,
         class: usize,
@@ -252,7 +252,7 @@
     }
 
     /// Rebuilds the fleet sums and the renewal queue from the workers and their marks.
-    pub(super) fn rebuild(&mut self) {
+    pub(super) fn rebuild_indexes(&mut self) {
         let times = TimeConstants { half_life: self.half_life_us, warm_after: self.settings.warm_after };
         self.fleet = FleetSums::of(times, &self.workers, self.now);
         let mut uses = Vec::new();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -527,7 +527,7 @@
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, &event, &mut actions);
-            let tally = self.router.tally();
+            let tally = self.router.counters();
             self.counters.cold_turns.set(tally.cold_turns);
             self.counters.loads_left.set(tally.loads_left);
             actions.drain(..).for_each(|action| self.apply(now, action));
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -429,7 +429,7 @@
         test.list(true, workers.to_vec());
         test.warm_up(0, &format!("f{n}"));
     }
-    let (workers, functions, requests) = test.router.held();
+    let (workers, functions, requests) = test.router.entry_counts();
     assert!(workers <= 8 && functions <= 1024 && requests == 0, "{workers} {functions} {requests}");
     test.list(true, vec![Listing { worker: kept.clone(), ..healthy(0, None) }]);
     assert_eq!(test.warm_up(0, "kept"), kept);
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -228,7 +228,7 @@
         let least = 0.2 * capacity * (0.15 + 0.85 / 2.0) * 14.0;
         let sent = sends.len();
         assert!(sent as f64 >= least, "{balancers} routers, seed {seed}: {sent} sent, {least} wanted");
-        let turns: u64 = fleet.routers.iter().map(|r| r.tally().cold_turns).sum();
+        let turns: u64 = fleet.routers.iter().map(|r| r.counters().cold_turns).sum();
         assert_eq!(turns, sends.len() as u64, "{balancers} routers, seed {seed}: each takes a turn");
     }
 }
@@ -246,7 +246,10 @@
             orders * 50 < requests,
             "{balancers} routers, seed {seed}: {orders} orders, {requests} requests"
         );
-        assert!(fleet.routers.iter().all(|r| r.tally().loads_left > 0), "what is left to others is counted");
+        assert!(
+            fleet.routers.iter().all(|r| r.counters().loads_left > 0),
+            "what is left to others is counted"
+        );
     }
 }
 
