--- a/src/control.rs
+++ b/src/control.rs
@@ -29,7 +29,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 pub use budget::{Budget, Tokens, ZoneGate};
-use candidates::{Known, MAX_RENDEZVOUS_WORKERS, Rank, Search, least, least_of};
+use candidates::{ChoiceInputs, MAX_RENDEZVOUS_WORKERS, Rank, Search, min_by_key, min_key};
 use evidence::Evidence;
 use fleet::FleetSums;
 use functions::FunctionTable;
@@ -662,7 +662,7 @@
     /// started. Its budget is dealt out to the routers in rotation, one request per turn, and an unused turn
     /// lapses. The worker's full capacity is taken to be what its peers serve each, and at least what one
     /// core could.
-    fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &Known) -> Option<u64> {
+    fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &ChoiceInputs) -> Option<u64> {
         let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
         let warm_after = self.settings.warm_after as f64;
         if age >= warm_after {
@@ -728,13 +728,13 @@
         request: &Request,
         worker: usize,
         rank: Option<&Rank>,
-        known: &Known,
+        known: &ChoiceInputs,
     ) -> Option<Estimate> {
         let target = &self.workers[worker];
         let function = &self.functions[request.function];
         let class = &request.class_settings;
-        let slowness =
-            self.slowness(target, known.peers) / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
+        let slowness = self.slowness(target, known.fleet_slowness)
+            / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
         let run_time = function.run_time * slowness * request.size.size;
         let cold_turn =
             self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
@@ -841,9 +841,9 @@
     /// Returns the probability that other routers keep the function warm at a worker, one of its homes. A
     /// worker that became a home only because others left counts as one from the time they left: otherwise,
     /// after the loss of many workers, all routers would assume copies that none has loaded yet.
-    fn peer_copy_probability(&self, function: &Function, rank: &Rank, known: &Known) -> f64 {
-        let (rate, homes, up_before) = (known.rate, known.homes, rank.up);
-        let home_since = Some(rank.fell).filter(|_| rank.all >= homes);
+    fn peer_copy_probability(&self, function: &Function, rank: &Rank, known: &ChoiceInputs) -> f64 {
+        let (rate, homes, up_before) = (known.request_rate, known.homes, rank.up_before);
+        let home_since = Some(rank.last_down_at).filter(|_| rank.workers_before >= homes);
         let age = match self.workers[rank.worker].ready_at.max(home_since) {
             Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load_time(function)).max(0.0),
             None => f64::INFINITY,
@@ -851,7 +851,7 @@
         let uses = (rate / homes).max(1.0 / self.settings.keep_alive as f64) * age;
         // All routers fill the homes in the same order, but estimate different numbers of them: the first
         // workers are homes by every estimate, the last ones by few.
-        known.found * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
+        known.home_hit_probability * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
     }
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
@@ -896,19 +896,19 @@
         // and overload it.
         let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.balancers as f64));
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
-        let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run_time;
+        let key = |e: &Estimate| e.key() + error * preference::slot_jitter(draw, e.worker) * e.run_time;
         if self.exhaustive_search {
             return self.best_by_scan(request, &known, only_cold, tie, key);
         }
         self.cache_preferred(request.function, 0);
         let mut search = Search::new(self, request, &known);
-        search.take_warm(key);
-        let least_warm = least(&search.warm, Estimate::key);
+        search.visit_warm_homes(key);
+        let least_warm = min_key(&search.warm, Estimate::key);
         let cold = only_cold || search.any_cold_before(least_warm);
-        let found = if cold { search.first_cold(tie) } else { least_of(&search.warm, key) };
+        let found = if cold { search.first_cold_within(tie) } else { min_by_key(&search.warm, key) };
         // Keeps as many preferred workers for the next choice, so that the ring is not searched again for
         // each.
-        let taken = search.end();
+        let taken = search.finish();
         self.cache_preferred(request.function, taken);
         found
     }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -32,15 +32,15 @@
 
 /// Inputs that all estimates of one choice share.
 #[derive(Default)]
-pub(super) struct Known {
+pub(super) struct ChoiceInputs {
     /// Rate of requests for the function at all routers together, per microsecond.
-    pub(super) rate: f64,
+    pub(super) request_rate: f64,
     /// Number of the function's homes.
     pub(super) homes: f64,
     /// Probability that a home which had enough time to load the function holds it.
-    pub(super) found: f64,
+    pub(super) home_hit_probability: f64,
     /// Sum of the observed slowness of all workers, and the weight of that sum in samples.
-    pub(super) peers: (f64, f64),
+    pub(super) fleet_slowness: (f64, f64),
     /// Lower bound of the slowness expected of any worker without observations of its own.
     pub(super) min_expected_slowness: f64,
     /// Capacity of all workers that are up, in units of one warm worker; computed on first use.
@@ -51,11 +51,11 @@
 pub(super) struct Rank {
     pub(super) worker: usize,
     /// Number of workers before it that are up.
-    pub(super) up: f64,
+    pub(super) up_before: f64,
     /// Number of all workers before it.
-    pub(super) all: f64,
+    pub(super) workers_before: f64,
     /// Latest time at which one of the workers before it went down, among those that are down; 0 for none.
-    pub(super) fell: Micros,
+    pub(super) last_down_at: Micros,
 }
 
 /// Estimates of all workers that may take a request, by whether a load is needed, each in the order of slots.
@@ -74,7 +74,12 @@
 }
 
 /// Estimates every worker of the fleet: the reference for [`Search`].
-pub(super) fn estimate_all(router: &Router, request: &Request, known: &Known, ranks: &[Rank]) -> Estimates {
+pub(super) fn estimate_all(
+    router: &Router,
+    request: &Request,
+    known: &ChoiceInputs,
+    ranks: &[Rank],
+) -> Estimates {
     let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), known);
     Estimates::partition((0..router.workers.len()).filter_map(estimate))
 }
@@ -88,7 +93,7 @@
 pub(super) struct Search<'a> {
     router: &'a Router,
     request: &'a Request,
-    known: &'a Known,
+    known: &'a ChoiceInputs,
     /// Workers that hold or load a replica by this router's own observations, sorted by slot.
     holders: Vec<usize>,
     /// Estimates of workers that need no load: holders, and visited homes that probably have a replica.
@@ -108,7 +113,7 @@
 
 impl<'a> Search<'a> {
     /// Estimates the workers that hold a replica.
-    pub(super) fn new(router: &'a Router, request: &'a Request, known: &'a Known) -> Search<'a> {
+    pub(super) fn new(router: &'a Router, request: &'a Request, known: &'a ChoiceInputs) -> Search<'a> {
         let function = &router.functions[request.function];
         let holds = |worker: &usize| {
             let mark = router.workers[*worker].replicas.get(&request.function);
@@ -144,7 +149,7 @@
     fn max_found_chance(&self) -> f64 {
         let homes = self.known.homes;
         if self.homes_remain() {
-            self.known.found * (-self.router.sparsity * self.visited_up / homes).exp()
+            self.known.home_hit_probability * (-self.router.sparsity * self.visited_up / homes).exp()
         } else {
             0.0
         }
@@ -175,7 +180,12 @@
     /// Visits the next worker in preference order and records its estimate; returns false if none is left.
     fn visit_next(&mut self) -> bool {
         let Some(worker) = self.unvisited.next() else { return false };
-        let rank = Rank { worker, up: self.visited_up, all: self.visited as f64, fell: self.last_down_at };
+        let rank = Rank {
+            worker,
+            up_before: self.visited_up,
+            workers_before: self.visited as f64,
+            last_down_at: self.last_down_at,
+        };
         let rank = Some(&rank).filter(|_| self.homes_remain());
         if !self.is_holder(worker)
             && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.known)
@@ -193,8 +203,8 @@
     }
 
     /// Visits homes for as long as one that is left could have a smaller key than all workers found to need no load.
-    pub(super) fn take_warm(&mut self, key: impl Fn(&Estimate) -> f64) {
-        let mut min_key = least(&self.warm, &key);
+    pub(super) fn visit_warm_homes(&mut self, key: impl Fn(&Estimate) -> f64) {
+        let mut min_key = min_key(&self.warm, &key);
         while self.homes_remain()
             && self.max_found_chance() > PRIOR_HOME_HIT_PROBABILITY
             && self.unvisited_bound() <= min_key
@@ -222,7 +232,7 @@
     }
 
     fn min_cold_finish(&self) -> f64 {
-        least(&self.cold, Estimate::key)
+        min_key(&self.cold, Estimate::key)
     }
 
     fn visit_remaining_homes(&mut self) {
@@ -252,7 +262,7 @@
 
     /// Returns the first worker in preference order that would have to load the function and finishes at most `tie` after
     /// the earliest finish of all such workers.
-    pub(super) fn first_cold(&mut self, tie: f64) -> Option<Estimate> {
+    pub(super) fn first_cold_within(&mut self, tie: f64) -> Option<Estimate> {
         for _ in 0..MAX_BOUNDED_VISITS {
             // The first worker within the tie of the best visited so far is the result if it is also within the tie of the
             // lower bound of all unvisited workers. Otherwise the bound cannot decide yet.
@@ -284,13 +294,13 @@
     }
 
     /// Ends the search and returns the number of workers visited in preference order.
-    pub(super) fn end(self) -> usize {
+    pub(super) fn finish(self) -> usize {
         self.visited
     }
 }
 
 /// Returns the smallest key of the estimates; infinity for none.
-pub(super) fn least(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
+pub(super) fn min_key(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
     estimates.iter().map(key).fold(f64::INFINITY, f64::min)
 }
 
@@ -366,7 +376,7 @@
             if up >= homes {
                 break;
             }
-            ranks.push(Rank { worker, up, all: ranks.len() as f64, fell: last_down_at });
+            ranks.push(Rank { worker, up_before: up, workers_before: ranks.len() as f64, last_down_at });
             let visited = &self.workers[worker];
             (up, last_down_at) = if visited.up {
                 (up + 1.0, last_down_at)
@@ -379,7 +389,7 @@
     }
 
     /// Computes the inputs that all estimates of one choice of a worker for the function share.
-    pub(super) fn choice_inputs(&mut self, function: usize) -> Known {
+    pub(super) fn choice_inputs(&mut self, function: usize) -> ChoiceInputs {
         self.fleet.advance(self.now);
         let (rate, homes) = self.demand(&self.functions[function]);
         let peers = self.fleet_slowness();
@@ -389,11 +399,11 @@
         let min_slowness =
             (PRIOR_SAMPLES + (peers.0 - self.sparsity * slowest).max(0.0)) / (PRIOR_SAMPLES + peers.1);
         let found = self.home_hit_probability(&self.functions[function]);
-        Known {
-            rate,
+        ChoiceInputs {
+            request_rate: rate,
             homes,
-            found,
-            peers,
+            home_hit_probability: found,
+            fleet_slowness: peers,
             min_expected_slowness: min_slowness.min(1.0),
             capacity: OnceCell::new(),
         }
@@ -403,16 +413,16 @@
     pub(super) fn best_by_scan(
         &self,
         request: &Request,
-        known: &Known,
+        known: &ChoiceInputs,
         only_cold: bool,
         tie: f64,
         key: impl Fn(&Estimate) -> f64,
     ) -> Option<Estimate> {
         let ranks = self.home_ranks(request.function, known.homes);
         let estimates = estimate_all(self, request, known, &ranks);
-        let min_cold = least(&estimates.cold, Estimate::key);
-        if least(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
-            return least_of(&estimates.warm, key);
+        let min_cold = min_key(&estimates.cold, Estimate::key);
+        if min_key(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
+            return min_by_key(&estimates.warm, key);
         }
         let function = &self.functions[request.function].id;
         let distance = |estimate: &Estimate| self.preference_distance(function, estimate.worker);
@@ -422,7 +432,7 @@
 }
 
 /// Returns the estimate with the smallest key; of equal ones, that of the lowest slot.
-pub(super) fn least_of(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
+pub(super) fn min_by_key(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
     let order = |a: &&Estimate, b: &&Estimate| key(a).total_cmp(&key(b)).then(a.worker.cmp(&b.worker));
     estimates.iter().min_by(order).copied()
 }
--- a/src/control/preference.rs
+++ b/src/control/preference.rs
@@ -231,7 +231,7 @@
 }
 
 /// Derives a pseudo-random number from 0 to 1 for a slot from a random number.
-pub fn unit(draw: u64, slot: usize) -> f64 {
+pub fn slot_jitter(draw: u64, slot: usize) -> f64 {
     let [number] = split_mix(draw ^ (slot as u64) << 1);
     number as f64 / u64::MAX as f64
 }
