--- a/src/control.rs
+++ b/src/control.rs
@@ -399,7 +399,7 @@
                 let (class, tenant, over_quota) = (*class, *tenant, self.charge_quota(*tenant, *again));
                 let (rules, max_attempts) = (self.settings.classes[class], self.settings.max_attempts);
                 if *again {
-                    self.budget.came_again();
+                    self.budget.count_client_retry();
                 }
                 let request = Request {
                     class,
@@ -500,7 +500,7 @@
         for (_, worker, function) in
             due.into_iter().take(usable_ration.saturating_sub(self.recent_load_orders.len()))
         {
-            if !self.budget.order() {
+            if !self.budget.take_load_order() {
                 break;
             }
             self.recent_load_orders.push_back(self.now);
@@ -618,7 +618,7 @@
         let over = request.ended || request.streaming || self.now >= request.deadline;
         let blocks = |a: &Attempt| a.open && (!self.settings.may_duplicate || a.estimate.worker == worker);
         let exhausted = request.attempts.len() >= request.max_attempts.min(self.settings.max_attempts);
-        let allowed = !over && target.up && !exhausted && self.budget.open(target);
+        let allowed = !over && target.up && !exhausted && self.budget.allows(target);
         if !allowed || request.attempts.iter().any(blocks) {
             return false;
         }
@@ -946,7 +946,7 @@
                 if e.probable_total() <= left
                     && (e.idle || e.total_without_load() <= queue_limit)
                     && self.resend_tokens >= resend_cost
-                    && self.budget.resend(resend_cost > 0.0, worth) =>
+                    && self.budget.take_resend(resend_cost > 0.0, worth) =>
             {
                 self.resend_tokens -= resend_cost;
                 self.send(id, e, out);
@@ -973,7 +973,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let function = request.function;
         let w = &mut self.workers[e.worker];
-        self.budget.enter(w);
+        self.budget.count_sent(w);
         w.open_attempts.push((id, request.attempts.len()));
         let mark = replica_mut(w, e.worker, &mut self.functions[function], function);
         self.renewals.push(Use { at: self.now, worker: e.worker, function });
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -14,20 +14,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tokens {
     /// Tokens available.
-    pub left: u64,
+    pub available: u64,
     /// Tokens taken.
-    pub spent: u64,
+    pub taken: u64,
     /// Tokens asked for, whether one was available or not.
-    pub wanted: u64,
+    pub requested: u64,
 }
 
 impl Tokens {
     /// Takes a token if one is available; returns whether it did.
     fn take(&mut self) -> bool {
-        self.wanted += 1;
-        let available = self.left > 0;
-        self.left -= u64::from(available);
-        self.spent += u64::from(available);
+        self.requested += 1;
+        let available = self.available > 0;
+        self.available -= u64::from(available);
+        self.taken += u64::from(available);
         available
     }
 }
@@ -36,32 +36,32 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneGate {
     /// Requests that may still be sent to the zone.
-    pub left: u64,
+    pub remaining: u64,
     /// Requests sent to the zone.
-    pub got: u64,
+    pub sent: u64,
     /// Whether requests are sent there as probes even if other workers are nearer or warmer: the fleet judges the zone by
     /// their answers.
-    pub wanted: bool,
+    pub probe: bool,
 }
 
 /// What the fleet leaves to this router, and what this router has used of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
     /// Workers that the fleet readmits in a slow start: requests that each may still get, and requests that it got.
-    pub gates: BTreeMap<WorkerId, (u64, u64)>,
+    pub worker_gates: BTreeMap<WorkerId, (u64, u64)>,
     /// Zones with reduced traffic, by index.
-    pub zones: BTreeMap<usize, ZoneGate>,
+    pub zone_gates: BTreeMap<usize, ZoneGate>,
     /// Tokens for second and later attempts; `None` if the fleet sets no budget for them.
-    pub resends: Option<Tokens>,
+    pub resend_tokens: Option<Tokens>,
     /// Tokens for load orders; `None` if the fleet sets no budget for them.
-    pub orders: Option<Tokens>,
+    pub load_order_tokens: Option<Tokens>,
     /// Admission level: requests whose standing is below it are shed; 0 sheds none.
-    pub level: u8,
+    pub admission_level: u8,
     /// Mean of the retry-after times given to requests that the level sheds.
-    pub back: Micros,
+    pub mean_retry_after: Micros,
     /// Highest worth among the requests that asked for a resend since the host last replaced the budget, in hundredths of the
     /// highest worth of any class.
-    pub worth: u32,
+    pub max_resend_worth: u32,
     /// Requests shed by the level since then.
     pub shed: u64,
     /// Highest standing among the requests shed.
@@ -70,42 +70,42 @@
 
 impl Budget {
     /// Returns whether a request of this worth may be sent, and takes a token for a resend. A first attempt is always allowed.
-    pub(super) fn resend(&mut self, again: bool, worth: f64) -> bool {
-        let Some(tokens) = self.resends.as_mut().filter(|_| again) else { return true };
-        self.worth = self.worth.max((worth * 100.0) as u32);
+    pub(super) fn take_resend(&mut self, again: bool, worth: f64) -> bool {
+        let Some(tokens) = self.resend_tokens.as_mut().filter(|_| again) else { return true };
+        self.max_resend_worth = self.max_resend_worth.max((worth * 100.0) as u32);
         // The last token is reserved for requests of the highest worth.
-        let reserved = if worth < 1.0 { tokens.left.min(2) / 2 } else { 0 };
-        if tokens.left <= reserved {
-            tokens.wanted += 1;
+        let reserved = if worth < 1.0 { tokens.available.min(2) / 2 } else { 0 };
+        if tokens.available <= reserved {
+            tokens.requested += 1;
             return false;
         }
         tokens.take()
     }
 
     /// Returns whether the gates of the worker and of its zone allow another request.
-    pub(super) fn open(&self, worker: &Worker) -> bool {
-        self.gates.get(&worker.id).is_none_or(|(left, _)| *left > 0)
-            && self.zones.get(&worker.zone).is_none_or(|gate| gate.left > 0)
+    pub(super) fn allows(&self, worker: &Worker) -> bool {
+        self.worker_gates.get(&worker.id).is_none_or(|(left, _)| *left > 0)
+            && self.zone_gates.get(&worker.zone).is_none_or(|gate| gate.remaining > 0)
     }
 
     /// Counts a request sent to the worker against its gate and that of its zone.
-    pub(super) fn enter(&mut self, worker: &Worker) {
-        if let Some((left, got)) = self.gates.get_mut(&worker.id) {
+    pub(super) fn count_sent(&mut self, worker: &Worker) {
+        if let Some((left, got)) = self.worker_gates.get_mut(&worker.id) {
             (*left, *got) = (left.saturating_sub(1), *got + 1);
         }
-        if let Some(gate) = self.zones.get_mut(&worker.zone) {
-            (gate.left, gate.got) = (gate.left.saturating_sub(1), gate.got + 1);
+        if let Some(gate) = self.zone_gates.get_mut(&worker.zone) {
+            (gate.remaining, gate.sent) = (gate.remaining.saturating_sub(1), gate.sent + 1);
         }
     }
 
     /// Returns whether a load order may be sent, and takes a token for it.
-    pub(super) fn order(&mut self) -> bool {
-        self.orders.as_mut().is_none_or(Tokens::take)
+    pub(super) fn take_load_order(&mut self) -> bool {
+        self.load_order_tokens.as_mut().is_none_or(Tokens::take)
     }
 
     /// Counts a client's own retry as a resend. It cannot be prevented here, but it adds to the load like any other.
-    pub(super) fn came_again(&mut self) {
-        if let Some(tokens) = &mut self.resends {
+    pub(super) fn count_client_retry(&mut self) {
+        if let Some(tokens) = &mut self.resend_tokens {
             tokens.take();
         }
     }
@@ -114,10 +114,12 @@
 impl Router {
     /// Replaces the budget and returns the previous one with what was used of it.
     pub fn budget(&mut self, next: Budget) -> Budget {
-        for (zone, gate) in &next.zones {
+        for (zone, gate) in &next.zone_gates {
             // When the fleet readmits a zone, its failures and slowness are forgotten. Otherwise what was observed before it
             // was shut would keep this router from sending requests there for long.
-            if gate.left > 0 && self.budget.zones.get(zone).is_some_and(|previous| previous.left == 0) {
+            if gate.remaining > 0
+                && self.budget.zone_gates.get(zone).is_some_and(|previous| previous.remaining == 0)
+            {
                 self.zone_losses.remove(zone);
                 let workers = self.workers.iter_mut().enumerate();
                 for (slot, worker) in workers.filter(|(_, worker)| worker.zone == *zone) {
@@ -127,20 +129,21 @@
                 }
             }
         }
-        std::mem::replace(&mut self.budget, Budget { worth: 0, shed: 0, shed_up_to: 0, ..next })
+        std::mem::replace(&mut self.budget, Budget { max_resend_worth: 0, shed: 0, shed_up_to: 0, ..next })
     }
 
     /// Chooses a worker for a probe of a zone that the fleet tests: the one with the smallest estimate there, if it meets the
     /// deadline. Only first attempts of idempotent requests are used, since a failed one is safe to repeat elsewhere.
     pub(super) fn zone_probe(&mut self, request: &Request) -> Option<Estimate> {
         let repeatable = request.attempts.is_empty() && request.class_settings.effect == Effect::Idempotent;
-        if !repeatable || !self.budget.zones.values().any(|gate| gate.wanted && gate.left > 0) {
+        if !repeatable || !self.budget.zone_gates.values().any(|gate| gate.probe && gate.remaining > 0) {
             return None;
         }
         let known = self.choice_inputs(request.function);
         let ranks = self.home_ranks(request.function, known.homes);
-        let probed =
-            |zone: &usize| self.budget.zones.get(zone).is_some_and(|gate| gate.wanted && gate.left > 0);
+        let probed = |zone: &usize| {
+            self.budget.zone_gates.get(zone).is_some_and(|gate| gate.probe && gate.remaining > 0)
+        };
         let workers = (0..self.workers.len()).filter(|worker| probed(&self.workers[*worker].zone));
         let time_left = request.deadline.saturating_sub(self.now) as f64;
         let estimate = |worker| self.estimate(request, worker, candidates::rank_of(&ranks, worker), &known);
@@ -155,10 +158,10 @@
     }
 
     /// Returns the retry-after time if the fleet's admission level sheds the request. Only requests without an attempt are
-    /// shed. The times are spread over the time of recovery, at random from half to one and a half times [`Budget::back`], so
+    /// shed. The times are spread over the time of recovery, at random from half to one and a half times [`Budget::mean_retry_after`], so
     /// that shed requests do not all return at once.
     pub(super) fn shed_retry_after(&mut self, request: &Request) -> Option<Micros> {
-        if self.budget.level == 0 || !request.attempts.is_empty() {
+        if self.budget.admission_level == 0 || !request.attempts.is_empty() {
             return None;
         }
         let credit = |class: usize| self.settings.classes[class].credit;
@@ -168,12 +171,12 @@
         let rank = credits.iter().filter(|other| **other < credit(request.class)).count();
         let id = &self.functions[request.function].id;
         let standing = admission::standing(rank, credits.len(), request.over_quota, rendezvous(id, id));
-        if admission::admits(self.budget.level, standing) {
+        if admission::admits(self.budget.admission_level, standing) {
             return None;
         }
         self.budget.shed += 1;
         self.budget.shed_up_to = self.budget.shed_up_to.max(standing);
-        let mean = self.budget.back;
+        let mean = self.budget.mean_retry_after;
         Some((mean / 2 + u64::from(self.rng.next_u32()) % (mean + 1)).min(self.settings.max_retry_after))
     }
 }
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -266,15 +266,19 @@
         let mut next = Budget::default();
         if self.chance(60) {
             if let Some(n) = self.random_worker() {
-                next.gates.insert(self.workers[&n].worker.clone(), (self.below(3), 0));
+                next.worker_gates.insert(self.workers[&n].worker.clone(), (self.below(3), 0));
             }
             if self.chance(50) {
                 let zone = self.below(ZONES as u64) as usize;
-                next.zones.insert(zone, ZoneGate { left: self.below(4), got: 0, wanted: self.chance(50) });
+                next.zone_gates
+                    .insert(zone, ZoneGate { remaining: self.below(4), sent: 0, probe: self.chance(50) });
             }
-            next.resends = self.chance(50).then(|| Tokens { left: self.below(5), ..Tokens::default() });
-            next.orders = self.chance(50).then(|| Tokens { left: self.below(5), ..Tokens::default() });
-            (next.level, next.back) = (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
+            next.resend_tokens =
+                self.chance(50).then(|| Tokens { available: self.below(5), ..Tokens::default() });
+            next.load_order_tokens =
+                self.chance(50).then(|| Tokens { available: self.below(5), ..Tokens::default() });
+            (next.admission_level, next.mean_retry_after) =
+                (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
         }
         let spent = self.search.budget(next.clone());
         let expected = self.scan.budget(next);
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -34,7 +34,7 @@
         let previous = self.engine.budget(Budget::default());
         let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &previous)).unwrap_or_default();
         if let Some(zones) = &mut self.zones {
-            next.zones = zones.gates(self.now, &previous.zones);
+            next.zone_gates = zones.gates(self.now, &previous.zone_gates);
         }
         self.engine.budget(next);
         self.export_overload_counters();
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -202,19 +202,19 @@
 
     /// What the module may spend from now on, with what it spent before.
     pub fn budget(&mut self, now: Micros, last: &Budget) -> Budget {
-        let tokens = [last.resends, last.orders];
+        let tokens = [last.resend_tokens, last.load_order_tokens];
         for (shared, tokens) in self.shared.iter_mut().zip(tokens) {
             if let (Some(shared), Some(tokens)) = (shared, tokens) {
-                shared.bucket.take(tokens.spent);
-                shared.wanted += tokens.wanted;
-                shared.worth = shared.worth.max(last.worth);
+                shared.bucket.take(tokens.taken);
+                shared.wanted += tokens.requested;
+                shared.worth = shared.worth.max(last.max_resend_worth);
             }
         }
-        if let Some(tokens) = last.resends {
-            self.stats.wanted += tokens.wanted;
-            self.stats.resent += tokens.spent;
+        if let Some(tokens) = last.resend_tokens {
+            self.stats.wanted += tokens.requested;
+            self.stats.resent += tokens.taken;
         }
-        for (worker, (_, got)) in last.gates.iter().filter(|(_, (_, got))| *got > 0) {
+        for (worker, (_, got)) in last.worker_gates.iter().filter(|(_, (_, got))| *got > 0) {
             self.stats.trials += u64::from(self.circuits.as_ref().is_some_and(|c| c.is_open(worker)));
             self.circuits.iter_mut().for_each(|c| c.entered(now, worker, *got));
         }
@@ -224,7 +224,7 @@
             let shared = self.shared[place].as_mut()?;
             // Danger: what was lent ends by the clock of now, whatever was in hand before a stall.
             let rate = shared.ledger.spendable(now);
-            Some(Tokens { left: shared.bucket.refill(now, rate), ..Tokens::default() })
+            Some(Tokens { available: shared.bucket.refill(now, rate), ..Tokens::default() })
         };
         let (resends, orders) = (left(0), left(1));
         let (level, back) = (self.admission.level(), self.admission.back());
@@ -232,7 +232,14 @@
         let circuits = self.circuits.as_mut().filter(|c| c.count() != (0, 0));
         let gates = circuits.map(|c| c.gates(now, &view.own, &view.others, (self.workers, view.parts)));
         let gates = gates.into_iter().flatten().map(|(worker, left)| (worker, (left, 0))).collect();
-        Budget { gates, resends, orders, level, back, ..Budget::default() }
+        Budget {
+            worker_gates: gates,
+            resend_tokens: resends,
+            load_order_tokens: orders,
+            admission_level: level,
+            mean_retry_after: back,
+            ..Budget::default()
+        }
     }
 
     /// Does what is due; words to others.
--- a/src/overload/tests.rs
+++ b/src/overload/tests.rs
@@ -27,8 +27,8 @@
     let mut said = Vec::new();
     for step in 0..30 {
         let now = from + step * S / 10;
-        let tokens = Tokens { wanted: rate / 10, ..Tokens::default() };
-        o.budget(now, &Budget { resends: Some(tokens), worth: 40, ..Budget::default() });
+        let tokens = Tokens { requested: rate / 10, ..Tokens::default() };
+        o.budget(now, &Budget { resend_tokens: Some(tokens), max_resend_worth: 40, ..Budget::default() });
         said.extend(o.advance(now, &view(others)));
     }
     said
@@ -40,8 +40,8 @@
     assert!(wants(&mut o, 5 * S, 500, &[]).is_empty());
     assert_eq!(o.spendable(0, 9 * S), 50_000);
     let budget = o.budget(9 * S, &Budget::default());
-    assert_eq!(budget.resends.map(|t| t.left), Some(6), "a tenth of a second's, and one");
-    assert_eq!((budget.orders, budget.level), (None, 0));
+    assert_eq!(budget.resend_tokens.map(|t| t.available), Some(6), "a tenth of a second's, and one");
+    assert_eq!((budget.load_order_tokens, budget.admission_level), (None, 0));
 }
 
 #[test]
@@ -67,7 +67,7 @@
         o.advance(now, &view(&[]));
     }
     let budget = o.budget(10 * S, &Budget::default());
-    assert!(budget.level > 10 && budget.back >= S, "{budget:?}");
+    assert!(budget.admission_level > 10 && budget.mean_retry_after >= S, "{budget:?}");
 }
 
 #[test]
@@ -76,11 +76,12 @@
     o.listed((0..12).map(|n| format!("s{n}").into()).collect());
     o.refused(5 * S, &worker);
     o.advance(5 * S, &view(&[]));
-    let left =
-        |o: &mut Overload, now, last: &Budget| o.budget(now, last).gates.get("s1").map(|(left, _)| *left);
+    let left = |o: &mut Overload, now, last: &Budget| {
+        o.budget(now, last).worker_gates.get("s1").map(|(left, _)| *left)
+    };
     assert_eq!(left(&mut o, 5 * S, &Budget::default()), Some(0));
     assert_eq!(left(&mut o, 5 * S + S / 4, &Budget::default()), Some(1), "its trial");
-    let made = Budget { gates: [(worker.clone(), (0, 1))].into(), ..Budget::default() };
+    let made = Budget { worker_gates: [(worker.clone(), (0, 1))].into(), ..Budget::default() };
     assert_eq!(left(&mut o, 5 * S + S / 4, &made), Some(0));
     assert_eq!(o.stats().trials, 1);
     o.answered(5 * S + S / 3, &worker, 1, Some(9));
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -104,11 +104,11 @@
     pub fn gates(&mut self, now: Micros, last: &BTreeMap<usize, ZoneGate>) -> BTreeMap<usize, ZoneGate> {
         let mut gates = BTreeMap::new();
         for (zone, place) in &self.places {
-            if let Some(gate) = last.get(place).filter(|g| g.got > 0) {
-                self.machine.entered(zone, gate.got);
+            if let Some(gate) = last.get(place).filter(|g| g.sent > 0) {
+                self.machine.entered(zone, gate.sent);
             }
             if let Some(left) = self.machine.gate(now, zone) {
-                gates.insert(*place, ZoneGate { left, got: 0, wanted: self.machine.wants(zone) });
+                gates.insert(*place, ZoneGate { remaining: left, sent: 0, probe: self.machine.wants(zone) });
             }
         }
         gates
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -40,7 +40,7 @@
     ["b0", "b1"].iter().for_each(|w| attempt(&mut h, 60 * MS, w, Outcome::Reset));
     ["a0", "a1"].iter().for_each(|w| attempt(&mut h, 70 * MS, w, Outcome::Ok));
     h.advance(100 * MS, View::default());
-    let shut = |wanted| ZoneGate { left: 0, got: 0, wanted };
+    let shut = |wanted| ZoneGate { remaining: 0, sent: 0, probe: wanted };
     assert_eq!(h.gates(100 * MS, &BTreeMap::new()), [(0, shut(true))].into());
     assert_eq!(h.counts(), (1, 1));
 }
@@ -50,7 +50,7 @@
     let mut h = zones();
     assert_eq!(h.say(0, "c", Some((Order::Leave, MS))), Err(ZoneError::Unknown("c".into())));
     assert_eq!(h.say(0, "a", Some((Order::Leave, 500 * MS))), Ok(()));
-    let shut = ZoneGate { left: 0, got: 0, wanted: false };
+    let shut = ZoneGate { remaining: 0, sent: 0, probe: false };
     assert_eq!(h.gates(100 * MS, &BTreeMap::new()), [(1, shut)].into());
     assert!(h.gates(600 * MS, &BTreeMap::new()).is_empty(), "it is over");
     assert_eq!(h.say(700 * MS, "a", Some((Order::Leave, MOST_ORDER * 9))), Ok(()));
--- a/tests/fleet_overload.rs
+++ b/tests/fleet_overload.rs
@@ -108,8 +108,8 @@
                 self.members[n].answered(self.now, &worker, 1, Some(took));
             }
             let wanted = wants(n);
-            let tokens = Tokens { wanted, ..Tokens::default() };
-            let last = Budget { resends: Some(tokens), worth: 50, ..Budget::default() };
+            let tokens = Tokens { requested: wanted, ..Tokens::default() };
+            let last = Budget { resend_tokens: Some(tokens), max_resend_worth: 50, ..Budget::default() };
             self.members[n].budget(self.now, &last);
             if self.members[n].due(self.now) <= self.now {
                 let others: Vec<Arc<str>> = (0..count)
