--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -276,7 +276,7 @@
             if workers == 15_600 {
                 println!("{label}_over_12_workers {:.2} ratio", mean / smallest);
                 println!("{label}_of_a_core_at_169 {:.3} %", mean * 169.0 / 1e4);
-                let known = sizes.functions + sizes.dormant;
+                let known = sizes.functions + sizes.dormant_functions;
                 println!("{label}_functions_known {known} functions");
                 println!("{label}_bytes_a_function {:.0} bytes", (seen - listed) / known as f64);
                 println!("{label}_counted {:.1} MB", sizes.function_bytes as f64 / 1e6);
--- a/src/control.rs
+++ b/src/control.rs
@@ -36,7 +36,7 @@
 pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
 use hints::Size;
 pub use learned::Learned;
-pub use places::{Sizes, Tally};
+pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, Use, drop_while};
 use reports::{Fields, Report};
@@ -266,7 +266,7 @@
     /// How little of each worker's load this router sees, from 0 (enough) to 1 (nothing). The more it sees,
     /// the less it infers from other workers.
     sparsity: f64,
-    counters: Tally,
+    counters: DecisionCounters,
     /// Where dispatchers are members of one group: how many serve, into how many parts a cold worker's budget
     /// is divided, and which part is this router's.
     division: Option<(usize, usize, usize)>,
@@ -306,7 +306,7 @@
             zone_losses: BTreeMap::new(),
             store_slowness: Evidence::default(),
             sparsity: 1.0,
-            counters: Tally::default(),
+            counters: DecisionCounters::default(),
             division: None,
             budget: Budget::default(),
             resend_tokens: MAX_TOKENS,
@@ -486,7 +486,7 @@
                 let peers = (self.settings.balancers - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
                 let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
-                self.counters.loads_left += u64::from(left_to_peers);
+                self.counters.renewals_skipped += u64::from(left_to_peers);
                 due.extend((!left_to_peers).then_some((rate, worker_slot, function_slot)));
             }
         }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -13,23 +13,23 @@
 
 /// Counters of the router's decisions about cold workers and renewals, since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct DecisionCounters {
     /// Attempts that used one of this router's turns at a cold worker.
     pub cold_turns: u64,
     /// Times that an idle replica was due for renewal but got no load order, since other routers use it often enough. One
     /// replica may be counted repeatedly, at most once in a hundredth of the load window (50 ms with a window of 5 s).
-    pub loads_left: u64,
+    pub renewals_skipped: u64,
 }
 
 /// Number of entries in each table of a router: all of its state that can grow with the events it receives.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sizes {
+pub struct TableSizes {
     /// Workers with a slot, listed or not.
     pub workers: usize,
     /// Active functions.
     pub functions: usize,
     /// Dormant functions, held as compact records.
-    pub dormant: usize,
+    pub dormant_functions: usize,
     /// Estimated bytes of the function table, at most the bound set by [`Router::bound_functions`].
     pub function_bytes: usize,
     /// Bytes of the preference ring.
@@ -41,11 +41,11 @@
     /// Marks of functions at workers, over all workers.
     pub replicas: usize,
     /// Attempts without an outcome yet, over all workers.
-    pub open: usize,
+    pub open_attempts: usize,
     /// Zones with evidence of recent attempts.
     pub zones: usize,
     /// Requests received and loads ordered within the window of the load ration.
-    pub window: usize,
+    pub ration_window: usize,
 }
 
 /// Workers to remove from the ring and to add to it, with their slots.
@@ -119,24 +119,24 @@
     }
 
     /// Returns the size of each table, by which tests check that all state is bounded.
-    pub fn sizes(&self) -> Sizes {
-        Sizes {
+    pub fn sizes(&self) -> TableSizes {
+        TableSizes {
             workers: self.workers.len(),
             functions: self.functions.counts().0,
-            dormant: self.functions.counts().1,
+            dormant_functions: self.functions.counts().1,
             function_bytes: self.functions.bytes(),
             ring_bytes: self.ring.bytes(),
             renewals: self.renewals.len(),
             requests: self.requests.len(),
             replicas: self.workers.iter().map(|w| w.replicas.len()).sum(),
-            open: self.workers.iter().map(|w| w.open_attempts.len()).sum(),
+            open_attempts: self.workers.iter().map(|w| w.open_attempts.len()).sum(),
             zones: self.zone_losses.len(),
-            window: self.recent_requests.len() + self.recent_load_orders.len(),
+            ration_window: self.recent_requests.len() + self.recent_load_orders.len(),
         }
     }
 
     /// Returns the counters of decisions about cold workers and renewals.
-    pub fn counters(&self) -> Tally {
+    pub fn counters(&self) -> DecisionCounters {
         self.counters
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -529,7 +529,7 @@
             self.router.handle(now, &event, &mut actions);
             let tally = self.router.counters();
             self.counters.cold_turns.set(tally.cold_turns);
-            self.counters.loads_left.set(tally.loads_left);
+            self.counters.loads_left.set(tally.renewals_skipped);
             actions.drain(..).for_each(|action| self.apply(now, action));
             self.actions = actions;
         }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -842,11 +842,11 @@
 /// quarter than before.
 #[test]
 fn every_table_stays_bounded_over_45_minutes() {
-    use ochreward::control::Sizes;
+    use ochreward::control::TableSizes;
     let mut test = TestRouter::new(settings(), 45, 36);
     const FUNCTION_BYTES: usize = 768 << 10;
     test.router.bound_functions(FUNCTION_BYTES);
-    let (mut generation, mut most_early, mut most_late) = (0, Sizes::default(), Sizes::default());
+    let (mut generation, mut most_early, mut most_late) = (0, TableSizes::default(), TableSizes::default());
     let end = 45 * 60 * S;
     let mut n = 0usize;
     while test.now < end {
@@ -867,18 +867,18 @@
         }
         let sizes = test.router.sizes();
         let most = if test.now < end * 3 / 4 { &mut most_early } else { &mut most_late };
-        *most = Sizes {
+        *most = TableSizes {
             workers: most.workers.max(sizes.workers),
             functions: most.functions.max(sizes.functions),
-            dormant: most.dormant.max(sizes.dormant),
+            dormant_functions: most.dormant_functions.max(sizes.dormant_functions),
             function_bytes: most.function_bytes.max(sizes.function_bytes),
             ring_bytes: most.ring_bytes.max(sizes.ring_bytes),
             renewals: most.renewals.max(sizes.renewals),
             requests: most.requests.max(sizes.requests),
             replicas: most.replicas.max(sizes.replicas),
-            open: most.open.max(sizes.open),
+            open_attempts: most.open_attempts.max(sizes.open_attempts),
             zones: most.zones.max(sizes.zones),
-            window: most.window.max(sizes.window),
+            ration_window: most.ration_window.max(sizes.ration_window),
         };
     }
     println!("early {most_early:?}\nlate {most_late:?}");
@@ -887,7 +887,7 @@
     assert!(most_late.functions <= 1_024, "{most_late:?}");
     assert!(most_late.function_bytes <= FUNCTION_BYTES, "{most_late:?}");
     // Every request has ended: none is left under way.
-    assert!(most_late.requests <= 2 && most_late.open <= 2, "{most_late:?}");
+    assert!(most_late.requests <= 2 && most_late.open_attempts <= 2, "{most_late:?}");
     assert!(most_late.replicas <= most_late.workers * 1_024, "{most_late:?}");
     // No growth: the last quarter needs no more entries than the three before it.
     assert!(
@@ -895,11 +895,12 @@
         "{most_late:?}"
     );
     assert!(
-        most_late.replicas <= most_early.replicas && most_late.window <= most_early.window,
+        most_late.replicas <= most_early.replicas && most_late.ration_window <= most_early.ration_window,
         "{most_late:?}"
     );
     assert!(
-        most_late.dormant <= most_early.dormant && most_late.renewals <= most_early.renewals,
+        most_late.dormant_functions <= most_early.dormant_functions
+            && most_late.renewals <= most_early.renewals,
         "{most_late:?}"
     );
     // The size of the ring is bounded by the number of workers; the spread of its points varies with the
@@ -1061,7 +1062,7 @@
         test.now += 100 * MS;
         test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
     }
-    let window = test.router.sizes().window;
+    let window = test.router.sizes().ration_window;
     assert!((40..=51).contains(&window), "half a keep-alive of requests: {window}");
     assert_eq!(ordered, 0);
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -247,7 +247,7 @@
             "{balancers} routers, seed {seed}: {orders} orders, {requests} requests"
         );
         assert!(
-            fleet.routers.iter().all(|r| r.counters().loads_left > 0),
+            fleet.routers.iter().all(|r| r.counters().renewals_skipped > 0),
             "what is left to others is counted"
         );
     }
