--- a/src/control.rs
+++ b/src/control.rs
@@ -35,7 +35,7 @@
 use functions::FunctionTable;
 pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
 use hints::Size;
-pub use learned::Learned;
+pub use learned::LearnedState;
 pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, Use, drop_while};
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -20,7 +20,7 @@
 
 /// State that a router has learned. The field names and their order are the format of the handover.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedState {
     workers: Vec<Worker>,
     functions: Vec<Function>,
     #[serde(rename = "pools")]
@@ -31,11 +31,11 @@
     ration: (VecDeque<Micros>, VecDeque<Micros>),
 }
 
-impl Learned {
+impl LearnedState {
     /// Returns the part of a peer's state that this router may start from: run and load times, and the replicas with their
     /// ages. All times are moved back by `behind`, by which this router's clock is behind the peer's. State that holds for the peer alone is left out: its rations, requests in
     /// progress, broken connections and refusals. Returns `None` if a figure is implausible.
-    pub fn of_peer(self, behind: Micros) -> Option<Learned> {
+    pub fn from_peer(self, behind: Micros) -> Option<LearnedState> {
         let rebased = |at: Micros| at.saturating_sub(behind);
         let plausible = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
         let plausible_evidence = |evidence: &Evidence| evidence.is_plausible(MAX_FIGURE);
@@ -91,11 +91,11 @@
             load_time: p.load_time,
             ..ClassEstimates::default()
         };
-        Some(Learned {
+        Some(LearnedState {
             workers: self.workers.into_iter().map(worker).collect(),
             functions: self.functions.into_iter().map(function).collect(),
             class_estimates: self.class_estimates.into_iter().map(pool).collect(),
-            ..Learned::default()
+            ..LearnedState::default()
         })
     }
 
@@ -125,7 +125,7 @@
 
 impl Router {
     /// Returns the learned state for a handover.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         // Functions are renumbered without gaps; the successor assigns slots of its own.
         let numbers: HashMap<usize, usize> =
             self.functions.iter().enumerate().map(|(number, (slot, _))| (slot, number)).collect();
@@ -136,7 +136,7 @@
                 w.replicas.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
             Worker { replicas: marks, ..w.clone() }
         };
-        Learned {
+        LearnedState {
             workers: self.workers.iter().map(renumbered).collect(),
             functions,
             class_estimates: self.class_estimates.clone(),
@@ -148,12 +148,12 @@
     /// Replaces the state of this router by the learned one, without requests in progress. Returns false and changes nothing
     /// if this router has requests or the state is inconsistent. Settings whose classes have the same indexes, and a worker
     /// list, must be applied afterwards.
-    pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
+    pub fn inherit(&mut self, now: Micros, learned: LearnedState) -> bool {
         let usable = self.requests.is_empty() && learned.is_consistent(now);
         if !usable {
             return false;
         }
-        let Learned { workers, functions, class_estimates: pools, rates, ration } = learned;
+        let LearnedState { workers, functions, class_estimates: pools, rates, ration } = learned;
         (self.workers, self.class_estimates) = (workers, pools);
         ((self.answer_rate, self.store_slowness), (self.recent_requests, self.recent_load_orders)) =
             (rates, ration);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -12,7 +12,7 @@
     Action, Class, Effect, Event, Found, FunctionId, KeyScope, Listing, Micros, Outcome, RequestId, Settings,
     WorkerId,
 };
-use crate::control::{Budget, Learned, Router};
+use crate::control::{Budget, LearnedState, Router};
 use crate::counters::{Counters, count};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -280,13 +280,13 @@
     }
 
     /// Returns the decision module's learned state, for a handover to another process.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         self.router.learned()
     }
 
     /// Adopts the learned state of another process; returns false if it cannot be used. The caller must then
     /// call `configure` and `list`.
-    pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
+    pub fn inherit(&mut self, now: Micros, learned: LearnedState) -> bool {
         self.router.inherit(now, learned)
     }
 
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -6,7 +6,7 @@
 //! mark it is for, so stale files are ignored. The successor waits for the state for at most [`STATE_WAIT_US`].
 
 use crate::api::WorkerId;
-use crate::control::Learned;
+use crate::control::LearnedState;
 use crate::names::Executor;
 use rustix::fs::{FlockOperation, flock};
 use serde::{Deserialize, Serialize};
@@ -48,7 +48,7 @@
     /// The names of the classes, in the places that `learned` refers to.
     pub classes: Vec<String>,
     /// What the decision module has learned.
-    pub learned: Learned,
+    pub learned: LearnedState,
     /// The age of the list: the time since the name service was last heard, in microseconds.
     #[serde(default)]
     pub age: u64,
@@ -259,7 +259,7 @@
 
 impl Word {
     /// Creates a state without an executor list, of what was learned for classes by these names.
-    pub fn new(now: u64, classes: Vec<String>, learned: Learned) -> Word {
+    pub fn new(now: u64, classes: Vec<String>, learned: LearnedState) -> Word {
         Word {
             format: STATE_FORMAT,
             recipient_mark: String::new(),
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -120,7 +120,7 @@
         let Some((from, state)) = peers.seek_list(&mut self.poll, self.now) else { return };
         let clock_ahead = state.now.saturating_sub(self.now);
         let same_classes = state.classes == self.settings.classes;
-        let learned = same_classes.then(|| state.learned.of_peer(clock_ahead)).flatten();
+        let learned = same_classes.then(|| state.learned.from_peer(clock_ahead)).flatten();
         let learned = learned.is_some_and(|l| self.engine.inherit(self.now, l));
         info!(
             instance = self.config.name,
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -763,7 +763,7 @@
 /// Creates a router that inherits the handover, and returns whether it was accepted.
 fn successor(set: Settings, now: Micros, handover: &str, workers: usize) -> (bool, TestRouter) {
     let mut test = TestRouter { router: Router::new(set.clone(), 9, now), now, out: vec![], next_id: 1 };
-    let learned = serde_json::from_str::<ochreward::control::Learned>(handover);
+    let learned = serde_json::from_str::<ochreward::control::LearnedState>(handover);
     let taken = learned.is_ok_and(|l| test.router.inherit(now, l));
     test.router.configure(set, &[]);
     test.list(true, (0..workers).map(|n| healthy(n, None)).collect());
