--- a/src/control.rs
+++ b/src/control.rs
@@ -38,7 +38,7 @@
 pub use learned::LearnedState;
 pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
-use renewal::{RenewalQueue, Use, drop_while};
+use renewal::{RenewalQueue, ReplicaUse, pop_expired};
 use reports::{Fields, Report};
 use tables::{
     Attempt, ClassEstimates, Function, Replica, Request, Worker, rendezvous, replica_mut, sanitized,
@@ -456,7 +456,7 @@
             let since =
                 self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64) as Micros);
             self.renewals.clear();
-            return drop_while(&mut self.recent_requests, |t| t <= since);
+            return pop_expired(&mut self.recent_requests, |t| t <= since);
         }
         let too_early = self.now < self.renewals_checked_at + self.settings.load_window / 100;
         if too_early {
@@ -465,16 +465,16 @@
         self.renewals_checked_at = self.now;
         let keep_alive = self.settings.keep_alive as f64;
         let workers = &self.workers;
-        let is_latest = |used: &Use| {
+        let is_latest = |used: &ReplicaUse| {
             workers[used.worker].replicas.get(&used.function).is_some_and(|m| m.last_used == used.at)
         };
-        let uses: Vec<Use> = self
+        let uses: Vec<ReplicaUse> = self
             .renewals
             .due(self.now, keep_alive, (RENEW_KEEP_ALIVE_SHARE, WARM_KEEP_ALIVE_SHARE), is_latest)
             .copied()
             .collect();
         let mut due: Vec<(f64, usize, usize)> = Vec::new();
-        for Use { worker: worker_slot, function: function_slot, .. } in uses {
+        for ReplicaUse { worker: worker_slot, function: function_slot, .. } in uses {
             let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
             let mark = &worker.replicas[&function_slot];
             let unused_keep_alives = (self.now - mark.last_requested) as f64 / keep_alive;
@@ -492,8 +492,8 @@
         }
         due.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
         let since = self.now.saturating_sub(self.settings.load_window);
-        drop_while(&mut self.recent_requests, |t| t <= since);
-        drop_while(&mut self.recent_load_orders, |t| t < since);
+        pop_expired(&mut self.recent_requests, |t| t <= since);
+        pop_expired(&mut self.recent_load_orders, |t| t < since);
         let ration =
             self.settings.loads_anyway + self.settings.loads_per_request * self.recent_requests.len() as f64;
         let usable_ration = (LOAD_RATION_SHARE * ration) as usize;
@@ -506,7 +506,7 @@
             self.recent_load_orders.push_back(self.now);
             let (w, id) = (&mut self.workers[worker], self.functions[function].id.clone());
             w.replicas.entry(function).and_modify(|m| m.last_used = self.now);
-            self.renewals.push(Use { at: self.now, worker, function });
+            self.renewals.push(ReplicaUse { at: self.now, worker, function });
             out.push(Action::Load { worker: w.id.clone(), function: id, copies: 1 });
         }
     }
@@ -976,7 +976,7 @@
         self.budget.count_sent(w);
         w.open_attempts.push((id, request.attempts.len()));
         let mark = replica_mut(w, e.worker, &mut self.functions[function], function);
-        self.renewals.push(Use { at: self.now, worker: e.worker, function });
+        self.renewals.push(ReplicaUse { at: self.now, worker: e.worker, function });
         mark.own_in_flight += 1;
         (mark.last_used, mark.last_requested) = (self.now, self.now);
         if e.cold {
@@ -1182,7 +1182,7 @@
             Outcome::Ok => {
                 self.answer_rate.add(now, self.half_life_us, 1.0);
                 self.functions.served(now, function);
-                self.renewals.push(Use { at: now, worker, function });
+                self.renewals.push(ReplicaUse { at: now, worker, function });
                 mark.last_used = now;
                 mark.count = mark.count.max(1);
                 mark.loading = None;
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -5,7 +5,7 @@
 
 use super::fleet::{FleetSums, TimeConstants};
 use super::functions::{MIN_FUNCTION_BYTES, RetiredFunction};
-use super::renewal::{RenewalQueue, Use};
+use super::renewal::{RenewalQueue, ReplicaUse};
 use super::tables::{Function, Replica, Worker};
 use super::{DORMANT_AFTER_KEEP_ALIVES, Evidence, Router, Warmth};
 use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
@@ -258,7 +258,7 @@
         let mut uses = Vec::new();
         for (slot, worker) in self.workers.iter().enumerate() {
             let marks = worker.replicas.iter();
-            uses.extend(marks.map(|(function, mark)| Use {
+            uses.extend(marks.map(|(function, mark)| ReplicaUse {
                 at: mark.last_used,
                 worker: slot,
                 function: *function,
--- a/src/control/renewal.rs
+++ b/src/control/renewal.rs
@@ -8,7 +8,7 @@
 
 /// A use of a replica, given by the slots of its worker and its function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Use {
+pub(super) struct ReplicaUse {
     pub(super) at: Micros,
     pub(super) worker: usize,
     pub(super) function: usize,
@@ -17,8 +17,8 @@
 /// Uses in the order of time: those too recent for a renewal, and those that may be due.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RenewalQueue {
-    recent: VecDeque<Use>,
-    due: VecDeque<Use>,
+    recent: VecDeque<ReplicaUse>,
+    due: VecDeque<ReplicaUse>,
 }
 
 impl RenewalQueue {
@@ -34,7 +34,7 @@
     }
 
     /// Queues a use of a replica. Uses must be pushed in the order of their times.
-    pub(super) fn push(&mut self, used: Use) {
+    pub(super) fn push(&mut self, used: ReplicaUse) {
         // Repeated uses with the same time are queued once.
         if self.recent.back() != Some(&used) {
             self.recent.push_back(used);
@@ -48,9 +48,9 @@
         now: Micros,
         keep_alive: f64,
         (from, to): (f64, f64),
-        current: impl Fn(&Use) -> bool,
-    ) -> impl Iterator<Item = &Use> {
-        let age = |used: &Use| now.saturating_sub(used.at) as f64 / keep_alive;
+        current: impl Fn(&ReplicaUse) -> bool,
+    ) -> impl Iterator<Item = &ReplicaUse> {
+        let age = |used: &ReplicaUse| now.saturating_sub(used.at) as f64 / keep_alive;
         while let Some(used) = self.recent.pop_front_if(|used| age(used) >= from) {
             self.due.push_back(used);
         }
@@ -60,7 +60,7 @@
 }
 
 /// Removes times from the front for as long as `expired` holds; the times are in ascending order.
-pub(super) fn drop_while(times: &mut VecDeque<Micros>, expired: impl Fn(Micros) -> bool) {
+pub(super) fn pop_expired(times: &mut VecDeque<Micros>, expired: impl Fn(Micros) -> bool) {
     while times.pop_front_if(|time| expired(*time)).is_some() {}
 }
 
--- a/src/control/renewal/tests.rs
+++ b/src/control/renewal/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn used(at: Micros, function: usize) -> Use {
-    Use { at, worker: 0, function }
+fn used(at: Micros, function: usize) -> ReplicaUse {
+    ReplicaUse { at, worker: 0, function }
 }
 
-fn due(queue: &mut RenewalQueue, now: Micros, current: impl Fn(&Use) -> bool) -> Vec<usize> {
+fn due(queue: &mut RenewalQueue, now: Micros, current: impl Fn(&ReplicaUse) -> bool) -> Vec<usize> {
     queue.due(now, 100.0, (0.75, 0.95), current).map(|u| u.function).collect()
 }
 
