--- a/src/control.rs
+++ b/src/control.rs
@@ -39,7 +39,7 @@
 pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, ReplicaUse, pop_expired};
-use reports::{Fields, Report};
+use reports::{LoadReport, ReportFields};
 use tables::{
     Attempt, ClassEstimates, Function, Replica, Request, Worker, rendezvous, replica_mut, sanitized,
 };
@@ -235,7 +235,7 @@
 /// One dispatcher's decision logic.
 pub struct Router {
     settings: Settings,
-    report_fields: Fields,
+    report_fields: ReportFields,
     rng: Pcg32,
     now: Micros,
     /// Half-life of observations, in microseconds.
@@ -286,7 +286,7 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Router {
         let mut router = Router {
             settings: settings.clone(),
-            report_fields: Fields::default(),
+            report_fields: ReportFields::default(),
             half_life_us: 1.0,
             rng: Pcg32::seed_from_u64(seed),
             now,
@@ -365,7 +365,7 @@
             refused: 0.0,
         };
         self.tenant_quotas = settings.tenant_quotas.iter().map(full).collect();
-        self.report_fields = Fields::of(&settings.report_fields);
+        self.report_fields = ReportFields::of(&settings.report_fields);
         self.settings = settings;
         self.rebuild_indexes();
     }
@@ -753,11 +753,14 @@
         let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
         let routers = self.settings.balancers as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
-        let (reported, report_weight) = target.report.others(self.now);
+        let (reported, report_weight) = target.report.held_for_others(self.now);
         let reported_work =
             report_weight * REMAINING_RUN_SHARE * reported * self.class_estimates[request.class].run_time;
-        let concurrency =
-            if self.report_fields.told() { WORKER_CONCURRENCY_REPORTED } else { function.lanes.min(2.0) };
+        let concurrency = if self.report_fields.reports_held() {
+            WORKER_CONCURRENCY_REPORTED
+        } else {
+            function.lanes.min(2.0)
+        };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
         let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
         let lanes = function.lanes * f64::from(copies.max(1));
@@ -830,7 +833,7 @@
         );
         let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
         let concurrency = function.concurrency.mean(self.now, self.half_life_us, expected, 1.0);
-        let lane_use = if self.report_fields.told() {
+        let lane_use = if self.report_fields.reports_held() {
             TARGET_LANE_USE_REPORTED
         } else {
             TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.sparsity
@@ -890,8 +893,12 @@
     fn best_worker(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
         let known = self.choice_inputs(request.function);
         let load = self.load_time(request.function);
-        let tie =
-            load * if self.report_fields.told() { COLD_TIE_LOAD_TIMES_REPORTED } else { COLD_TIE_LOAD_TIMES };
+        let tie = load
+            * if self.report_fields.reports_held() {
+                COLD_TIE_LOAD_TIMES_REPORTED
+            } else {
+                COLD_TIE_LOAD_TIMES
+            };
         // Without randomness, routers with the same delayed view would all choose the worker that looked best
         // and overload it.
         let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.balancers as f64));
@@ -1157,7 +1164,7 @@
         }
         w.open_attempts.retain(|o| *o != (id, number));
         if let Some(held) = self.report_fields.held(report) {
-            w.report = Report::hear(now, held, w.open_attempts.len());
+            w.report = LoadReport::new(now, held, w.open_attempts.len());
         }
         let mark = replica_mut(w, worker, &mut self.functions[function], function);
         mark.own_in_flight = mark.own_in_flight.saturating_sub(1);
--- a/src/control/reports.rs
+++ b/src/control/reports.rs
@@ -18,18 +18,18 @@
 
 /// Index of the number of requests held among the values of a report, if the settings name it.
 #[derive(Default, Clone, Copy, Debug, PartialEq)]
-pub struct Fields {
+pub struct ReportFields {
     held: Option<usize>,
 }
 
-impl Fields {
+impl ReportFields {
     /// Finds the value among the report fields of the settings.
-    pub fn of(fields: &[ReportField]) -> Fields {
-        Fields { held: fields.iter().position(|f| *f == ReportField::Inflight) }
+    pub fn of(fields: &[ReportField]) -> ReportFields {
+        ReportFields { held: fields.iter().position(|f| *f == ReportField::Inflight) }
     }
 
     /// Returns whether workers report how many requests they hold.
-    pub fn told(&self) -> bool {
+    pub fn reports_held(&self) -> bool {
         self.held.is_some()
     }
 
@@ -42,7 +42,7 @@
 
 /// Last valid report of a worker.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     #[serde(rename = "at")]
     received_at: Micros,
     /// Requests held for other routers.
@@ -52,14 +52,14 @@
     received: bool,
 }
 
-impl Report {
+impl LoadReport {
     /// Creates a report of `held` requests, received while this router had `own` requests at the worker.
-    pub fn hear(now: Micros, held: f64, own: usize) -> Report {
-        Report { received_at: now, others: (held - own as f64).max(0.0), received: true }
+    pub fn new(now: Micros, held: f64, own: usize) -> LoadReport {
+        LoadReport { received_at: now, others: (held - own as f64).max(0.0), received: true }
     }
 
     /// Returns the number of requests held for other routers and the weight of that figure, from 0 (no report) to 1.
-    pub fn others(&self, now: Micros) -> (f64, f64) {
+    pub fn held_for_others(&self, now: Micros) -> (f64, f64) {
         if !self.received {
             return (0.0, 0.0);
         }
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -3,7 +3,7 @@
 //! order and the serialised names of their fields are fixed. Times are in microseconds.
 
 use super::hints::{Power, Size, Usual};
-use super::reports::Report;
+use super::reports::LoadReport;
 use super::{Estimate, Evidence};
 use crate::api::*;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
     pub(super) down_since: Micros,
     /// Its last load report.
     #[serde(default)]
-    pub(super) report: Report,
+    pub(super) report: LoadReport,
     /// While cold: the number of the last turn that this router took there.
     #[serde(rename = "turn")]
     pub(super) last_cold_turn: u64,
