--- a/src/control.rs
+++ b/src/control.rs
@@ -34,7 +34,7 @@
 use fleet::FleetSums;
 use functions::FunctionTable;
 pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
-use hints::Size;
+use hints::WorkHint;
 pub use learned::LearnedState;
 pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
@@ -389,7 +389,8 @@
                 }
                 let function = self.function_slot(function, *class, *lanes, *load_time);
                 let (f, pool) = (&mut self.functions[function], &mut self.class_estimates[*class]);
-                let size = Size::weigh(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
+                let size =
+                    WorkHint::estimate(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
                 self.sparsity =
                     1.0 / (1.0 + self.recent_requests.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
@@ -735,7 +736,7 @@
         let class = &request.class_settings;
         let slowness = self.slowness(target, known.fleet_slowness)
             / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
-        let run_time = function.run_time * slowness * request.size.size;
+        let run_time = function.run_time * slowness * request.size.run_time_factor;
         let cold_turn =
             self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
         let mark = target.replicas.get(&request.function).copied().unwrap_or_default();
@@ -799,7 +800,7 @@
             // Only the usual load time is excused as a load: what a slow store adds counts as queueing.
             load_wait: load_wait.min(self.base_load_time(function)),
             run_time,
-            work_factor: request.size.size,
+            work_factor: request.size.run_time_factor,
             cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_HOME_HIT_PROBABILITY),
             unobserved: peer_copy.is_some(),
             total_if_warm,
@@ -1197,7 +1198,7 @@
                 match found {
                     Found::BeganLoad => self.learn_load_time(function, (took - e.run_time).max(0.0)),
                     Found::Warm => {
-                        let usual = (e.total_if_warm / size.size).max(1.0);
+                        let usual = (e.total_if_warm / size.run_time_factor).max(1.0);
                         self.class_estimates[class].hint_power.learn(size.ratio, took / usual);
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -136,7 +136,7 @@
             visited_up: 0.0,
             last_down_at: 0,
             load_time: router.load_cost(request),
-            run_time: function.run_time * request.size.size,
+            run_time: function.run_time * request.size.run_time_factor,
         }
     }
 
--- a/src/control/functions.rs
+++ b/src/control/functions.rs
@@ -3,7 +3,7 @@
 //! A function is held in full while it is requested, becomes a compact dormant record once it has been idle for a while, and
 //! is evicted, least recently used first, when there is no room. No requests are decided here; the clock is passed in.
 
-use super::hints::Usual;
+use super::hints::HintMean;
 use super::tables::Function;
 use crate::api::{FunctionId, Micros};
 use hashlink::LinkedHashMap;
@@ -61,7 +61,7 @@
             stated_load_time: self.told_load.map(f64::from),
             load_time: self.load.map(f64::from),
             run_time: f64::from(self.run),
-            usual_hint: Usual::from_compact(self.hinted),
+            usual_hint: HintMean::from_compact(self.hinted),
             ..Function::default()
         }
     }
--- a/src/control/hints.rs
+++ b/src/control/hints.rs
@@ -23,22 +23,22 @@
 
 /// Mean of the hints received, in microseconds of work.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Usual {
+pub struct HintMean {
     mean: f64,
     /// Number of hints that the mean represents, at most [`MAX_SAMPLES`].
     #[serde(rename = "seen")]
     count: f64,
 }
 
-impl Usual {
+impl HintMean {
     /// Returns the mean and the number of hints in single precision, for a compact record.
     pub fn to_compact(self) -> (f32, f32) {
         (self.mean as f32, self.count as f32)
     }
 
-    /// Restores the result of [`Usual::to_compact`].
-    pub fn from_compact((mean, count): (f32, f32)) -> Usual {
-        Usual { mean: f64::from(mean), count: f64::from(count) }
+    /// Restores the result of [`HintMean::to_compact`].
+    pub fn from_compact((mean, count): (f32, f32)) -> HintMean {
+        HintMean { mean: f64::from(mean), count: f64::from(count) }
     }
 
     /// Includes a hint in the mean.
@@ -48,7 +48,7 @@
     }
 
     /// Returns the ratio of a hint to the usual one, with the mean of the class as prior.
-    pub fn ratio(&self, work: f64, class: &Usual) -> f64 {
+    pub fn ratio(&self, work: f64, class: &HintMean) -> f64 {
         let prior = if class.count > 0.0 { class.mean } else { work };
         let usual = (self.mean * self.count + prior * CLASS_SAMPLES) / (self.count + CLASS_SAMPLES);
         (work / usual.max(1.0)).clamp(1.0 / MAX_RATIO, MAX_RATIO)
@@ -57,14 +57,14 @@
 
 /// Learned power of the hint ratio that predicts run times: the slope of a regression line through the origin.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Power {
+pub struct HintExponent {
     /// Decaying sum of products of the logarithms of ratio and relative run time.
     xy: f64,
     /// Decaying sum of squared logarithms of ratios.
     xx: f64,
 }
 
-impl Power {
+impl HintExponent {
     /// Returns the power, from 0 (hints predict nothing) to 1 (run times are proportional to hints).
     pub fn exponent(&self) -> f64 {
         (self.xy / (self.xx + POWER_PRIOR)).clamp(0.0, 1.0)
@@ -83,29 +83,34 @@
 
 /// Relative size of a request, as estimated on its arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Size {
+pub struct WorkHint {
     /// Ratio of its hint to the usual hint of its function; 1 without a hint.
     pub ratio: f64,
     /// Predicted ratio of its run time to that of a usual request.
-    pub size: f64,
+    pub run_time_factor: f64,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size { ratio: 1.0, size: 1.0 }
+impl Default for WorkHint {
+    fn default() -> WorkHint {
+        WorkHint { ratio: 1.0, run_time_factor: 1.0 }
     }
 }
 
-impl Size {
+impl WorkHint {
     /// Estimates the size of a request from its hint, and includes the hint in the means.
-    pub fn weigh(work: Option<Micros>, function: &mut Usual, class: &mut Usual, power: Power) -> Size {
+    pub fn estimate(
+        work: Option<Micros>,
+        function: &mut HintMean,
+        class: &mut HintMean,
+        power: HintExponent,
+    ) -> WorkHint {
         let Some(work) = work.filter(|work| *work > 0).map(|work| work as f64) else {
-            return Size::default();
+            return WorkHint::default();
         };
         let ratio = function.ratio(work, class);
         function.add(work);
         class.add(work);
-        Size { ratio, size: ratio.powf(power.exponent()) }
+        WorkHint { ratio, run_time_factor: ratio.powf(power.exponent()) }
     }
 }
 
--- a/src/control/hints/tests.rs
+++ b/src/control/hints/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn power_nears_one_for_exact_hints_and_zero_for_noise() {
-    let (mut exact, mut noise) = (Power::default(), Power::default());
+    let (mut exact, mut noise) = (HintExponent::default(), HintExponent::default());
     for n in 0..2_000 {
         let ratio = [0.25, 0.5, 1.0, 2.0, 4.0][n % 5];
         exact.learn(ratio, ratio);
@@ -15,7 +15,7 @@
 
 #[test]
 fn function_without_hints_is_compared_with_its_class() {
-    let (mut function, mut class) = (Usual::default(), Usual::default());
+    let (mut function, mut class) = (HintMean::default(), HintMean::default());
     (0..50).for_each(|_| class.add(100.0));
     assert_eq!(function.ratio(200.0, &class), 2.0);
     (0..50).for_each(|_| function.add(200.0));
@@ -28,10 +28,10 @@
 proptest! {
     #[test]
     fn sizes_stay_bounded_for_arbitrary_hints(works in prop::collection::vec(any::<u64>(), 1..50), errors in prop::collection::vec(any::<f64>(), 1..50)) {
-        let (mut function, mut class, mut power) = (Usual::default(), Usual::default(), Power::default());
+        let (mut function, mut class, mut power) = (HintMean::default(), HintMean::default(), HintExponent::default());
         for (work, error) in works.iter().zip(errors) {
-            let size = Size::weigh(Some(*work), &mut function, &mut class, power);
-            prop_assert!((0.1..=10.0).contains(&size.size) && (0.1..=10.0).contains(&size.ratio));
+            let size = WorkHint::estimate(Some(*work), &mut function, &mut class, power);
+            prop_assert!((0.1..=10.0).contains(&size.run_time_factor) && (0.1..=10.0).contains(&size.ratio));
             power.learn(size.ratio, error);
             prop_assert!((0.0..=1.0).contains(&power.exponent()));
         }
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -2,7 +2,7 @@
 //! request is decided here. `Worker`, `Replica`, `Function` and `ClassEstimates` are handed to the next process, so the
 //! order and the serialised names of their fields are fixed. Times are in microseconds.
 
-use super::hints::{Power, Size, Usual};
+use super::hints::{HintExponent, HintMean, WorkHint};
 use super::reports::LoadReport;
 use super::{Estimate, Evidence};
 use crate::api::*;
@@ -100,7 +100,7 @@
     /// The usual hint of its requests.
     #[serde(default)]
     #[serde(rename = "hinted")]
-    pub(super) usual_hint: Usual,
+    pub(super) usual_hint: HintMean,
     /// Whether any request for it was served.
     pub(super) served: bool,
     /// Requests for it at this router.
@@ -144,10 +144,10 @@
     /// The usual hint of its requests.
     #[serde(default)]
     #[serde(rename = "hinted")]
-    pub(super) usual_hint: Usual,
+    pub(super) usual_hint: HintMean,
     /// How well hints predict run times.
     #[serde(default, rename = "power")]
-    pub(super) hint_power: Power,
+    pub(super) hint_power: HintExponent,
     /// The share of its aim within which a request must be expected to finish, loads aside.
     #[serde(rename = "queue")]
     pub(super) queue_aim_share: f64,
@@ -179,7 +179,7 @@
     /// The slot of its function.
     pub(super) function: usize,
     /// Its hint, as weighed on arrival.
-    pub(super) size: Size,
+    pub(super) size: WorkHint,
     /// Its tenant's quota was exhausted when it arrived.
     pub(super) over_quota: bool,
     pub(super) deadline: Micros,
