--- a/src/control.rs
+++ b/src/control.rs
@@ -30,7 +30,7 @@
 
 pub use budget::{Budget, Tokens, ZoneGate};
 use candidates::{ChoiceInputs, MAX_RENDEZVOUS_WORKERS, Rank, Search, min_by_key, min_key};
-use evidence::Evidence;
+use evidence::DecayingMean;
 use fleet::FleetSums;
 use functions::FunctionTable;
 pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
@@ -258,11 +258,11 @@
     /// What is learned for each class.
     class_estimates: Vec<ClassEstimates>,
     /// Answers received, for their rate.
-    answer_rate: Evidence,
+    answer_rate: DecayingMean,
     /// Recent losses in each zone over all its workers: 0 is an answer, 1 a loss.
-    zone_losses: BTreeMap<usize, Evidence>,
+    zone_losses: BTreeMap<usize, DecayingMean>,
     /// Observed load times over expected ones: the slowness of the store.
-    store_slowness: Evidence,
+    store_slowness: DecayingMean,
     /// How little of each worker's load this router sees, from 0 (enough) to 1 (nothing). The more it sees,
     /// the less it infers from other workers.
     sparsity: f64,
@@ -302,9 +302,9 @@
             exhaustive_search: false,
             requests: BTreeMap::new(),
             class_estimates: Vec::new(),
-            answer_rate: Evidence::default(),
+            answer_rate: DecayingMean::default(),
             zone_losses: BTreeMap::new(),
-            store_slowness: Evidence::default(),
+            store_slowness: DecayingMean::default(),
             sparsity: 1.0,
             counters: DecisionCounters::default(),
             division: None,
@@ -356,7 +356,7 @@
             self.class_estimates.push(ClassEstimates { queue_aim_share, ..known.unwrap_or_else(initial) });
         }
         for worker in &mut self.workers {
-            worker.losses_by_class.resize(settings.classes.len(), Evidence::default());
+            worker.losses_by_class.resize(settings.classes.len(), DecayingMean::default());
             worker.last_answer_by_class.resize(settings.classes.len(), 0);
         }
         let full = |quota: &f64| TenantQuota {
@@ -532,7 +532,7 @@
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
         let own = self.slowness_sample(worker);
         let peers = (PRIOR_SAMPLES + peers.0 - own.0) / (PRIOR_SAMPLES + peers.1 - own.1);
-        worker.slowness.mean(
+        worker.slowness.mean_with_prior(
             self.now,
             self.half_life_us,
             peers.powf(self.present_share(worker)),
@@ -558,14 +558,14 @@
     /// Returns the expected load time of a function at the present speed of the store.
     fn load_time(&self, function: usize) -> f64 {
         self.base_load_time(&self.functions[function])
-            * self.store_slowness.mean(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES).max(0.5)
+            * self.store_slowness.mean_with_prior(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES).max(0.5)
     }
 
     /// Adjusts a worker's slowness by the relative error of a prediction.
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
         let slow = self.slowness(&self.workers[worker], self.fleet_slowness());
-        self.workers[worker].slowness.learn(
+        self.workers[worker].slowness.add_limited(
             self.now,
             self.half_life_us,
             slow * (1.0 + error),
@@ -599,7 +599,7 @@
         if took < MIN_LOAD_TIME_SHARE * base {
             return;
         }
-        let store = self.store_slowness.mean(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES);
+        let store = self.store_slowness.mean_with_prior(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES);
         let f = &mut self.functions[function];
         if f.stated_load_time.or(f.load_time).is_some() {
             self.store_slowness.add(self.now, self.half_life_us, (took / base).min(MAX_ERROR_RATIO));
@@ -777,14 +777,16 @@
         };
         // When a zone is lost, attempts fail at all its workers: failures at a few are held against the rest
         // too.
-        let zone_loss =
-            self.zone_losses.get(&target.zone).map_or(0.0, |h| h.mean(self.now, self.half_life_us, 0.0, 1.0));
+        let zone_loss = self
+            .zone_losses
+            .get(&target.zone)
+            .map_or(0.0, |h| h.mean_with_prior(self.now, self.half_life_us, 0.0, 1.0));
         let excess_loss = ((zone_loss - ZONE_LOSS_THRESHOLD) / (1.0 - ZONE_LOSS_THRESHOLD)).max(0.0);
         let expected_loss = self.sparsity * excess_loss;
         // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
         // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
         // The penalty only ranks workers; it causes no refusal.
-        let risk_penalty = target.losses_by_class[request.class].mean(
+        let risk_penalty = target.losses_by_class[request.class].mean_with_prior(
             self.now,
             self.half_life_us,
             expected_loss,
@@ -826,14 +828,14 @@
         let rate =
             function.request_rate.rate(self.now, self.half_life_us) * (1.0 + (routers - 1.0) * further_share);
         let rate_times_run = rate * function.run_time;
-        let of_class = self.class_estimates[function.class].concurrency.mean(
+        let of_class = self.class_estimates[function.class].concurrency.mean_with_prior(
             self.now,
             self.half_life_us,
             rate_times_run,
             1.0,
         );
         let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
-        let concurrency = function.concurrency.mean(self.now, self.half_life_us, expected, 1.0);
+        let concurrency = function.concurrency.mean_with_prior(self.now, self.half_life_us, expected, 1.0);
         let lane_use = if self.report_fields.reports_held() {
             TARGET_LANE_USE_REPORTED
         } else {
@@ -861,13 +863,13 @@
     /// Returns the probability that a function is found warm at one of its homes where this router has
     /// observed no copy, once there has been time to load it.
     fn home_hit_probability(&self, f: &Function) -> f64 {
-        let of_class = self.class_estimates[f.class].home_hits.mean(
+        let of_class = self.class_estimates[f.class].home_hits.mean_with_prior(
             self.now,
             self.half_life_us,
             PRIOR_HOME_HIT_PROBABILITY,
             1.0,
         );
-        f.home_hits.mean(self.now, self.half_life_us, of_class, 1.0)
+        f.home_hits.mean_with_prior(self.now, self.half_life_us, of_class, 1.0)
     }
 
     /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
@@ -1024,7 +1026,7 @@
             if !a.presumed_lost {
                 due = due.min(lost_at);
             } else if no_answer_since {
-                self.workers[a.estimate.worker].losses_by_class[class].learn(
+                self.workers[a.estimate.worker].losses_by_class[class].add_limited(
                     self.now,
                     self.half_life_us,
                     1.0,
@@ -1143,7 +1145,7 @@
         if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
             let f = &self.functions[function];
             let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
-            self.functions[function].concurrency.learn(
+            self.functions[function].concurrency.add_limited(
                 now,
                 self.half_life_us,
                 concurrency,
@@ -1153,8 +1155,8 @@
         }
         let w = &mut self.workers[worker];
         if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
-            w.losses_by_class[class].learn(now, self.half_life_us, sample, MAX_WORKER_SAMPLES);
-            self.zone_losses.entry(w.zone).or_default().learn(
+            w.losses_by_class[class].add_limited(now, self.half_life_us, sample, MAX_WORKER_SAMPLES);
+            self.zone_losses.entry(w.zone).or_default().add_limited(
                 now,
                 self.half_life_us,
                 sample,
--- a/src/control/evidence.rs
+++ b/src/control/evidence.rs
@@ -7,13 +7,13 @@
 
 /// Sum of samples that decay exponentially with time, and their weight.
 #[derive(Default, Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Evidence {
+pub struct DecayingMean {
     sum: f64,
     weight: f64,
     at: Micros,
 }
 
-impl Evidence {
+impl DecayingMean {
     /// Returns the share of sum and weight that is left after decay with the half-life `half_life`.
     fn remaining(&self, now: Micros, half_life: f64) -> f64 {
         // Avoids the exponential for most workers, which have no samples.
@@ -26,20 +26,23 @@
     /// Adds a sample of weight 1.
     pub fn add(&mut self, now: Micros, half_life: f64, sample: f64) {
         let remaining = self.remaining(now, half_life);
-        *self =
-            Evidence { sum: self.sum * remaining + sample, weight: self.weight * remaining + 1.0, at: now };
+        *self = DecayingMean {
+            sum: self.sum * remaining + sample,
+            weight: self.weight * remaining + 1.0,
+            at: now,
+        };
     }
 
-    /// Adds a sample like [`Evidence::add`], but limits the weight of all samples to `max_samples`, so that the mean follows a
+    /// Adds a sample like [`DecayingMean::add`], but limits the weight of all samples to `max_samples`, so that the mean follows a
     /// change within about that many samples.
-    pub fn learn(&mut self, now: Micros, half_life: f64, sample: f64, max_samples: f64) {
+    pub fn add_limited(&mut self, now: Micros, half_life: f64, sample: f64, max_samples: f64) {
         let keep = ((max_samples - 1.0) / self.weight.max(1.0)).min(1.0);
         (self.sum, self.weight) = (self.sum * keep, self.weight * keep);
         self.add(now, half_life, sample);
     }
 
     /// Returns the mean of the samples and of the prior mean `expected`, which counts as `prior_samples` samples.
-    pub fn mean(&self, now: Micros, half_life: f64, expected: f64, prior_samples: f64) -> f64 {
+    pub fn mean_with_prior(&self, now: Micros, half_life: f64, expected: f64, prior_samples: f64) -> f64 {
         let remaining = self.remaining(now, half_life);
         (self.sum * remaining + prior_samples * expected) / (self.weight * remaining + prior_samples)
     }
@@ -60,8 +63,8 @@
     }
 
     /// Returns the same evidence for a clock that is `behind` this one by so many microseconds.
-    pub fn rebased(self, behind: Micros) -> Evidence {
-        Evidence { at: self.at.saturating_sub(behind), ..self }
+    pub fn rebased(self, behind: Micros) -> DecayingMean {
+        DecayingMean { at: self.at.saturating_sub(behind), ..self }
     }
 
     /// Returns whether the weight is finite and not negative, and the sum at most `max` per sample in magnitude.
--- a/src/control/fleet.rs
+++ b/src/control/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! No I/O and no decisions; the clock is passed in. The size is bounded by the number of workers.
 
-use super::Evidence;
+use super::DecayingMean;
 use super::tables::Worker;
 use crate::api::Micros;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     up: bool,
     /// Time at which it becomes warm; `None` if it is warm.
     warm_at: Option<Micros>,
-    slowness: Evidence,
+    slowness: DecayingMean,
     weight: Weight,
     /// Its key in the order by slowness.
     slowness_key: Option<u64>,
--- a/src/control/fleet/tests.rs
+++ b/src/control/fleet/tests.rs
@@ -68,16 +68,16 @@
         for step in steps {
             let changed = match step {
                 Step::Answer(w, sample) => {
-                    workers[w].slowness.learn(now, HALF_LIFE, sample, 10.0);
+                    workers[w].slowness.add_limited(now, HALF_LIFE, sample, 10.0);
                     Some(w)
                 }
                 Step::Restart(w) => {
                     workers[w].ready_at = Some(now);
-                    workers[w].slowness = Evidence::default();
+                    workers[w].slowness = DecayingMean::default();
                     Some(w)
                 }
                 Step::Forget(w) => {
-                    workers[w].slowness = Evidence::default();
+                    workers[w].slowness = DecayingMean::default();
                     Some(w)
                 }
                 Step::SetUp(w, up) => {
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -6,7 +6,7 @@
 
 use super::preference::PreferenceRing;
 use super::tables::{ClassEstimates, Function, Replica, Worker};
-use super::{Evidence, Router};
+use super::{DecayingMean, Router};
 use crate::api::{Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -26,7 +26,7 @@
     #[serde(rename = "pools")]
     class_estimates: Vec<ClassEstimates>,
     /// Evidence of the rate of answers, and of the slowness of the function store.
-    rates: (Evidence, Evidence),
+    rates: (DecayingMean, DecayingMean),
     /// Times of the requests and of the load orders that the load ration counts.
     ration: (VecDeque<Micros>, VecDeque<Micros>),
 }
@@ -38,7 +38,7 @@
     pub fn from_peer(self, behind: Micros) -> Option<LearnedState> {
         let rebased = |at: Micros| at.saturating_sub(behind);
         let plausible = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
-        let plausible_evidence = |evidence: &Evidence| evidence.is_plausible(MAX_FIGURE);
+        let plausible_evidence = |evidence: &DecayingMean| evidence.is_plausible(MAX_FIGURE);
         let plausible_function = |f: &Function| {
             let loads = f.stated_load_time.iter().chain(&f.load_time).all(|load| plausible(*load));
             let figures = loads && plausible(f.run_time) && plausible(f.lanes);
@@ -65,7 +65,7 @@
             ready_at: w.ready_at.map(rebased),
             replicas: w.replicas.into_iter().map(|(f, m)| (f, mark(m))).collect(),
             slowness: w.slowness.rebased(behind),
-            losses_by_class: vec![Evidence::default(); classes],
+            losses_by_class: vec![DecayingMean::default(); classes],
             last_answer_by_class: vec![0; classes],
             id: w.id,
             zone: w.zone,
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -7,7 +7,7 @@
 use super::functions::{MIN_FUNCTION_BYTES, RetiredFunction};
 use super::renewal::{RenewalQueue, ReplicaUse};
 use super::tables::{Function, Replica, Worker};
-use super::{DORMANT_AFTER_KEEP_ALIVES, Evidence, Router, Warmth};
+use super::{DORMANT_AFTER_KEEP_ALIVES, DecayingMean, Router, Warmth};
 use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
 use std::collections::HashSet;
 
@@ -101,9 +101,9 @@
                 worker.ready_at = entry.ready_at;
                 self.zone_losses.remove(&entry.zone);
                 worker.forget_copies();
-                worker.slowness = Evidence::default();
+                worker.slowness = DecayingMean::default();
                 worker.last_cold_turn = 0;
-                worker.losses_by_class.fill(Evidence::default());
+                worker.losses_by_class.fill(DecayingMean::default());
             }
             let up = entry.standing == Standing::Healthy;
             (worker.down_since, worker.up) =
@@ -174,7 +174,7 @@
 
     fn add_worker(&mut self, entry: &Listing, reusable: Option<usize>, changes: &mut RingChanges) -> usize {
         let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.settings.classes.len());
-        let (lost, heard) = (vec![Evidence::default(); classes], vec![0; classes]);
+        let (lost, heard) = (vec![DecayingMean::default(); classes], vec![0; classes]);
         let worker = Worker {
             id: id.clone(),
             ready_at,
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -4,7 +4,7 @@
 
 use super::hints::{HintExponent, HintMean, WorkHint};
 use super::reports::LoadReport;
-use super::{Estimate, Evidence};
+use super::{DecayingMean, Estimate};
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -30,10 +30,10 @@
     pub(super) open_attempts: Vec<(RequestId, usize)>,
     /// Observed over predicted times. Above 1 for slow machines and for queues fed by other routers.
     #[serde(rename = "slow")]
-    pub(super) slowness: Evidence,
+    pub(super) slowness: DecayingMean,
     /// The share of lost attempts, by class.
     #[serde(rename = "lost")]
-    pub(super) losses_by_class: Vec<Evidence>,
+    pub(super) losses_by_class: Vec<DecayingMean>,
     /// When it last answered, by class.
     #[serde(rename = "heard")]
     pub(super) last_answer_by_class: Vec<Micros>,
@@ -105,10 +105,10 @@
     pub(super) served: bool,
     /// Requests for it at this router.
     #[serde(rename = "seen")]
-    pub(super) request_rate: Evidence,
+    pub(super) request_rate: DecayingMean,
     /// Whether a copy was found at homes where this router had observed none.
     #[serde(rename = "found")]
-    pub(super) home_hits: Evidence,
+    pub(super) home_hits: DecayingMean,
     /// The first workers in its order of preference, which all dispatchers share.
     #[serde(skip)]
     pub(super) preferred_workers: Vec<u32>,
@@ -123,7 +123,7 @@
     pub(super) in_flight: u32,
     /// Requests for it running or waiting at all its homes together, as estimated from answers.
     #[serde(rename = "crowd")]
-    pub(super) concurrency: Evidence,
+    pub(super) concurrency: DecayingMean,
 }
 
 /// What is learned for a class over all its functions.
@@ -137,10 +137,10 @@
     pub(super) load_time: Option<f64>,
     /// Whether a copy was found at homes where this router had observed none.
     #[serde(rename = "found")]
-    pub(super) home_hits: Evidence,
+    pub(super) home_hits: DecayingMean,
     /// Concurrency of a function of the class, as in [`Function`].
     #[serde(rename = "crowd")]
-    pub(super) concurrency: Evidence,
+    pub(super) concurrency: DecayingMean,
     /// The usual hint of its requests.
     #[serde(default)]
     #[serde(rename = "hinted")]
