--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -41,12 +41,12 @@
             panic!("a good list refused");
         };
         checked += began.elapsed().as_secs_f64();
-        let entry = |(n, e): (usize, &Executor)| Listing {
+        let entry = |(n, e): (usize, &Executor)| WorkerEntry {
             worker: e.id.clone(),
             zone: n % 3,
             kind: 0,
             cell: e.cell,
-            standing: Standing::Healthy,
+            standing: WorkerStatus::Healthy,
             ready_at: None,
         };
         let entries = executors.iter().enumerate().map(entry).collect();
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -39,8 +39,8 @@
     settings
 }
 
-fn listing(n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
-    Listing { worker: format!("s-{n:05}").into(), zone: n % 9, kind: 0, cell: n % 4, standing, ready_at }
+fn listing(n: usize, standing: WorkerStatus, ready_at: Option<Micros>) -> WorkerEntry {
+    WorkerEntry { worker: format!("s-{n:05}").into(), zone: n % 9, kind: 0, cell: n % 4, standing, ready_at }
 }
 
 /// How functions are asked for.
@@ -89,7 +89,7 @@
             failing: 0,
         };
         bed.router.bound_functions(ochreward::control::DEFAULT_FUNCTION_BYTES);
-        let entries = (0..workers).map(|n| listing(n, Standing::Healthy, None)).collect();
+        let entries = (0..workers).map(|n| listing(n, WorkerStatus::Healthy, None)).collect();
         bed.tell(&Event::Workers { complete: true, entries });
         bed
     }
@@ -121,7 +121,7 @@
         while let Some((id, _)) = self.open.pop_front_if(|(_, due)| *due <= self.now) {
             let fails = self.rng.next_u32() % 100 < self.failing;
             let outcome = if fails { Outcome::ConnectFailed } else { Outcome::Ok };
-            let found = if fails { Found::Untold } else { Found::Warm };
+            let found = if fails { ReplicaStatus::NotReported } else { ReplicaStatus::Warm };
             let latency = RUN + Micros::from(self.rng.next_u32() % 40_000);
             let crowd = Some(1);
             let event =
@@ -172,24 +172,24 @@
     for n in 0..300 {
         bed.now += 10_000;
         let (standing, ready_at) = match n % 3 {
-            0 => (Standing::Draining, None),
-            1 => (Standing::Gone, None),
-            _ => (Standing::Healthy, Some(bed.now)),
+            0 => (WorkerStatus::Draining, None),
+            1 => (WorkerStatus::Removed, None),
+            _ => (WorkerStatus::Healthy, Some(bed.now)),
         };
         // Now and then one that was not there before.
         let which = if n % 30 == 29 { workers + n } else { n / 3 % workers };
         let entries = vec![listing(which, standing, ready_at)];
         worst[0] = worst[0].max(bed.tell(&Event::Workers { complete: false, entries }));
     }
-    for standing in [Standing::Gone, Standing::Healthy] {
+    for standing in [WorkerStatus::Removed, WorkerStatus::Healthy] {
         bed.now += S;
-        let ready_at = (standing == Standing::Healthy).then_some(bed.now);
+        let ready_at = (standing == WorkerStatus::Healthy).then_some(bed.now);
         let entries = (0..workers).filter(|n| n % 9 == 3).map(|n| listing(n, standing, ready_at)).collect();
         worst[1] = worst[1].max(bed.tell(&Event::Workers { complete: false, entries }));
     }
     for first in [0, workers / 10] {
         bed.now += S;
-        let entries = (first..first + workers).map(|n| listing(n, Standing::Healthy, None)).collect();
+        let entries = (first..first + workers).map(|n| listing(n, WorkerStatus::Healthy, None)).collect();
         worst[2] = worst[2].max(bed.tell(&Event::Workers { complete: true, entries }));
     }
     worst.map(|ns| ns as f64 / 1e6)
@@ -212,15 +212,16 @@
     let mut bed = Bed::new(WORKERS, FUNCTIONS, Traffic::Rare);
     let mut before = 0.0;
     for worker in 0..WORKERS {
-        let entries = (0..WORKERS)
-            .map(|n| listing(n, if n == worker { Standing::Healthy } else { Standing::Draining }, None));
+        let entries = (0..WORKERS).map(|n| {
+            listing(n, if n == worker { WorkerStatus::Healthy } else { WorkerStatus::Draining }, None)
+        });
         bed.tell(&Event::Workers { complete: true, entries: entries.collect() });
         for _ in 0..FUNCTIONS {
             // All within one keep-alive.
             bed.now -= GAP;
             bed.call();
             if let Some((id, _)) = bed.open.pop_back() {
-                let (outcome, found, latency, report) = (Outcome::Ok, Found::Warm, RUN, vec![]);
+                let (outcome, found, latency, report) = (Outcome::Ok, ReplicaStatus::Warm, RUN, vec![]);
                 bed.tell(&Event::Outcome {
                     id,
                     attempt: 0,
--- a/src/api.rs
+++ b/src/api.rs
@@ -129,18 +129,18 @@
 
 /// The state of a worker according to the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerStatus {
     /// Accepts requests.
     Healthy,
     /// Draining: must receive no new requests.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// One entry of the worker list.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct WorkerEntry {
     /// The worker.
     pub worker: WorkerId,
     /// Its zone.
@@ -150,7 +150,7 @@
     /// Its cell.
     pub cell: usize,
     /// Its listed state.
-    pub standing: Standing,
+    pub standing: WorkerStatus,
     /// When its process last started, if that was recent.
     pub ready_at: Option<Micros>,
 }
@@ -173,7 +173,7 @@
     /// The attempt was cancelled; the request may have run.
     Cancelled,
     /// The attempt was never sent.
-    Moot,
+    NotSent,
     /// The function is not loaded on the worker; the request never ran.
     Miss,
     /// The status is unknown to the router; the request may have run.
@@ -182,13 +182,13 @@
 
 /// What an answer reports about the copy that handled the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ReplicaStatus {
     /// Nothing was reported.
-    Untold,
+    NotReported,
     /// A copy was already loaded.
     Warm,
     /// The request started a load.
-    BeganLoad,
+    LoadStarted,
     /// The request waited for a load already in progress.
     WaitedForLoad,
     /// The load that the request waited for failed.
@@ -203,7 +203,7 @@
         /// Whether the list is complete: workers absent from it have been removed.
         complete: bool,
         /// Its entries.
-        entries: Vec<Listing>,
+        entries: Vec<WorkerEntry>,
     },
     /// The request for the worker list failed.
     ListRefused,
@@ -240,7 +240,7 @@
         /// How the attempt ended.
         outcome: Outcome,
         /// What the answer reports about the copy.
-        found: Found,
+        found: ReplicaStatus,
         /// The number of requests for the function at the worker, if reported.
         crowd: Option<u32>,
         /// Time since the send.
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -320,32 +320,32 @@
         "C" => api::Outcome::ConnectFailed,
         "R" => api::Outcome::Reset,
         "X" => api::Outcome::Cancelled,
-        "N" => api::Outcome::Moot,
+        "N" => api::Outcome::NotSent,
         "M" => api::Outcome::Miss,
         _ => api::Outcome::Unknown,
     }
 }
 
-fn found(status: &str, remark: u32, settings: RemarkSettings) -> api::Found {
+fn found(status: &str, remark: u32, settings: RemarkSettings) -> api::ReplicaStatus {
     match (status, remark % 8) {
-        ("S", 1) if settings.reports_found => api::Found::Warm,
-        ("S", 2) if settings.reports_found => api::Found::BeganLoad,
-        ("S", 3) if settings.reports_found => api::Found::WaitedForLoad,
-        ("M" | "E", 4) => api::Found::LoadFailed,
-        _ => api::Found::Untold,
+        ("S", 1) if settings.reports_found => api::ReplicaStatus::Warm,
+        ("S", 2) if settings.reports_found => api::ReplicaStatus::LoadStarted,
+        ("S", 3) if settings.reports_found => api::ReplicaStatus::WaitedForLoad,
+        ("M" | "E", 4) => api::ReplicaStatus::LoadFailed,
+        _ => api::ReplicaStatus::NotReported,
     }
 }
 
-fn listing(item: Item) -> api::Listing {
-    api::Listing {
+fn listing(item: Item) -> api::WorkerEntry {
+    api::WorkerEntry {
         worker: item.worker.into(),
         zone: item.failure_domain,
         kind: item.hw,
         cell: item.cohort,
         standing: match item.condition.as_str() {
-            "healthy" => api::Standing::Healthy,
-            "deregistered" => api::Standing::Gone,
-            _ => api::Standing::Draining,
+            "healthy" => api::WorkerStatus::Healthy,
+            "deregistered" => api::WorkerStatus::Removed,
+            _ => api::WorkerStatus::Draining,
         },
         ready_at: (item.ready_at_us > 0).then_some(item.ready_at_us),
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1139,10 +1139,10 @@
         };
         attempt.rejected = outcome == Outcome::Full;
         attempt.may_have_run =
-            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
         let e = attempt.estimate;
         let class = self.functions[function].class;
-        if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
+        if let Some(crowd) = crowd.filter(|_| found == ReplicaStatus::Warm) {
             let f = &self.functions[function];
             let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
             self.functions[function].concurrency.add_limited(
@@ -1154,7 +1154,7 @@
             self.class_estimates[class].concurrency.add(now, self.half_life_us, concurrency);
         }
         let w = &mut self.workers[worker];
-        if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
+        if let Some(sample) = loss.filter(|_| found != ReplicaStatus::LoadFailed) {
             w.losses_by_class[class].add_limited(now, self.half_life_us, sample, MAX_WORKER_SAMPLES);
             self.zone_losses.entry(w.zone).or_default().add_limited(
                 now,
@@ -1180,8 +1180,8 @@
         let outlasted = self.sparsity > 0.5
             && outcome == Outcome::Timeout
             && *latency as f64 > LOST_DELAY_FACTOR * e.total_if_warm;
-        if e.unobserved && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
-            let sample = if found == Found::Warm { 1.0 } else { 0.0 };
+        if e.unobserved && (outlasted || matches!(found, ReplicaStatus::Warm | ReplicaStatus::LoadStarted)) {
+            let sample = if found == ReplicaStatus::Warm { 1.0 } else { 0.0 };
             let f = &mut self.functions[function];
             f.home_hits.add(now, self.half_life_us, sample);
             if !outlasted {
@@ -1198,13 +1198,15 @@
                 mark.loading = None;
                 let took = *latency as f64;
                 match found {
-                    Found::BeganLoad => self.learn_load_time(function, (took - e.run_time).max(0.0)),
-                    Found::Warm => {
+                    ReplicaStatus::LoadStarted => {
+                        self.learn_load_time(function, (took - e.run_time).max(0.0))
+                    }
+                    ReplicaStatus::Warm => {
                         let usual = (e.total_if_warm / size.run_time_factor).max(1.0);
                         self.class_estimates[class].hint_power.learn(size.ratio, took / usual);
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
-                    Found::Untold if !e.cold && took < e.total_if_warm => {
+                    ReplicaStatus::NotReported if !e.cold && took < e.total_if_warm => {
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
                     _ => {}
@@ -1212,7 +1214,7 @@
             }
             Outcome::Miss => *mark = Replica { count: 0, loading: None, ..*mark },
             Outcome::Error | Outcome::Full => {
-                if found == Found::LoadFailed {
+                if found == ReplicaStatus::LoadFailed {
                     mark.loading = None;
                 } else if outcome == Outcome::Full {
                     // A rejection counts as an answer that took twice the expected time.
@@ -1223,8 +1225,8 @@
                 w.connection_failed(now, outcome == Outcome::ConnectFailed);
             }
             // The attempt was never sent, so the load that it was meant to start is not under way.
-            Outcome::Moot if e.cold && mark.own_in_flight == 0 => mark.loading = None,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::NotSent if e.cold && mark.own_in_flight == 0 => mark.loading = None,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 }
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -35,7 +35,7 @@
     /// The reference, which estimates every worker.
     scan: Router,
     settings: Settings,
-    workers: BTreeMap<usize, Listing>,
+    workers: BTreeMap<usize, WorkerEntry>,
     next_worker: usize,
     next_request: RequestId,
     functions: u64,
@@ -88,12 +88,12 @@
         self.below(100) < percent
     }
 
-    fn join(&mut self, ready_at: Option<Micros>) -> Listing {
+    fn join(&mut self, ready_at: Option<Micros>) -> WorkerEntry {
         let n = self.next_worker;
         self.next_worker += 1;
         let (zone, cell) = (n % ZONES, n % 4);
         let worker = format!("w{n}").into();
-        let listing = Listing { worker, zone, kind: 0, cell, standing: Standing::Healthy, ready_at };
+        let listing = WorkerEntry { worker, zone, kind: 0, cell, standing: WorkerStatus::Healthy, ready_at };
         self.workers.insert(n, listing.clone());
         listing
     }
@@ -123,14 +123,14 @@
             Action::Cancel { id, attempt } => {
                 if let Some(place) = self.open.iter().position(|o| o.id == id && o.attempt == attempt) {
                     let open = self.open.swap_remove(place);
-                    self.end(&open, Outcome::Cancelled, Found::Untold);
+                    self.end(&open, Outcome::Cancelled, ReplicaStatus::NotReported);
                 }
             }
             Action::Refuse { .. } | Action::Fail { .. } | Action::Watch => {}
         }
     }
 
-    fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: Found) {
+    fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: ReplicaStatus) {
         let report = if self.chance(50) { vec![self.below(30) as f64] } else { Vec::new() };
         let crowd = self.chance(60).then(|| self.below(5) as u32);
         self.handle(&Event::Outcome {
@@ -187,19 +187,19 @@
         let place = self.below(self.open.len() as u64) as usize;
         let open = self.open.swap_remove(place);
         let (outcome, found) = match self.below(40) {
-            0..24 => (Outcome::Ok, Found::Warm),
-            24..28 => (Outcome::Ok, Found::BeganLoad),
-            28..30 => (Outcome::Ok, Found::WaitedForLoad),
-            30 => (Outcome::Ok, Found::Untold),
-            31 => (Outcome::Full, Found::Untold),
-            32 => (Outcome::Miss, Found::Untold),
-            33 => (Outcome::Error, Found::LoadFailed),
-            34 => (Outcome::Error, Found::Untold),
-            35 => (Outcome::Timeout, Found::Untold),
-            36 => (Outcome::ConnectFailed, Found::Untold),
-            37 => (Outcome::Reset, Found::Untold),
-            38 => (Outcome::Moot, Found::Untold),
-            _ => (Outcome::Unknown, Found::Untold),
+            0..24 => (Outcome::Ok, ReplicaStatus::Warm),
+            24..28 => (Outcome::Ok, ReplicaStatus::LoadStarted),
+            28..30 => (Outcome::Ok, ReplicaStatus::WaitedForLoad),
+            30 => (Outcome::Ok, ReplicaStatus::NotReported),
+            31 => (Outcome::Full, ReplicaStatus::NotReported),
+            32 => (Outcome::Miss, ReplicaStatus::NotReported),
+            33 => (Outcome::Error, ReplicaStatus::LoadFailed),
+            34 => (Outcome::Error, ReplicaStatus::NotReported),
+            35 => (Outcome::Timeout, ReplicaStatus::NotReported),
+            36 => (Outcome::ConnectFailed, ReplicaStatus::NotReported),
+            37 => (Outcome::Reset, ReplicaStatus::NotReported),
+            38 => (Outcome::NotSent, ReplicaStatus::NotReported),
+            _ => (Outcome::Unknown, ReplicaStatus::NotReported),
         };
         self.end(&open, outcome, found);
     }
@@ -217,7 +217,7 @@
         if all.is_empty() { None } else { Some(all[self.below(all.len() as u64) as usize]) }
     }
 
-    fn set_standing(&mut self, n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
+    fn set_standing(&mut self, n: usize, standing: WorkerStatus, ready_at: Option<Micros>) -> WorkerEntry {
         let listing = self.workers.get_mut(&n).expect("a worker");
         listing.standing = standing;
         listing.ready_at = ready_at.or(listing.ready_at);
@@ -231,19 +231,19 @@
         let now = self.now;
         let (complete, entries) = match self.below(8) {
             0 => (false, vec![self.join(Some(now))]),
-            1 => (false, vec![self.set_standing(n, Standing::Draining, None)]),
-            2 => (false, vec![self.set_standing(n, Standing::Healthy, None)]),
-            3 => (false, vec![self.set_standing(n, Standing::Healthy, Some(now))]),
+            1 => (false, vec![self.set_standing(n, WorkerStatus::Draining, None)]),
+            2 => (false, vec![self.set_standing(n, WorkerStatus::Healthy, None)]),
+            3 => (false, vec![self.set_standing(n, WorkerStatus::Healthy, Some(now))]),
             4 if self.workers.len() > 3 => {
-                let gone = self.set_standing(n, Standing::Gone, None);
+                let gone = self.set_standing(n, WorkerStatus::Removed, None);
                 self.workers.remove(&n);
                 (false, vec![gone])
             }
             5 => {
                 let zone = n % ZONES;
-                let standing = if self.chance(50) { Standing::Gone } else { Standing::Healthy };
+                let standing = if self.chance(50) { WorkerStatus::Removed } else { WorkerStatus::Healthy };
                 let there: Vec<usize> = self.workers.keys().copied().filter(|w| w % ZONES == zone).collect();
-                let ready_at = (standing == Standing::Healthy).then_some(now);
+                let ready_at = (standing == WorkerStatus::Healthy).then_some(now);
                 (false, there.into_iter().map(|w| self.set_standing(w, standing, ready_at)).collect())
             }
             6 => {
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -8,7 +8,7 @@
 use super::renewal::{RenewalQueue, ReplicaUse};
 use super::tables::{Function, Replica, Worker};
 use super::{DORMANT_AFTER_KEEP_ALIVES, DecayingMean, Router, Warmth};
-use crate::api::{Action, FunctionId, Listing, Micros, Standing, WorkerId};
+use crate::api::{Action, FunctionId, Micros, WorkerEntry, WorkerId, WorkerStatus};
 use std::collections::HashSet;
 
 /// Counters of the router's decisions about cold workers and renewals, since it started.
@@ -67,7 +67,12 @@
     }
 
     /// Applies a list of workers: a complete one, or one of changes only.
-    pub(super) fn apply_worker_list(&mut self, complete: bool, entries: &[Listing], out: &mut Vec<Action>) {
+    pub(super) fn apply_worker_list(
+        &mut self,
+        complete: bool,
+        entries: &[WorkerEntry],
+        out: &mut Vec<Action>,
+    ) {
         if self.worker_ids.is_empty() && self.settings.list_on_request {
             out.push(Action::Watch);
         }
@@ -91,8 +96,8 @@
         }
         for (slot, entry) in self.assign_slots(entries).into_iter().zip(entries) {
             let worker = &mut self.workers[slot];
-            worker.listed = entry.standing != Standing::Gone;
-            if entry.standing != Standing::Gone {
+            worker.listed = entry.standing != WorkerStatus::Removed;
+            if entry.standing != WorkerStatus::Removed {
                 // An entry that reports a worker as gone carries no valid zone or cell.
                 (worker.zone, worker.cell) = (entry.zone, entry.cell);
             }
@@ -105,7 +110,7 @@
                 worker.last_cold_turn = 0;
                 worker.losses_by_class.fill(DecayingMean::default());
             }
-            let up = entry.standing == Standing::Healthy;
+            let up = entry.standing == WorkerStatus::Healthy;
             (worker.down_since, worker.up) =
                 (if worker.up && !up { self.now } else { worker.down_since }, up);
             if worker.listed {
@@ -142,7 +147,7 @@
 
     /// Returns the slots of the workers in a list and assigns slots to new ones. Slots of unlisted workers are reused, since
     /// otherwise a fleet whose workers are replaced all the time would fill the memory.
-    fn assign_slots(&mut self, entries: &[Listing]) -> Vec<usize> {
+    fn assign_slots(&mut self, entries: &[WorkerEntry]) -> Vec<usize> {
         let mut changes = RingChanges::default();
         let mut reusable = self.reusable_slots().into_iter();
         let mut slots = Vec::with_capacity(entries.len());
@@ -172,7 +177,12 @@
         self.unlisted.iter().filter(reusable).copied().collect()
     }
 
-    fn add_worker(&mut self, entry: &Listing, reusable: Option<usize>, changes: &mut RingChanges) -> usize {
+    fn add_worker(
+        &mut self,
+        entry: &WorkerEntry,
+        reusable: Option<usize>,
+        changes: &mut RingChanges,
+    ) -> usize {
         let (id, ready_at, classes) = (entry.worker.clone(), entry.ready_at, self.settings.classes.len());
         let (lost, heard) = (vec![DecayingMean::default(); classes], vec![0; classes]);
         let worker = Worker {
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -1,6 +1,6 @@
 //! The identifier of an attempt and the result it ended with.
 
-use crate::api::{Found, Outcome, RequestId};
+use crate::api::{Outcome, ReplicaStatus, RequestId};
 
 /// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,7 +17,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// What the answer reports about the copy.
-    pub found: Found,
+    pub found: ReplicaStatus,
     /// The number of requests for the function at the worker, if reported.
     pub crowd: Option<u32>,
     /// The load report of the answer: one value per name in the settings, in their order; empty if there is
@@ -30,6 +30,12 @@
 impl AttemptResult {
     /// Returns a result with an outcome and no further details.
     pub fn from_outcome(outcome: Outcome) -> AttemptResult {
-        AttemptResult { outcome, found: Found::Untold, crowd: None, report: Vec::new(), body: Vec::new() }
+        AttemptResult {
+            outcome,
+            found: ReplicaStatus::NotReported,
+            crowd: None,
+            report: Vec::new(),
+            body: Vec::new(),
+        }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,8 +9,8 @@
 mod timers;
 
 use crate::api::{
-    Action, Class, Effect, Event, Found, FunctionId, KeyScope, Listing, Micros, Outcome, RequestId, Settings,
-    WorkerId,
+    Action, Class, Effect, Event, FunctionId, KeyScope, Micros, Outcome, ReplicaStatus, RequestId, Settings,
+    WorkerEntry, WorkerId,
 };
 use crate::control::{Budget, LearnedState, Router};
 use crate::counters::{Counters, count};
@@ -93,7 +93,7 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::Moot`].
+    /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::NotSent`].
     Recall {
         /// The attempt.
         attempt: AttemptId,
@@ -311,7 +311,7 @@
     }
 
     /// Passes the complete worker list to the decision module; workers absent from it have been removed.
-    pub fn list(&mut self, now: Micros, entries: Vec<Listing>) {
+    pub fn list(&mut self, now: Micros, entries: Vec<WorkerEntry>) {
         self.handle_event(now, Event::Workers { complete: true, entries });
     }
 
@@ -438,8 +438,10 @@
             return count(&counters.late_answers);
         };
         attempt.open = false;
-        attempt.may_have_run =
-            !matches!(result.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+        attempt.may_have_run = !matches!(
+            result.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss
+        );
         count(match result.outcome {
             Outcome::Ok => &counters.ended_ok,
             Outcome::Error | Outcome::Unknown => &counters.ended_error,
@@ -448,7 +450,7 @@
             Outcome::ConnectFailed => &counters.ended_no_connect,
             Outcome::Reset => &counters.ended_reset,
             Outcome::Cancelled => &counters.ended_cancelled,
-            Outcome::Moot => &counters.ended_moot,
+            Outcome::NotSent => &counters.ended_moot,
             Outcome::Miss => &counters.ended_miss,
         });
         let latency = now.saturating_sub(attempt.sent_at);
@@ -458,8 +460,8 @@
         {
             let mut function_hash = SipHasher13::new();
             request.job.function.hash(&mut function_hash);
-            let sample =
-                (result.outcome == Outcome::Ok && result.found != Found::BeganLoad).then_some(latency);
+            let sample = (result.outcome == Outcome::Ok && result.found != ReplicaStatus::LoadStarted)
+                .then_some(latency);
             if sample.is_some() || result.outcome == Outcome::Full {
                 self.answers.push((attempt.worker.clone(), function_hash.finish(), sample));
             }
@@ -467,7 +469,7 @@
         if self.records_traces && self.traces.len() < MAX_TRACES {
             let mut function_hash = SipHasher13::new();
             request.job.function.hash(&mut function_hash);
-            let sample = (result.found == Found::Warm).then_some(latency);
+            let sample = (result.found == ReplicaStatus::Warm).then_some(latency);
             let end = Some((result.outcome, function_hash.finish(), sample));
             self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
         }
@@ -585,7 +587,7 @@
         outcome: Outcome,
         latency: Micros,
     ) {
-        let (found, crowd, report) = (Found::Untold, None, vec![]);
+        let (found, crowd, report) = (ReplicaStatus::NotReported, None, vec![]);
         self.pending_events.push_back(Event::Outcome {
             id,
             attempt,
@@ -610,7 +612,7 @@
         if !allowed {
             let last = request.answered;
             count(&self.counters.ended_moot);
-            return self.queue_outcome(id, number, last, Outcome::Moot, 0);
+            return self.queue_outcome(id, number, last, Outcome::NotSent, 0);
         }
         count(&self.counters.attempts_sent);
         if self.records_traces && self.traces.len() < MAX_TRACES {
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -48,8 +48,8 @@
     let bounds = Bounds { attempts, load_wait, held_bytes, held_requests, retry_after, send_lag };
     let mut engine = Engine::new(&settings, 1, 0, bounds, Rc::default());
     let (zone, kind, cell, ready_at) = (0, 0, 0, None);
-    let standing = crate::api::Standing::Healthy;
-    engine.list(0, vec![Listing { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
+    let standing = crate::api::WorkerStatus::Healthy;
+    engine.list(0, vec![WorkerEntry { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
     engine
 }
 
@@ -162,7 +162,7 @@
     let ticket = Ticket { front: 0, conn: 0, seq: 1 };
     // The attempt was rejected or never sent: there is no second attempt, and the one final answer is a
     // refusal.
-    for outcome in [Outcome::Full, Outcome::Moot] {
+    for outcome in [Outcome::Full, Outcome::NotSent] {
         let mut engine = engine();
         assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)));
         engine.hung_up(ticket);
@@ -189,7 +189,7 @@
     engine.forget(20, Ticket { front: 0, conn: 0, seq: 1 });
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(recall_count(&commands) == 1 && answers(&commands).is_empty(), "{commands:?}");
-    assert!(end_attempt(&mut engine, 30, 0, Outcome::Moot).is_empty());
+    assert!(end_attempt(&mut engine, 30, 0, Outcome::NotSent).is_empty());
     assert_eq!(engine.held_bytes(), 0);
 }
 
--- a/src/executor/line.rs
+++ b/src/executor/line.rs
@@ -3,7 +3,7 @@
 //! Each line is one JSON object. The length of an answer line is bounded by the connection that receives it.
 
 use super::json::{self, Json};
-use crate::api::{Found, Outcome};
+use crate::api::{Outcome, ReplicaStatus};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use std::ops::Range;
@@ -89,7 +89,7 @@
     /// The result.
     pub outcome: Outcome,
     /// What the answer reports about the copy.
-    pub found: Found,
+    pub found: ReplicaStatus,
     /// The number of requests for the function at the executor, for outcomes that report it.
     pub crowd: Option<u32>,
     /// The load report in its original notation, if it is no longer than [`MAX_LOAD_REPORT_BYTES`].
@@ -113,15 +113,15 @@
         "MISS" => Outcome::Miss,
         "BUSY" => Outcome::Full,
         "ERR" | "DOWN" => Outcome::Error,
-        "VOID" => Outcome::Moot,
+        "VOID" => Outcome::NotSent,
         _ => Outcome::Unknown,
     };
     let found = match (outcome, attr("note")) {
-        (Outcome::Ok, Some("up")) => Found::Warm,
-        (Outcome::Ok, Some("fresh")) => Found::BeganLoad,
-        (Outcome::Ok, Some("behind")) => Found::WaitedForLoad,
-        (Outcome::Miss | Outcome::Error, Some("crashed")) => Found::LoadFailed,
-        _ => Found::Untold,
+        (Outcome::Ok, Some("up")) => ReplicaStatus::Warm,
+        (Outcome::Ok, Some("fresh")) => ReplicaStatus::LoadStarted,
+        (Outcome::Ok, Some("behind")) => ReplicaStatus::WaitedForLoad,
+        (Outcome::Miss | Outcome::Error, Some("crashed")) => ReplicaStatus::LoadFailed,
+        _ => ReplicaStatus::NotReported,
     };
     let crowd = matches!(outcome, Outcome::Ok | Outcome::Full).then(|| number("depth"));
     let body = match value.get("content") {
--- a/src/executor/line/tests.rs
+++ b/src/executor/line/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(outcome_of("MISS"), Outcome::Miss);
     assert_eq!(outcome_of("BUSY"), Outcome::Full);
     assert_eq!(outcome_of("ERR"), Outcome::Error);
-    assert_eq!(outcome_of("VOID"), Outcome::Moot);
+    assert_eq!(outcome_of("VOID"), Outcome::NotSent);
     assert_eq!(outcome_of("WHAT"), Outcome::Unknown);
 }
 
@@ -34,11 +34,11 @@
 fn notes_and_depths_parse_as_strings_or_numbers() {
     let line = br#"{"verb":"OK","rid":7,"attrs":{"note":"fresh","depth":"3"},"content":"AGI="}"#;
     let answer = parse_answer(line).expect("good");
-    assert_eq!((answer.rid.as_str(), answer.found, answer.crowd), ("7", Found::BeganLoad, Some(3)));
+    assert_eq!((answer.rid.as_str(), answer.found, answer.crowd), ("7", ReplicaStatus::LoadStarted, Some(3)));
     assert_eq!(answer.body, b"\x00b");
     let failed =
         parse_answer(br#"{"verb":"ERR","rid":"r","attrs":{"note":"crashed","depth":9}}"#).expect("good");
-    assert_eq!((failed.found, failed.crowd), (Found::LoadFailed, None));
+    assert_eq!((failed.found, failed.crowd), (ReplicaStatus::LoadFailed, None));
     assert_eq!(parse_answer(br#"{"verb":"OK","rid":"r","content":"%%"}"#), None);
     assert_eq!(parse_answer(b"\xff\xfe"), None);
 }
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -8,7 +8,7 @@
 
 use super::line::{self, Answer};
 use super::peer::{ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField};
-use crate::api::{Found, FunctionId, Outcome, WorkerId};
+use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
 use crate::core::{AttemptId, AttemptResult, Job};
 use crate::counters::{Counters, count};
 use crate::names::{Executor, State};
@@ -243,7 +243,7 @@
         for (rid, pending_line) in unsent {
             self.links[slot].peer.open.remove(&rid);
             count(&self.counters.attempts_withdrawn);
-            self.end_unanswered(pending_line.purpose, Outcome::Moot);
+            self.end_unanswered(pending_line.purpose, Outcome::NotSent);
         }
         self.close_if_idle(slot);
     }
@@ -259,7 +259,7 @@
         job: &Job,
     ) {
         let Some(class) = self.limits.classes.get(job.class) else {
-            return self.end_attempt(id, Outcome::Moot);
+            return self.end_attempt(id, Outcome::NotSent);
         };
         let (line, timeout) =
             line::go_line(&job.call, class, &job.function, wait, job.key.as_deref(), &job.body);
@@ -339,7 +339,7 @@
     /// Ends an attempt as moot if nothing of it has been sent; otherwise the attempt continues.
     pub fn recall(&mut self, id: AttemptId) {
         if self.unqueue_attempt(id) {
-            self.end_attempt(id, Outcome::Moot);
+            self.end_attempt(id, Outcome::NotSent);
         }
     }
 
@@ -372,7 +372,7 @@
         line: &[u8],
     ) -> Result<usize, Outcome> {
         let Some((address, State::Ready)) = self.listed.get(worker).copied() else {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         };
         let limits = &self.limits;
         let usable = |link: &Link<ExecutorConnection>| {
@@ -396,7 +396,7 @@
         let link = &mut self.links[slot];
         let start = link.io.queued;
         if !link.io.queue(line) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let pending_line =
             PendingLine { purpose, start, end: link.io.queued, expires_at: u64::MAX, timeout: None };
@@ -518,7 +518,11 @@
         } else if pending_line.purpose == Purpose::Tombstone {
             count(&self.counters.late_answers);
         }
-        let found = if self.limits.tells_warm || found == Found::LoadFailed { found } else { Found::Untold };
+        let found = if self.limits.tells_warm || found == ReplicaStatus::LoadFailed {
+            found
+        } else {
+            ReplicaStatus::NotReported
+        };
         let report = line::load_values(&self.limits.report, load.as_deref());
         let crowd = crowd.filter(|_| self.limits.tells_crowd);
         let result = AttemptResult { outcome, found, crowd, report, body };
--- a/src/executor/pool/tests.rs
+++ b/src/executor/pool/tests.rs
@@ -95,5 +95,5 @@
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     stream.read_to_end(&mut sent).expect("the end of the connection");
     assert!(sent.is_empty(), "the line was written to a draining executor");
-    assert!(matches!(pool.reports[..], [Report::Order(1, Outcome::Moot, 0)]));
+    assert!(matches!(pool.reports[..], [Report::Order(1, Outcome::NotSent, 0)]));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`node`] is its event loop.
 //!
 //! ```
-//! use ochreward::{Action, Class, Effect, Event, KeyScope, Listing, Router, Settings, Standing};
+//! use ochreward::{Action, Class, Effect, Event, KeyScope, WorkerEntry, Router, Settings, WorkerStatus};
 //!
 //! let settings = Settings {
 //!     balancers: 1,
@@ -46,12 +46,12 @@
 //! };
 //! let mut router = Router::new(settings, 42, 0);
 //! let mut actions = Vec::new();
-//! let entry = Listing {
+//! let entry = WorkerEntry {
 //!     worker: "w1".into(),
 //!     zone: 0,
 //!     kind: 0,
 //!     cell: 0,
-//!     standing: Standing::Healthy,
+//!     standing: WorkerStatus::Healthy,
 //!     ready_at: None,
 //! };
 //! router.handle(0, &Event::Workers { complete: true, entries: vec![entry] }, &mut actions);
--- a/src/names/list.rs
+++ b/src/names/list.rs
@@ -1,6 +1,6 @@
 //! Entries of the list of executors, and their translation into what the decision module takes.
 
-use crate::api::{Listing, Standing, WorkerId};
+use crate::api::{WorkerEntry, WorkerId, WorkerStatus};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -48,18 +48,18 @@
 
 impl Vocabulary {
     /// Converts an entry for the decision module. `ready_at` is the executor's start on the process clock.
-    pub fn listing(&self, executor: &Executor, ready_at: Option<u64>) -> Listing {
+    pub fn listing(&self, executor: &Executor, ready_at: Option<u64>) -> WorkerEntry {
         // A name that the settings lack gets the position after the last: it equals no known name.
         let position =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
-        Listing {
+        WorkerEntry {
             worker: executor.id.clone(),
             zone: position(&self.zones, &executor.zone),
             kind: position(&self.kinds, &executor.kind),
             cell: executor.cell,
             standing: match executor.state {
-                State::Ready => Standing::Healthy,
-                State::Draining => Standing::Draining,
+                State::Ready => WorkerStatus::Healthy,
+                State::Draining => WorkerStatus::Draining,
             },
             ready_at,
         }
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -4,7 +4,7 @@
 //! pool, the core, overload control and the zones whenever one of them changes.
 
 use super::Node;
-use crate::api::{Listing, WorkerId};
+use crate::api::{WorkerEntry, WorkerId};
 use crate::counters::count;
 use crate::names::{Executor, State};
 use std::collections::BTreeSet;
@@ -53,7 +53,7 @@
         }
         self.pool.list(&executors);
         self.record_first_listed();
-        let listing = |e: &Executor| -> Listing {
+        let listing = |e: &Executor| -> WorkerEntry {
             let ready_at = self.started_at(e).max(self.ban_lifted_at.get(&e.id).copied());
             self.settings.vocabulary.listing(e, ready_at)
         };
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -66,7 +66,7 @@
         let end = match outcome {
             Outcome::ConnectFailed => End::Refused,
             Outcome::Reset => End::Reset,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => End::GivenUp,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => End::GivenUp,
             Outcome::Ok => End::Answered(kind, took),
             Outcome::Full | Outcome::Error | Outcome::Miss | Outcome::Unknown => End::Answered(kind, None),
         };
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -77,7 +77,7 @@
         &self.out
     }
 
-    fn list(&mut self, complete: bool, entries: Vec<Listing>) {
+    fn list(&mut self, complete: bool, entries: Vec<WorkerEntry>) {
         self.handle(Event::Workers { complete, entries });
     }
 
@@ -108,7 +108,7 @@
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
-        found: Found,
+        found: ReplicaStatus,
         latency: Micros,
     ) {
         let last = outcome == Outcome::Ok;
@@ -133,7 +133,7 @@
         for _ in 0..count {
             let id = self.request(class, function, 4 * S);
             self.now += 100 * MS;
-            self.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+            self.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
         }
     }
 
@@ -152,7 +152,7 @@
         let id = self.request(class, function, 4 * S);
         let worker = self.sent_to().expect("sent");
         self.now += 700 * MS;
-        self.end_attempt(id, 0, Outcome::Ok, Found::BeganLoad, 700 * MS);
+        self.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::LoadStarted, 700 * MS);
         worker
     }
 }
@@ -161,8 +161,15 @@
     format!("w{n}").into()
 }
 
-fn healthy(n: usize, ready_at: Option<Micros>) -> Listing {
-    Listing { worker: worker_id(n), zone: n % 2, kind: 0, cell: n, standing: Standing::Healthy, ready_at }
+fn healthy(n: usize, ready_at: Option<Micros>) -> WorkerEntry {
+    WorkerEntry {
+        worker: worker_id(n),
+        zone: n % 2,
+        kind: 0,
+        cell: n,
+        standing: WorkerStatus::Healthy,
+        ready_at,
+    }
 }
 
 #[test]
@@ -210,7 +217,7 @@
     let mut test = TestRouter::new(settings(), 1, 2);
     let worker = test.warm_up(0, "f");
     let other = if worker == worker_id(0) { 1 } else { 0 };
-    test.list(false, vec![Listing { standing: Standing::Draining, ..healthy(1 - other, None) }]);
+    test.list(false, vec![WorkerEntry { standing: WorkerStatus::Draining, ..healthy(1 - other, None) }]);
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker_id(other)));
     test.list(true, vec![]);
@@ -232,10 +239,10 @@
 fn an_at_most_once_request_that_may_have_run_is_neither_resent_nor_refused() {
     let mut test = TestRouter::new(settings(), 1, 6);
     let id = test.request(2, "f", 4 * S);
-    test.end_attempt(id, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(test.out, vec![Action::Fail { id }]);
     let id = test.request(2, "f", 4 * S);
-    test.end_attempt(id, 0, Outcome::Full, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Full, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_some(), "a full worker proves that it never ran");
 }
 
@@ -245,10 +252,10 @@
     let id = test.request(1, "f", 4 * S);
     let zone = |w: &WorkerId| w[1..].parse::<usize>().expect("a number") % 2;
     let first = test.sent_to().expect("sent");
-    test.end_attempt(id, 0, Outcome::Reset, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Reset, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(zone(&test.sent_to().expect("resent")), zone(&first));
     test.now += 2900 * MS;
-    test.end_attempt(id, 1, Outcome::Reset, Found::Untold, 10 * MS);
+    test.end_attempt(id, 1, Outcome::Reset, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(test.out, vec![Action::Fail { id }], "the window is about to close");
 }
 
@@ -265,7 +272,7 @@
             let id = test.request(0, "f", 4 * S);
             assert_eq!(test.sent_to(), Some(worker.clone()));
             test.now += 100 * MS;
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
         }
         test.now += 500 * MS;
         test.handle(Event::Timer { cookie: slow });
@@ -285,7 +292,7 @@
     assert_eq!(test.sent_to(), None);
     test.now += 700 * MS;
     test.handle(Event::Timer { cookie: id });
-    test.end_attempt(id, 0, Outcome::Cancelled, Found::Untold, 1300 * MS);
+    test.end_attempt(id, 0, Outcome::Cancelled, ReplicaStatus::NotReported, 1300 * MS);
     assert!(test.sent_to().is_some_and(|w| w != worker), "{:?}", test.out);
 }
 
@@ -302,7 +309,13 @@
             let fails = worker == bad;
             sends += usize::from(fails);
             let outcome = if fails { Outcome::Error } else { Outcome::Ok };
-            test.end_attempt(id, attempt, outcome, if fails { Found::Untold } else { Found::Warm }, 5 * MS);
+            test.end_attempt(
+                id,
+                attempt,
+                outcome,
+                if fails { ReplicaStatus::NotReported } else { ReplicaStatus::Warm },
+                5 * MS,
+            );
         }
     }
     assert!(sends < 12, "{sends} sends to a worker that only fails");
@@ -319,7 +332,7 @@
             test.now += 5 * MS;
             let Some(worker) = test.sent_to() else { break };
             let outcome = if worker == warm { Outcome::Error } else { Outcome::Miss };
-            test.end_attempt(id, attempt, outcome, Found::Untold, 5 * MS);
+            test.end_attempt(id, attempt, outcome, ReplicaStatus::NotReported, 5 * MS);
         }
     }
     test.request(0, "f", 4 * S);
@@ -335,7 +348,7 @@
         let open: Vec<RequestId> = (0..4).map(|_| test.request(0, "f", 4 * S)).collect();
         test.now += 10 * MS;
         for id in open {
-            test.end_attempt(id, 0, outcome, Found::Untold, 10 * MS);
+            test.end_attempt(id, 0, outcome, ReplicaStatus::NotReported, 10 * MS);
         }
         test.now += 1_000 * MS;
         let id = test.request(0, "f", 4 * S);
@@ -380,7 +393,7 @@
                 test.now
             );
         }
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 0);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 0);
     }
     // The last of the copies is renewed, and copies without requests are dropped in the end.
     assert!(orders.iter().any(|(_, f)| &**f == "f19"), "{orders:?}");
@@ -399,7 +412,7 @@
     let mut test = TestRouter::new(Settings { cross_zone_price: 0.04, ..settings() }, 1, 1);
     // The only worker is in the other zone. Its estimate is within the time left; with the price added it
     // would not be.
-    test.list(true, vec![Listing { zone: 1, ..healthy(0, None) }]);
+    test.list(true, vec![WorkerEntry { zone: 1, ..healthy(0, None) }]);
     test.warm_up(0, "f");
     test.serve_warm(0, "f", 30);
     test.request(0, "f", 250 * MS);
@@ -415,7 +428,7 @@
         let id = test.request(0, "f", 4 * S);
         assert_eq!(test.sent_to(), Some(worker_id(0)));
         test.now += 100 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
 }
 
@@ -425,13 +438,14 @@
     let kept = test.warm_up(0, "kept");
     for n in 0..3_000 {
         test.now += 20 * S;
-        let workers = [kept.clone(), worker_id(10 + n)].map(|worker| Listing { worker, ..healthy(0, None) });
+        let workers =
+            [kept.clone(), worker_id(10 + n)].map(|worker| WorkerEntry { worker, ..healthy(0, None) });
         test.list(true, workers.to_vec());
         test.warm_up(0, &format!("f{n}"));
     }
     let (workers, functions, requests) = test.router.entry_counts();
     assert!(workers <= 8 && functions <= 1024 && requests == 0, "{workers} {functions} {requests}");
-    test.list(true, vec![Listing { worker: kept.clone(), ..healthy(0, None) }]);
+    test.list(true, vec![WorkerEntry { worker: kept.clone(), ..healthy(0, None) }]);
     assert_eq!(test.warm_up(0, "kept"), kept);
 }
 
@@ -447,21 +461,21 @@
         let mut attempt = 0;
         if test.sent_to().expect("sent") == full {
             rejected += 1;
-            test.end_attempt(id, attempt, Outcome::Full, Found::Untold, 5 * MS);
+            test.end_attempt(id, attempt, Outcome::Full, ReplicaStatus::NotReported, 5 * MS);
             attempt += 1;
         }
         assert!(test.sent_to().is_some_and(|w| w != full) || attempt == 0, "request {n}: {:?}", test.out);
         test.now += 95 * MS;
-        test.end_attempt(id, attempt, Outcome::Ok, Found::Warm, 95 * MS);
+        test.end_attempt(id, attempt, Outcome::Ok, ReplicaStatus::Warm, 95 * MS);
     }
     assert!(rejected < 20, "{rejected} of 60 went to a worker that rejects all");
     // A miss proves that nothing ran: twenty in a row are all resent.
     let mut test = TestRouter::new(settings(), 1, 3);
     for n in 0..20 {
         let id = test.request(0, &format!("f{n}"), 4 * S);
-        test.end_attempt(id, 0, Outcome::Miss, Found::Untold, 5 * MS);
+        test.end_attempt(id, 0, Outcome::Miss, ReplicaStatus::NotReported, 5 * MS);
         assert!(test.sent_to().is_some(), "request {n}: {:?}", test.out);
-        test.end_attempt(id, 1, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 1, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
 }
 
@@ -495,7 +509,7 @@
                 let id = test.request(0, "f", 4 * S);
                 if test.sent_to().is_some() {
                     sends.push(test.now);
-                    test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 125 * MS);
+                    test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 125 * MS);
                 }
             }
         }
@@ -535,7 +549,7 @@
     for _ in 0..4 {
         let id = test.request(1, "g", 4 * S);
         if test.sent_to() == Some(worker.clone()) {
-            test.end_attempt(id, 0, Outcome::Error, Found::Untold, MS);
+            test.end_attempt(id, 0, Outcome::Error, ReplicaStatus::NotReported, MS);
         }
     }
     test.request(1, "g", 4 * S);
@@ -549,9 +563,9 @@
     let mut test = TestRouter::new(settings_with_long_aims(), 1, 6);
     let id = test.request_past_hedge_delay(1, "f");
     assert!(test.sent_to().is_some(), "hedged after the delay");
-    test.end_attempt(id, 0, Outcome::Miss, Found::LoadFailed, 1_500 * MS);
+    test.end_attempt(id, 0, Outcome::Miss, ReplicaStatus::LoadFailed, 1_500 * MS);
     test.now += 1000 * MS;
-    test.end_attempt(id, 1, Outcome::Reset, Found::Untold, 1000 * MS);
+    test.end_attempt(id, 1, Outcome::Reset, ReplicaStatus::NotReported, 1000 * MS);
     assert_eq!(test.sent_to(), None, "2.5 s of 3 have passed since the first send");
 }
 
@@ -564,8 +578,8 @@
             assert!(test.sent_to().is_some());
             test.now += 100 * MS;
             let (found, took) = match others_keep_it {
-                true => (Found::Warm, 100 * MS),
-                false => (Found::BeganLoad, 700 * MS),
+                true => (ReplicaStatus::Warm, 100 * MS),
+                false => (ReplicaStatus::LoadStarted, 700 * MS),
             };
             test.end_attempt(id, 0, Outcome::Ok, found, took);
         }
@@ -587,11 +601,11 @@
             let Some(worker) = test.sent_to() else { break };
             let number: usize = worker[1..].parse().expect("a number");
             if number.is_multiple_of(2) {
-                test.end_attempt(id, attempt, Outcome::Ok, Found::Warm, 100 * MS);
+                test.end_attempt(id, attempt, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
                 break;
             }
             failed += 1;
-            test.end_attempt(id, attempt, Outcome::ConnectFailed, Found::Untold, MS);
+            test.end_attempt(id, attempt, Outcome::ConnectFailed, ReplicaStatus::NotReported, MS);
         }
     }
     assert!(failed <= 10, "{failed} attempts went to a zone that is lost");
@@ -604,12 +618,12 @@
     for n in 0..40 {
         let id = test.request(0, &format!("f{n}"), 4 * S);
         test.now += 50 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 50 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 50 * MS);
     }
     let home = test.warm_up(0, "f");
     test.request(0, "f", 500 * MS);
     assert_eq!(test.sent_to(), Some(home.clone()));
-    let gone = Listing { standing: Standing::Gone, worker: home, ..healthy(0, None) };
+    let gone = WorkerEntry { standing: WorkerStatus::Removed, worker: home, ..healthy(0, None) };
     test.list(false, vec![gone]);
     // The load takes 600 ms.
     test.request(0, "f", 500 * MS);
@@ -623,7 +637,7 @@
     test.now += 2 * S;
     test.handle(Event::Timer { cookie: id });
     assert!(test.out.contains(&Action::Fail { id }), "{:?}", test.out);
-    test.end_attempt(id, 0, Outcome::Timeout, Found::Untold, 2 * S);
+    test.end_attempt(id, 0, Outcome::Timeout, ReplicaStatus::NotReported, 2 * S);
     assert!(test.out.is_empty(), "actions after the request ended: {:?}", test.out);
 }
 
@@ -644,7 +658,7 @@
         if test.sent_to() == Some(slow.clone()) {
             test.now += 100 * MS; // shorter than the latency: as if several requests were under way at once
             let sent = std::mem::take(&mut test.out);
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 1200 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 1200 * MS);
             test.out = sent;
         }
     }
@@ -686,7 +700,7 @@
     for _ in 0..60 {
         let id = test.request(0, "f", 60 * S);
         test.now += 100 * MS; // shorter than the latency: as if several requests were under way at once
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 20 * S);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 20 * S);
     }
     test.request(0, "f", 2 * S);
     assert!(test.refused(), "the long run times were not learned: {:?}", test.out);
@@ -714,7 +728,7 @@
     for set in [settings(), absurd] {
         let mut test = TestRouter::new(set, 1, 2);
         (test.next_id, test.now) = (50, S);
-        test.end_attempt(99, 7, Outcome::Ok, Found::Warm, 0);
+        test.end_attempt(99, 7, Outcome::Ok, ReplicaStatus::Warm, 0);
         test.handle(Event::Timer { cookie: u64::MAX });
         test.handle(Event::Abandoned { id: 99 });
         test.handle(Event::Streaming { id: 99 });
@@ -750,8 +764,8 @@
         });
         test.handle(Event::Timer { cookie: 6 });
         let id = test.request(0, "f", S);
-        test.end_attempt(id, 9, Outcome::Ok, Found::Warm, 1);
-        test.end_attempt(id, 0, Outcome::Unknown, Found::Untold, 0);
+        test.end_attempt(id, 9, Outcome::Ok, ReplicaStatus::Warm, 1);
+        test.end_attempt(id, 0, Outcome::Unknown, ReplicaStatus::NotReported, 0);
     }
 }
 
@@ -828,12 +842,12 @@
     set.classes[0].effect = Effect::AtMostOnce;
     set.max_attempts = 2;
     test.router.configure(set, &[]);
-    test.end_attempt(old, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(old, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_some(), "it may be resent, as when it arrived");
-    test.end_attempt(old, 1, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(old, 1, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_none(), "but only as often as the new settings allow");
     let new = test.request(0, "f", 4 * S);
-    test.end_attempt(new, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(new, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_none() && !test.refused());
 }
 
@@ -863,7 +877,7 @@
         let function = format!("f{}", (n * 7_919) % (if n.is_multiple_of(3) { 20 } else { 5_000 }));
         let id = test.request(0, &function, 2 * S);
         if test.sent_to().is_some() {
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 40 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 40 * MS);
         }
         let sizes = test.router.sizes();
         let most = if test.now < end * 3 / 4 { &mut most_early } else { &mut most_late };
@@ -913,7 +927,7 @@
 impl TestRouter {
     /// Ends an attempt with an answer of a warm copy and a load report.
     fn end_with_report(&mut self, id: RequestId, attempt: usize, latency: Micros, report: Vec<f64>) {
-        let (last, outcome, found, crowd) = (true, Outcome::Ok, Found::Warm, None);
+        let (last, outcome, found, crowd) = (true, Outcome::Ok, ReplicaStatus::Warm, None);
         self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
     }
 
@@ -925,7 +939,7 @@
         let other = if &*a == "w0" { 1 } else { 0 };
         // The first worker drains for a moment, so that the next request goes to the other.
         let at = 1 - other;
-        self.list(false, vec![Listing { standing: Standing::Draining, ..healthy(at, None) }]);
+        self.list(false, vec![WorkerEntry { standing: WorkerStatus::Draining, ..healthy(at, None) }]);
         self.request(0, "f", 4 * S);
         let b = self.sent_to().expect("sent");
         self.list(false, vec![healthy(at, None)]);
@@ -1030,7 +1044,7 @@
             });
             let sent = test.sent_to().is_some();
             if sent {
-                test.end_attempt(id, 0, Outcome::Ok, Found::Untold, 300 * MS);
+                test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::NotReported, 300 * MS);
             }
             sent
         };
@@ -1060,7 +1074,7 @@
         let id = test.request(0, "f", 4 * S);
         ordered += test.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
         test.now += 100 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
     let window = test.router.sizes().ration_window;
     assert!((40..=51).contains(&window), "half a keep-alive of requests: {window}");
@@ -1085,13 +1099,13 @@
         let id = ask(&mut test, work, 4 * S);
         assert!(test.sent_to().is_some(), "{n}: a heavy request's own work is no queue");
         test.now += work;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, work);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, work);
     }
     // With 100 ms left, a light request can finish and a heavy one cannot.
     let light = ask(&mut test, 20 * MS, 100 * MS);
     assert!(test.sent_to().is_some());
     test.now += 20 * MS;
-    test.end_attempt(light, 0, Outcome::Ok, Found::Warm, 20 * MS);
+    test.end_attempt(light, 0, Outcome::Ok, ReplicaStatus::Warm, 20 * MS);
     ask(&mut test, 180 * MS, 100 * MS);
     assert!(test.refused());
 }
@@ -1105,7 +1119,7 @@
     let first = test.request(0, "f", 4 * S);
     assert!(test.out.iter().any(|a| matches!(a, Action::Send { .. })));
     test.handle(Event::Abandoned { id: first });
-    test.end_attempt(first, 0, Outcome::Moot, Found::Untold, 0);
+    test.end_attempt(first, 0, Outcome::NotSent, ReplicaStatus::NotReported, 0);
     test.now = 500 * MS;
     test.request(0, "f", 4 * S);
     let timers = |out: &[Action]| {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -79,13 +79,13 @@
     shares: Vec<f64>,
 }
 
-fn entries(workers: &[(&str, Option<Micros>)]) -> Vec<Listing> {
-    let entry = |(name, ready_at): &(&str, Option<Micros>)| Listing {
+fn entries(workers: &[(&str, Option<Micros>)]) -> Vec<WorkerEntry> {
+    let entry = |(name, ready_at): &(&str, Option<Micros>)| WorkerEntry {
         worker: (*name).into(),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Healthy,
+        standing: WorkerStatus::Healthy,
         ready_at: *ready_at,
     };
     workers.iter().map(entry).collect()
@@ -134,7 +134,7 @@
                     attempt: 0,
                     last: true,
                     outcome: Outcome::Ok,
-                    found: Found::Warm,
+                    found: ReplicaStatus::Warm,
                     crowd: Some(crowd),
                     latency: done - sent,
                     report: vec![],
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -127,7 +127,7 @@
     slack: f64,
     router: Router,
     now: Micros,
-    list: Vec<Listing>,
+    list: Vec<WorkerEntry>,
     requests: BTreeMap<RequestId, RequestRecord>,
     timers: Vec<(Micros, u64)>,
     open_orders: Vec<(Micros, WorkerId, FunctionId)>,
@@ -149,13 +149,13 @@
     }
 
     fn with(seed: u64, rng: Pcg32, set: Settings, zones: usize, (lanes, hints): (f64, bool)) -> Simulation {
-        let list: Vec<Listing> = (0..6)
-            .map(|n| Listing {
+        let list: Vec<WorkerEntry> = (0..6)
+            .map(|n| WorkerEntry {
                 worker: format!("worker-{n}").into(),
                 zone: n % zones,
                 kind: n % 2,
                 cell: n,
-                standing: Standing::Healthy,
+                standing: WorkerStatus::Healthy,
                 ready_at: None,
             })
             .collect();
@@ -234,7 +234,7 @@
                 if copies > 0 {
                     assert_eq!(
                         self.list[index].standing,
-                        Standing::Healthy,
+                        WorkerStatus::Healthy,
                         "load ordered at a worker that is not healthy"
                     );
                     self.load_orders.push_back(self.now);
@@ -263,7 +263,7 @@
 
     fn check_send(&mut self, id: RequestId, worker: usize, until: Option<Micros>) {
         let listing = &self.list[worker];
-        assert_eq!(listing.standing, Standing::Healthy, "sent to a worker that is not healthy");
+        assert_eq!(listing.standing, WorkerStatus::Healthy, "sent to a worker that is not healthy");
         let request = &self.requests[&id];
         let class = &self.set.classes[request.class];
         assert!(!request.answered, "sent after the request ended");
@@ -307,12 +307,13 @@
             self.answers.retain(|t| *t + window > self.now);
             // A cold peer counts by its share of capacity, so that the rate stays that of a warm worker where
             // most peers are cold.
-            let warmth = |l: &Listing| {
+            let warmth = |l: &WorkerEntry| {
                 let age = l.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
                 (self.set.cold_share + (1.0 - self.set.cold_share) * age / self.set.warm_after as f64)
                     .min(1.0)
             };
-            let peers = self.list.iter().filter(|l| l.standing == Standing::Healthy).map(warmth).sum::<f64>();
+            let peers =
+                self.list.iter().filter(|l| l.standing == WorkerStatus::Healthy).map(warmth).sum::<f64>();
             let routers = self.set.balancers as f64;
             let each = (routers * self.answers.len() as f64 / window as f64 / peers.max(1.0)).max(1.0 / 60e3);
             let budget = self.set.fall_multiple * share * self.set.fall_window as f64 * each;
@@ -363,16 +364,16 @@
                 _ => Outcome::Ok,
             };
             let found = match self.below(4) {
-                0 if outcome == Outcome::Ok => Found::BeganLoad,
-                0 if matches!(outcome, Outcome::Error | Outcome::Miss) => Found::LoadFailed,
-                _ if outcome == Outcome::Ok => Found::Warm,
-                _ => Found::Untold,
+                0 if outcome == Outcome::Ok => ReplicaStatus::LoadStarted,
+                0 if matches!(outcome, Outcome::Error | Outcome::Miss) => ReplicaStatus::LoadFailed,
+                _ if outcome == Outcome::Ok => ReplicaStatus::Warm,
+                _ => ReplicaStatus::NotReported,
             };
             let request = self.requests.get_mut(&id).expect("listed above");
             let t = &mut request.attempts[attempt];
             t.open = false;
             t.may_have_run =
-                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Miss | Outcome::Moot);
+                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Miss | Outcome::NotSent);
             if outcome == Outcome::Ok && !request.answered {
                 request.answered = true;
                 self.end_count += 1;
@@ -413,11 +414,12 @@
             let index = self.below(self.list.len() as u64) as usize;
             let listing = &mut self.list[index];
             match listing.standing {
-                Standing::Healthy => {
-                    listing.standing = if id.is_multiple_of(2) { Standing::Draining } else { Standing::Gone };
+                WorkerStatus::Healthy => {
+                    listing.standing =
+                        if id.is_multiple_of(2) { WorkerStatus::Draining } else { WorkerStatus::Removed };
                 }
                 _ => {
-                    listing.standing = Standing::Healthy;
+                    listing.standing = WorkerStatus::Healthy;
                     listing.ready_at = Some(self.now - 1_000);
                     self.sends[index].clear();
                 }
