--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -124,8 +124,16 @@
             let found = if fails { ReplicaStatus::NotReported } else { ReplicaStatus::Warm };
             let latency = RUN + Micros::from(self.rng.next_u32() % 40_000);
             let crowd = Some(1);
-            let event =
-                Event::Outcome { id, attempt: 0, last: true, outcome, found, crowd, latency, report: vec![] };
+            let event = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                is_final: true,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report: vec![],
+            };
             self.tell(&event);
         }
         let function = format!("{:016x}", self.function()).as_str().into();
@@ -136,10 +144,10 @@
             class: 0,
             tenant: 0,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time: Some(600_000),
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left: 3 * S,
         };
         self.tell(&event);
@@ -222,13 +230,13 @@
             bed.call();
             if let Some((id, _)) = bed.open.pop_back() {
                 let (outcome, found, latency, report) = (Outcome::Ok, ReplicaStatus::Warm, RUN, vec![]);
-                bed.tell(&Event::Outcome {
+                bed.tell(&Event::AttemptEnded {
                     id,
                     attempt: 0,
-                    last: true,
+                    is_final: true,
                     outcome,
                     found,
-                    crowd: None,
+                    concurrent_requests: None,
                     latency,
                     report,
                 });
--- a/src/api.rs
+++ b/src/api.rs
@@ -123,7 +123,7 @@
     pub fetch_price: f64,
     /// The cost of the memory held by idle copies.
     pub memory_price: f64,
-    /// Whether the worker list is sent only on request ([`Action::Watch`]).
+    /// Whether the worker list is sent only on request ([`Action::WatchWorkers`]).
     pub list_on_request: bool,
 }
 
@@ -218,31 +218,31 @@
         /// Its function.
         function: FunctionId,
         /// The number of requests that one copy runs concurrently.
-        lanes: f64,
+        replica_concurrency: f64,
         /// The typical load time, if known.
         load_time: Option<Micros>,
         /// A rough prediction of its run time, if known.
-        work: Option<Micros>,
+        work_hint: Option<Micros>,
         /// Whether the request is a client's retry, where clients mark retries; its first try was already
         /// counted against the tenant's quota.
-        again: bool,
+        is_retry: bool,
         /// The time until the client stops waiting.
         time_left: Micros,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The index of the attempt, from 0.
         attempt: usize,
         /// Whether the request has ended.
-        last: bool,
+        is_final: bool,
         /// How the attempt ended.
         outcome: Outcome,
         /// What the answer reports about the copy.
         found: ReplicaStatus,
         /// The number of requests for the function at the worker, if reported.
-        crowd: Option<u32>,
+        concurrent_requests: Option<u32>,
         /// Time since the send.
         latency: Micros,
         /// The load report of the answer; empty if there is none.
@@ -288,7 +288,7 @@
         /// The worker.
         worker: WorkerId,
         /// The deadline of the attempt; `None` means the deadline of the request.
-        until: Option<Micros>,
+        deadline: Option<Micros>,
     },
     /// Refuse the request; a retry is harmless.
     Refuse {
@@ -326,5 +326,5 @@
         cookie: u64,
     },
     /// Subscribe to changes of the worker list.
-    Watch,
+    WatchWorkers,
 }
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -365,24 +365,27 @@
                 class,
                 tenant: org,
                 function: unit_key.into(),
-                lanes: per_copy,
+                replica_concurrency: per_copy,
                 load_time: (warm_ms > 0.0).then_some((warm_ms * 1000.0) as u64),
-                work: (predicted_us > 0.0).then_some(predicted_us as u64),
-                again: retry,
+                work_hint: (predicted_us > 0.0).then_some(predicted_us as u64),
+                is_retry: retry,
                 time_left: ttl_us,
             }
         }
         Body::Flowing { rid } => api::Event::Streaming { id: rid },
-        Body::ClosedAttempt { rid, go, last, lag_us, remark, status, telemetry } => api::Event::Outcome {
-            id: rid,
-            attempt: go,
-            last,
-            outcome: outcome(&status),
-            found: found(&status, remark, remarks),
-            crowd: (remarks.reports_crowd && matches!(status.as_str(), "S" | "F")).then_some(remark / 8),
-            latency: lag_us,
-            report: telemetry.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect(),
-        },
+        Body::ClosedAttempt { rid, go, last, lag_us, remark, status, telemetry } => {
+            api::Event::AttemptEnded {
+                id: rid,
+                attempt: go,
+                is_final: last,
+                outcome: outcome(&status),
+                found: found(&status, remark, remarks),
+                concurrent_requests: (remarks.reports_crowd && matches!(status.as_str(), "S" | "F"))
+                    .then_some(remark / 8),
+                latency: lag_us,
+                report: telemetry.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect(),
+            }
+        }
         Body::Aborted { rid } => api::Event::Abandoned { id: rid },
         Body::LoadResult { worker, unit_key, status, lag_us, units_held } => api::Event::Loaded {
             worker: worker.into(),
@@ -426,7 +429,7 @@
 /// Converts an action of the library to the wire format.
 pub fn order(instance: &str, action: api::Action) -> Order {
     let body = match action {
-        api::Action::Send { id, worker, until } => {
+        api::Action::Send { id, worker, deadline: until } => {
             OrderBody::PassOn { rid: id, worker, abandon_at_us: until }
         }
         api::Action::Refuse { id, retry_after } => OrderBody::PushBack { rid: id, come_back_us: retry_after },
@@ -436,7 +439,7 @@
             OrderBody::StartCopy { worker, unit_key: function, units_held: copies }
         }
         api::Action::Timer { at, cookie } => OrderBody::SetTimer { alarm_time_us: at, cookie },
-        api::Action::Watch => OrderBody::Watch { enable: true },
+        api::Action::WatchWorkers => OrderBody::Watch { enable: true },
     };
     Order { i: instance.to_string(), body }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -375,7 +375,7 @@
         self.now = self.now.max(now);
         match event {
             Event::Workers { complete, entries } => self.apply_worker_list(*complete, entries, out),
-            Event::ListRefused if self.settings.list_on_request => out.push(Action::Watch),
+            Event::ListRefused if self.settings.list_on_request => out.push(Action::WatchWorkers),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
                 if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
@@ -383,7 +383,17 @@
                 }
             }
             Event::ListRefused | Event::Loaded { .. } => {}
-            Event::Request { id, class, tenant, function, lanes, load_time, work, again, time_left } => {
+            Event::Request {
+                id,
+                class,
+                tenant,
+                function,
+                replica_concurrency: lanes,
+                load_time,
+                work_hint: work,
+                is_retry: again,
+                time_left,
+            } => {
                 if *class >= self.settings.classes.len() || self.requests.contains_key(id) {
                     return out.push(Action::Refuse { id: *id, retry_after: 0 });
                 }
@@ -423,7 +433,7 @@
                 self.renew_copies(out);
                 self.retire_functions();
             }
-            Event::Outcome { id, last, .. } => {
+            Event::AttemptEnded { id, is_final: last, .. } => {
                 self.close_attempt(event);
                 let Some(request) = self.requests.get_mut(id) else { return };
                 request.ended |= *last;
@@ -1004,7 +1014,7 @@
         self.counters.cold_turns += u64::from(w.last_cold_turn != e.cold_turn);
         (w.last_sent, w.last_cold_turn) = (self.now, e.cold_turn);
         let hedge_at = self.now.saturating_add((HEDGE_DELAY_FACTOR * e.total_if_cold) as Micros);
-        out.push(Action::Send { id, worker: w.id.clone(), until: None });
+        out.push(Action::Send { id, worker: w.id.clone(), deadline: None });
         if hedge_at < request.deadline {
             out.push(Action::Timer { at: hedge_at, cookie: id });
         }
@@ -1102,7 +1112,17 @@
 
     /// Records the outcome of an attempt and learns from it.
     fn close_attempt(&mut self, event: &Event) {
-        let Event::Outcome { id, attempt, outcome, found, crowd, latency, report, .. } = event else {
+        let Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+            ..
+        } = event
+        else {
             return;
         };
         let (id, number, outcome, found) = (*id, *attempt, *outcome, *found);
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -126,20 +126,20 @@
                     self.end(&open, Outcome::Cancelled, ReplicaStatus::NotReported);
                 }
             }
-            Action::Refuse { .. } | Action::Fail { .. } | Action::Watch => {}
+            Action::Refuse { .. } | Action::Fail { .. } | Action::WatchWorkers => {}
         }
     }
 
     fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: ReplicaStatus) {
         let report = if self.chance(50) { vec![self.below(30) as f64] } else { Vec::new() };
         let crowd = self.chance(60).then(|| self.below(5) as u32);
-        self.handle(&Event::Outcome {
+        self.handle(&Event::AttemptEnded {
             id: open.id,
             attempt: open.attempt,
-            last: false,
+            is_final: false,
             outcome,
             found,
-            crowd,
+            concurrent_requests: crowd,
             latency: self.now - open.sent,
             report,
         });
@@ -172,10 +172,10 @@
             class,
             tenant,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time,
-            work,
-            again,
+            work_hint: work,
+            is_retry: again,
             time_left,
         });
     }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -74,7 +74,7 @@
         out: &mut Vec<Action>,
     ) {
         if self.worker_ids.is_empty() && self.settings.list_on_request {
-            out.push(Action::Watch);
+            out.push(Action::WatchWorkers);
         }
         if complete {
             let named: HashSet<&WorkerId> = entries.iter().map(|e| &e.worker).collect();
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -19,7 +19,7 @@
     /// What the answer reports about the copy.
     pub found: ReplicaStatus,
     /// The number of requests for the function at the worker, if reported.
-    pub crowd: Option<u32>,
+    pub concurrent_requests: Option<u32>,
     /// The load report of the answer: one value per name in the settings, in their order; empty if there is
     /// none.
     pub report: Vec<f64>,
@@ -33,7 +33,7 @@
         AttemptResult {
             outcome,
             found: ReplicaStatus::NotReported,
-            crowd: None,
+            concurrent_requests: None,
             report: Vec::new(),
             body: Vec::new(),
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -339,10 +339,10 @@
             class: job.class,
             tenant: job.tenant,
             function: job.function.clone(),
-            lanes: job.lanes,
+            replica_concurrency: job.lanes,
             load_time: job.load_time,
-            work: job.work,
-            again: job.again,
+            work_hint: job.work,
+            is_retry: job.again,
             time_left: job.time_left,
         };
         let request = TrackedRequest {
@@ -477,9 +477,21 @@
             self.answer(id.request, Final::Served(result.body));
         }
         let last = self.requests.get(&id.request).is_none_or(|r| r.answered);
-        let AttemptResult { outcome, found, crowd, report, .. } = result;
+        let AttemptResult { outcome, found, concurrent_requests: crowd, report, .. } = result;
         let AttemptId { request: id, number: attempt } = id;
-        self.handle_event(now, Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.handle_event(
+            now,
+            Event::AttemptEnded {
+                id,
+                attempt,
+                is_final: last,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report,
+            },
+        );
         self.remove_if_finished(id);
     }
 
@@ -540,7 +552,7 @@
     /// Carries out one action of the decision module.
     fn apply(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.start_attempt(now, id, worker, until),
+            Action::Send { id, worker, deadline: until } => self.start_attempt(now, id, worker, until),
             Action::Refuse { id, retry_after } => {
                 self.answer(id, Final::Refused(retry_after));
                 self.remove_if_finished(id);
@@ -574,7 +586,7 @@
             }
             Action::Timer { at, cookie } => self.timers.add(at, TimerKind::RouterWakeup(cookie)),
             // The host passes the worker list without being asked.
-            Action::Watch => {}
+            Action::WatchWorkers => {}
         }
     }
 
@@ -588,13 +600,13 @@
         latency: Micros,
     ) {
         let (found, crowd, report) = (ReplicaStatus::NotReported, None, vec![]);
-        self.pending_events.push_back(Event::Outcome {
+        self.pending_events.push_back(Event::AttemptEnded {
             id,
             attempt,
-            last,
+            is_final: last,
             outcome,
             found,
-            crowd,
+            concurrent_requests: crowd,
             latency,
             report,
         });
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -525,7 +525,7 @@
         };
         let report = line::load_values(&self.limits.report, load.as_deref());
         let crowd = crowd.filter(|_| self.limits.tells_crowd);
-        let result = AttemptResult { outcome, found, crowd, report, body };
+        let result = AttemptResult { outcome, found, concurrent_requests: crowd, report, body };
         Self::push_report(&mut self.reports, pending_line.purpose, result, copies);
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,10 +60,10 @@
 //!     class: 0,
 //!     tenant: 0,
 //!     function: "resize".into(),
-//!     lanes: 2.0,
+//!     replica_concurrency: 2.0,
 //!     load_time: None,
-//!     work: None,
-//!     again: false,
+//!     work_hint: None,
+//!     is_retry: false,
 //!     time_left: 2_000_000,
 //! };
 //! router.handle(1_000, &request, &mut actions);
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -94,10 +94,10 @@
             class,
             tenant,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left,
         });
         id
@@ -113,7 +113,16 @@
     ) {
         let last = outcome == Outcome::Ok;
         let (crowd, report) = (None, vec![]);
-        self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            is_final: last,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+        });
     }
 
     /// Returns the worker that the last actions sent to.
@@ -741,10 +750,10 @@
             class: 77,
             tenant: 9,
             function,
-            lanes: f64::NAN,
+            replica_concurrency: f64::NAN,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left: 0,
         };
         test.handle(odd);
@@ -756,10 +765,10 @@
             class: 0,
             tenant: 9,
             function,
-            lanes: -1.0,
+            replica_concurrency: -1.0,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left,
         });
         test.handle(Event::Timer { cookie: 6 });
@@ -928,7 +937,16 @@
     /// Ends an attempt with an answer of a warm copy and a load report.
     fn end_with_report(&mut self, id: RequestId, attempt: usize, latency: Micros, report: Vec<f64>) {
         let (last, outcome, found, crowd) = (true, Outcome::Ok, ReplicaStatus::Warm, None);
-        self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            is_final: last,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+        });
     }
 
     /// Sends one request to each of two workers, so that both hold a copy, and answers it with that worker's
@@ -1036,10 +1054,10 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work,
-                again,
+                work_hint: work,
+                is_retry: again,
                 time_left,
             });
             let sent = test.sent_to().is_some();
@@ -1091,7 +1109,17 @@
         test.next_id += 1;
         let (class, tenant, lanes, load_time, again) = (0, 0, 1.0, Some(MS), false);
         let work = Some(work);
-        test.handle(Event::Request { id, class, tenant, function, lanes, load_time, work, again, time_left });
+        test.handle(Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            replica_concurrency: lanes,
+            load_time,
+            work_hint: work,
+            is_retry: again,
+            time_left,
+        });
         id
     };
     for n in 0..300 {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -129,13 +129,13 @@
             self.now += gap / 2 + Micros::from(self.rng.next_u32()) % gap;
             while let Some(n) = (0..self.out.len()).find(|n| self.out[*n].done <= self.now) {
                 let Out { router, id, sent, done, crowd, .. } = self.out.swap_remove(n);
-                let event = Event::Outcome {
+                let event = Event::AttemptEnded {
                     id,
                     attempt: 0,
-                    last: true,
+                    is_final: true,
                     outcome: Outcome::Ok,
                     found: ReplicaStatus::Warm,
-                    crowd: Some(crowd),
+                    concurrent_requests: Some(crowd),
                     latency: done - sent,
                     report: vec![],
                 };
@@ -155,10 +155,10 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work: None,
-                again: false,
+                work_hint: None,
+                is_retry: false,
                 time_left,
             };
             for action in self.tell(router, &event) {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -204,7 +204,7 @@
 
     fn check_action(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.check_send(id, self.index(&worker), until),
+            Action::Send { id, worker, deadline: until } => self.check_send(id, self.index(&worker), until),
             Action::Refuse { id, .. } => {
                 let class = &self.set.classes[self.requests[&id].class];
                 let request = &self.requests[&id];
@@ -249,7 +249,7 @@
                 self.open_orders.push((due, worker, function));
             }
             Action::Timer { at, cookie } => self.timers.push((at, cookie)),
-            Action::Watch => panic!("asked for the list although it is pushed"),
+            Action::WatchWorkers => panic!("asked for the list although it is pushed"),
         }
     }
 
@@ -385,7 +385,16 @@
             let odd = [0.0, 3.0, 9.0, -1.0, 1e300, f64::NAN, f64::INFINITY];
             let report = (0..self.below(4)).map(|_| odd[self.below(7) as usize]).collect();
             let crowd = Some(self.below(9) as u32);
-            self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+            self.handle(Event::AttemptEnded {
+                id,
+                attempt,
+                is_final: last,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report,
+            });
         }
     }
 
@@ -442,10 +451,10 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work,
-                again,
+                work_hint: work,
+                is_retry: again,
                 time_left,
             });
         }
