--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -35,7 +35,7 @@
     let config = ochreward::config::Config::read(include_str!("../deploy/example.json"));
     let mut settings = config.expect("the shipped example reads").parts.settings.module;
     // As many dispatchers as the target has for so many workers: 173 calls a second at each.
-    settings.balancers = (workers * 16_000 / 15_600).max(1);
+    settings.dispatcher_count = (workers * 16_000 / 15_600).max(1);
     settings
 }
 
--- a/src/api.rs
+++ b/src/api.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
     /// The latency objective: an answer within this time earns the full value.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The time after which the client stops waiting.
     pub deadline: Micros,
     /// The delivery guarantee.
@@ -72,11 +72,11 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of routers in this tier.
-    pub balancers: usize,
+    pub dispatcher_count: usize,
     /// Index of this router among them, from 0.
-    pub me: usize,
+    pub own_index: usize,
     /// The zone of this router.
-    pub my_zone: usize,
+    pub own_zone: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// Quota of each tenant in requests per second, summed over all routers.
@@ -94,7 +94,7 @@
     /// The longest retry-after that clients honour; 0 if refusals carry none.
     pub max_retry_after: Micros,
     /// The minimum time between two batches of events.
-    pub tick: Micros,
+    pub min_batch_interval: Micros,
     /// The minimum fraction of its capacity that a worker has at its start.
     pub cold_share: f64,
     /// The time after its start at which a worker has full capacity at the latest.
@@ -105,7 +105,7 @@
     /// How long that overload lasts before the worker fails.
     pub fall_window: Micros,
     /// Whether the router may order workers to load and unload functions.
-    pub orders: bool,
+    pub load_orders_allowed: bool,
     /// Whether a worker without the function loads it while the request waits; otherwise it answers with a
     /// miss.
     pub loads_on_miss: bool,
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -253,9 +253,9 @@
     pub fn settings(&self) -> api::Settings {
         let family_info = &self.family_info;
         api::Settings {
-            balancers: self.balancers,
-            me: self.me,
-            my_zone: self.my_zone,
+            dispatcher_count: self.balancers,
+            own_index: self.me,
+            own_zone: self.my_zone,
             classes: self.lanes.iter().map(class).collect(),
             tenant_quotas: self.orgs.iter().map(|org| org.quota_per_s).collect(),
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
@@ -264,12 +264,12 @@
             may_duplicate: self.limits.may_duplicate,
             may_cancel: self.limits.cancel,
             max_retry_after: if self.limits.retry_after { self.limits.max_retry_after_us as u64 } else { 0 },
-            tick: self.tick_us,
+            min_batch_interval: self.tick_us,
             cold_share: self.rules.cold_share,
             warm_after: self.rules.warm_after_us as u64,
             fall_multiple: self.rules.fall_multiple,
             fall_window: self.rules.fall_us as u64,
-            orders: family_info.orders,
+            load_orders_allowed: family_info.orders,
             loads_on_miss: family_info.miss_mode != "miss",
             keep_alive: family_info.keep_alive_us as u64,
             load_window: family_info.load_window_us as u64,
@@ -285,7 +285,7 @@
 
 fn class(lane: &Lane) -> api::Class {
     api::Class {
-        aim: lane.promise_us as u64,
+        latency_target: lane.promise_us as u64,
         deadline: lane.deadline_us as u64,
         effect: match lane.effect.as_str() {
             "idempotent" => api::Effect::Idempotent,
--- a/src/config/features.rs
+++ b/src/config/features.rs
@@ -85,7 +85,7 @@
             m.warm_after > 0,
             format!(
                 "rules.*: {} dispatchers share {} times the capacity of one that starts at {}, for {} s",
-                m.balancers,
+                m.dispatcher_count,
                 m.fall_multiple,
                 m.cold_share,
                 seconds(m.warm_after)
@@ -160,7 +160,7 @@
 
 fn orders(settings: &Settings) -> Feature {
     let m = &settings.module;
-    let why = if !m.orders {
+    let why = if !m.load_orders_allowed {
         "family_info.orders is false".to_string()
     } else if m.load_window == 0 {
         "family_info.load_window_us is 0: copies that no ration bounds push out what others need, so none are held"
@@ -173,7 +173,7 @@
             m.load_window as f64 / 1e6
         )
     };
-    feature("orders to hold copies", m.orders && m.load_window > 0, why)
+    feature("orders to hold copies", m.load_orders_allowed && m.load_window > 0, why)
 }
 
 #[cfg(test)]
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -311,9 +311,9 @@
     let mut reported = names(&key.get("report").get("fields"));
     reported.retain(|_| in_answers);
     let module = api::Settings {
-        balancers: key.get("balancers").between(1, 1 << 20, 1) as usize,
-        me: key.get("me").whole_or(0) as usize,
-        my_zone: key.get("my_zone").whole_or(0) as usize,
+        dispatcher_count: key.get("balancers").between(1, 1 << 20, 1) as usize,
+        own_index: key.get("me").whole_or(0) as usize,
+        own_zone: key.get("my_zone").whole_or(0) as usize,
         classes: lanes.iter().map(class).collect(),
         tenant_quotas: orgs.iter().map(|o| o.get("quota_per_s").number_or(0.0)).collect(),
         over_share_worth: key.get("over_share_worth").number_or(1.0),
@@ -322,12 +322,12 @@
         may_duplicate: limits.get("may_duplicate").flag_or(false),
         may_cancel: limits.get("cancel").flag_or(false),
         max_retry_after: if limits.get("retry_after").flag_or(false) { retry_after } else { 0 },
-        tick: key.get("tick_us").whole_or(1000),
+        min_batch_interval: key.get("tick_us").whole_or(1000),
         cold_share: rules.get("cold_share").number_or(1.0),
         warm_after: rules.get("warm_after_us").whole_or(0),
         fall_multiple: rules.get("fall_multiple").number_or(2.0),
         fall_window: rules.get("fall_us").whole_or(1_000_000),
-        orders: info.get("orders").flag_or(false),
+        load_orders_allowed: info.get("orders").flag_or(false),
         loads_on_miss: info.get("miss_mode").text_or("load") != "miss",
         keep_alive: info.get("keep_alive_us").whole_or(10_000_000),
         load_window: info.get("load_window_us").whole_or(0),
@@ -369,7 +369,7 @@
     let scopes = [KeyScope::All, KeyScope::Zone, KeyScope::Cell];
     let scope = key.get("key_scope");
     Class {
-        aim: key.get("promise_us").positive(),
+        latency_target: key.get("promise_us").positive(),
         deadline: key.get("deadline_us").positive(),
         effect: effects[key.get("effect").word(&["idempotent", "deduplicated", "at_most_once"])],
         key_scope: scope.optional(|k| scopes[k.word(&["all", "zone", "cell"])]).unwrap_or(KeyScope::Cell),
--- a/src/control.rs
+++ b/src/control.rs
@@ -348,7 +348,7 @@
         for (index, class) in settings.classes.iter().enumerate() {
             let known = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
             let initial = || ClassEstimates {
-                run_time: class.aim as f64 * PRIOR_RUN_AIM_SHARE,
+                run_time: class.latency_target as f64 * PRIOR_RUN_AIM_SHARE,
                 ..ClassEstimates::default()
             };
             let worth = (class.credit / highest_credit).clamp(0.0, 1.0);
@@ -461,7 +461,7 @@
     /// Otherwise they would be unloaded, and the next request would wait for a load.
     fn renew_copies(&mut self, out: &mut Vec<Action>) {
         self.recent_requests.push_back(self.now);
-        if self.settings.load_window == 0 || !self.settings.orders {
+        if self.settings.load_window == 0 || !self.settings.load_orders_allowed {
             // Without a ration nothing would bound the copies held: they would displace those that others
             // need, and memory has a price. So none is renewed.
             let since =
@@ -494,7 +494,7 @@
                 // If every router renewed the copies that all of them use, there would be as many load orders
                 // as requests. So a copy that the others use often enough is left to them.
                 let rate = function.request_rate.rate(self.now, self.half_life_us);
-                let peers = (self.settings.balancers - 1) as f64;
+                let peers = (self.settings.dispatcher_count - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
                 let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
                 self.counters.renewals_skipped += u64::from(left_to_peers);
@@ -679,8 +679,11 @@
         if age >= warm_after {
             return Some(worker.last_cold_turn);
         }
-        let (alive, parts, my_part) =
-            self.division.unwrap_or((self.settings.balancers, self.settings.balancers, self.settings.me));
+        let (alive, parts, my_part) = self.division.unwrap_or((
+            self.settings.dispatcher_count,
+            self.settings.dispatcher_count,
+            self.settings.own_index,
+        ));
         let parts = parts.max(1) as u64;
         let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
         let rate_per_worker =
@@ -715,7 +718,7 @@
     /// exhausted. A client's retry of a request that this router refused is not charged again.
     fn charge_quota(&mut self, tenant: usize, is_retry: bool) -> bool {
         let Some(quota) = self.settings.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
-        let tokens_per_us = quota / self.settings.balancers as f64 / 1e6;
+        let tokens_per_us = quota / self.settings.dispatcher_count as f64 / 1e6;
         let TenantQuota { tokens, updated_at, refused } = self.tenant_quotas[tenant];
         let refilled = tokens + tokens_per_us * (self.now - updated_at) as f64;
         let tokens = refilled.min((tokens_per_us * QUOTA_BURST_US).max(1.0));
@@ -729,7 +732,8 @@
 
     /// Returns the time of a load, plus the price of its fetch converted to time.
     fn load_cost(&self, request: &Request) -> f64 {
-        self.load_time(request.function) + self.settings.fetch_price * request.class_settings.aim as f64
+        self.load_time(request.function)
+            + self.settings.fetch_price * request.class_settings.latency_target as f64
     }
 
     /// Predicts the completion of a request at a worker; `None` if it may not be sent there now. `rank` is
@@ -762,7 +766,7 @@
         let run_time_of =
             |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.estimate.run_time);
         let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
-        let routers = self.settings.balancers as f64;
+        let routers = self.settings.dispatcher_count as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
         let (reported, report_weight) = target.report.held_for_others(self.now);
         let reported_work =
@@ -776,11 +780,11 @@
         let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
         let lanes = function.lanes * f64::from(copies.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
-        let total = self.settings.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
+        let total = self.settings.min_batch_interval as f64 + load_wait + pending.max(lane_wait) + run_time;
         // A worker that has just rejected this request would probably do so again: every other worker comes
         // first.
         let rejected = request.attempts.iter().any(|a| a.estimate.worker == worker && a.rejected);
-        let crossing = if target.zone == self.settings.my_zone {
+        let crossing = if target.zone == self.settings.own_zone {
             0.0
         } else {
             CROSSING_PRICE_FACTOR * self.settings.cross_zone_price
@@ -802,7 +806,7 @@
             expected_loss,
             PRIOR_SAMPLES,
         ) * class.deadline as f64
-            + crossing * class.aim as f64
+            + crossing * class.latency_target as f64
             + if rejected { class.deadline as f64 } else { 0.0 };
         let total_if_warm = total - load_wait;
         Some(Estimate {
@@ -822,7 +826,8 @@
             // with about one request at a time.
             idle: target.open_attempts.is_empty()
                 && (self.now - target.last_sent) as f64
-                    >= (self.settings.balancers - 1) as f64 * self.class_estimates[request.class].run_time,
+                    >= (self.settings.dispatcher_count - 1) as f64
+                        * self.class_estimates[request.class].run_time,
         })
     }
 
@@ -832,8 +837,10 @@
         // Of many rarely used functions each router sees a few by chance. Scaling every request up by the
         // number of routers would give all of them many homes. So the request that made the function known
         // here counts once, and only further ones are scaled up.
-        let (seen, routers) =
-            (function.request_rate.samples(self.now, self.half_life_us), self.settings.balancers as f64);
+        let (seen, routers) = (
+            function.request_rate.samples(self.now, self.half_life_us),
+            self.settings.dispatcher_count as f64,
+        );
         let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
         let rate =
             function.request_rate.rate(self.now, self.half_life_us) * (1.0 + (routers - 1.0) * further_share);
@@ -914,7 +921,7 @@
             };
         // Without randomness, routers with the same delayed view would all choose the worker that looked best
         // and overload it.
-        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.balancers as f64));
+        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.dispatcher_count as f64));
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
         let key = |e: &Estimate| e.key() + error * preference::slot_jitter(draw, e.worker) * e.run_time;
         if self.exhaustive_search {
@@ -947,7 +954,7 @@
         } else {
             self.class_estimates[request.class].queue_aim_share
         };
-        let (function, aim) = (request.function, request.class_settings.aim as f64);
+        let (function, aim) = (request.function, request.class_settings.latency_target as f64);
         let queue_limit = aim_share * aim;
         let mut choice = self.zone_probe(&request).or_else(|| self.best_worker(&request, false));
         if choice.is_some_and(|e| !e.idle && e.total_without_load() > queue_limit) {
@@ -1070,7 +1077,7 @@
         let left = request.deadline.saturating_sub(self.now) as f64;
         // A copy loaded for a second attempt displaces others and mostly comes too late. So a cold worker
         // qualifies only if the answer is still expected within the aim.
-        let aim = request.class_settings.aim as f64;
+        let aim = request.class_settings.latency_target as f64;
         let spent = (self.now - request.attempts[0].sent_at) as f64;
         let worth_it =
             |e: &Estimate| e.probable_total() <= left && (!e.cold || spent + e.probable_total() <= aim);
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -159,7 +159,7 @@
     /// replica with a chance of at most `found`.
     fn finish_bound(&self, found: f64, slowness: f64) -> f64 {
         let run_time = self.run_time * slowness.min(self.known.min_expected_slowness);
-        (self.router.settings.tick as f64 + (1.0 - found) * self.load_time + run_time)
+        (self.router.settings.min_batch_interval as f64 + (1.0 - found) * self.load_time + run_time)
             * (1.0 - ROUNDING_MARGIN)
     }
 
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -375,7 +375,7 @@
 fn random_settings(rng: &mut Pcg32) -> Settings {
     let mut below = |most: u32| rng.next_u32() % most;
     let class = |effect, key_scope| Class {
-        aim: 800 * MS,
+        latency_target: 800 * MS,
         deadline: 3 * S,
         effect,
         key_scope,
@@ -384,9 +384,9 @@
         late_worth: 0.1,
     };
     Settings {
-        balancers: [1, 3, 30, 300][below(4) as usize],
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: [1, 3, 30, 300][below(4) as usize],
+        own_index: 0,
+        own_zone: 0,
         classes: vec![
             class(Effect::Idempotent, KeyScope::All),
             class(Effect::Deduplicated, KeyScope::Zone),
@@ -399,12 +399,12 @@
         may_duplicate: below(2) == 0,
         may_cancel: below(4) > 0,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.15,
         warm_after: 14 * S,
         fall_multiple: 2.0,
         fall_window: 1_500 * MS,
-        orders: below(4) > 0,
+        load_orders_allowed: below(4) > 0,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: if below(4) > 0 { 5 * S } else { 0 },
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -211,11 +211,11 @@
 
 /// Replaces out-of-range settings, so that no estimate divides by zero or overflows.
 pub(super) fn sanitized(mut settings: Settings) -> Settings {
-    settings.balancers = settings.balancers.max(1);
+    settings.dispatcher_count = settings.dispatcher_count.max(1);
     settings.keep_alive = settings.keep_alive.max(1);
     settings.cold_share = settings.cold_share.clamp(0.05, 1.0);
     settings.max_attempts = settings.max_attempts.max(1);
-    settings.classes.iter_mut().for_each(|c| c.aim = c.aim.max(1));
+    settings.classes.iter_mut().for_each(|c| c.latency_target = c.latency_target.max(1));
     settings
 }
 
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -7,7 +7,7 @@
 /// Returns an engine with one worker and three classes, one per [`Effect`].
 fn engine() -> Engine {
     let class = |effect| Class {
-        aim: SECOND,
+        latency_target: SECOND,
         deadline: 4 * SECOND,
         effect,
         key_scope: KeyScope::All,
@@ -16,9 +16,9 @@
         late_worth: 0.0,
     };
     let settings = Settings {
-        balancers: 1,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 1,
+        own_index: 0,
+        own_zone: 0,
         classes: [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce].map(class).to_vec(),
         tenant_quotas: vec![],
         over_share_worth: 1.0,
@@ -27,12 +27,12 @@
         may_duplicate: false,
         may_cancel: true,
         max_retry_after: SECOND,
-        tick: 1_000,
+        min_batch_interval: 1_000,
         cold_share: 1.0,
         warm_after: 0,
         fall_multiple: 2.0,
         fall_window: SECOND,
-        orders: false,
+        load_orders_allowed: false,
         loads_on_miss: true,
         keep_alive: 10 * SECOND,
         load_window: 0,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,11 +9,11 @@
 //! use ochreward::{Action, Class, Effect, Event, KeyScope, WorkerEntry, Router, Settings, WorkerStatus};
 //!
 //! let settings = Settings {
-//!     balancers: 1,
-//!     me: 0,
-//!     my_zone: 0,
+//!     dispatcher_count: 1,
+//!     own_index: 0,
+//!     own_zone: 0,
 //!     classes: vec![Class {
-//!         aim: 500_000,
+//!         latency_target: 500_000,
 //!         deadline: 2_000_000,
 //!         effect: Effect::Idempotent,
 //!         key_scope: KeyScope::All,
@@ -28,12 +28,12 @@
 //!     may_duplicate: true,
 //!     may_cancel: true,
 //!     max_retry_after: 1_000_000,
-//!     tick: 1_000,
+//!     min_batch_interval: 1_000,
 //!     cold_share: 0.25,
 //!     warm_after: 10_000_000,
 //!     fall_multiple: 4.0,
 //!     fall_window: 2_000_000,
-//!     orders: false,
+//!     load_orders_allowed: false,
 //!     loads_on_miss: true,
 //!     keep_alive: 10_000_000,
 //!     load_window: 0,
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -52,7 +52,7 @@
             let balancers = if self.handover.other_process_runs() || self.peer_options.is_some() {
                 0
             } else {
-                self.settings.module.balancers
+                self.settings.module.dispatcher_count
             };
             let own = self.config.name.as_str().into();
             let view = match &self.peers {
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -23,7 +23,7 @@
         let Some(options) = self.peer_options.as_ref().filter(|_| may_join) else { return Ok(()) };
         let start = Start {
             name: &self.config.name,
-            expected: self.settings.module.balancers,
+            expected: self.settings.module.dispatcher_count,
             configuration: self.counters.version_number.get(),
             unix_ms: self.clock.unix_ms(self.now),
             seed: self.config.seed ^ u64::from(std::process::id()),
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -110,7 +110,8 @@
         let mut module = self.settings.module.clone();
         // Only one process may order loads: the ration passes to the successor together with the loads that count against
         // it, and a successor without the predecessor's state orders none until that process has ended.
-        module.orders &= !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
+        module.load_orders_allowed &=
+            !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
         self.engine.configure(&module, new_places, bounds);
         self.pool.bound(pool_limits);
         self.thrift.bound(self.now, front_limits);
--- a/src/node/zones.rs
+++ b/src/node/zones.rs
@@ -16,7 +16,7 @@
         if zones.due() <= self.now {
             let share = |parts: usize| 1_000_000 / parts.max(1) as u64;
             let own = self.config.name.as_str().into();
-            let expected = self.settings.module.balancers;
+            let expected = self.settings.module.dispatcher_count;
             let view = match &self.peers {
                 Some(peers) => View {
                     own,
--- a/src/versions/rules.rs
+++ b/src/versions/rules.rs
@@ -71,7 +71,7 @@
     let given = platform.map(|p| &p.settings.module);
     if let Some(given) = given {
         faults.require(
-            given.orders || !module.orders,
+            given.load_orders_allowed || !module.load_orders_allowed,
             key("orders"),
             "the platform allows no orders to load",
         );
@@ -92,7 +92,7 @@
             "is over the platform's",
         );
     }
-    if !module.orders {
+    if !module.load_orders_allowed {
         return;
     }
     let rationed = given.is_none_or(|g| g.load_window > 0);
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -8,7 +8,7 @@
 
 fn class(effect: Effect) -> Class {
     Class {
-        aim: 500 * MS,
+        latency_target: 500 * MS,
         deadline: 4 * S,
         effect,
         key_scope: KeyScope::Zone,
@@ -20,9 +20,9 @@
 
 fn settings() -> Settings {
     Settings {
-        balancers: 1,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 1,
+        own_index: 0,
+        own_zone: 0,
         classes: vec![class(Effect::Idempotent), class(Effect::Deduplicated), class(Effect::AtMostOnce)],
         tenant_quotas: vec![],
         over_share_worth: 0.1,
@@ -31,12 +31,12 @@
         may_duplicate: true,
         may_cancel: true,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.2,
         warm_after: 10 * S,
         fall_multiple: 2.0,
         fall_window: S,
-        orders: false,
+        load_orders_allowed: false,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: 0,
@@ -52,7 +52,7 @@
 /// Settings whose aims leave room for a load after the hedge delay.
 fn settings_with_long_aims() -> Settings {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.aim = 3200 * MS);
+    set.classes.iter_mut().for_each(|c| c.latency_target = 3200 * MS);
     set
 }
 
@@ -372,7 +372,7 @@
 #[test]
 fn recently_used_copies_are_renewed_within_the_load_ration() {
     let rationed = Settings {
-        orders: true,
+        load_orders_allowed: true,
         load_window: 5 * S,
         loads_anyway: 6.0,
         loads_per_request: 0.3,
@@ -504,7 +504,13 @@
 fn all_routers_together_use_a_cold_worker_and_stay_within_its_budget() {
     for balancers in [1, 2, 40, 200] {
         let mut routers: Vec<TestRouter> = (0..balancers)
-            .map(|me| TestRouter::new(Settings { balancers, me, ..settings() }, me as u64, 0))
+            .map(|me| {
+                TestRouter::new(
+                    Settings { dispatcher_count: balancers, own_index: me, ..settings() },
+                    me as u64,
+                    0,
+                )
+            })
             .collect();
         // Each router always has a request to send there, and every request takes the expected 125 ms.
         let mut sends: Vec<Micros> = vec![];
@@ -535,7 +541,7 @@
 
 #[test]
 fn a_request_with_little_time_is_sent_to_a_home_that_is_probably_warm() {
-    let mut test = TestRouter::new(Settings { balancers: 80, ..settings() }, 1, 6);
+    let mut test = TestRouter::new(Settings { dispatcher_count: 80, ..settings() }, 1, 6);
     (0..4).for_each(|n| test.serve_warm(0, &format!("f{n}"), 1));
     // The expected load time and the run together exceed these 160 ms; the run alone does not.
     test.request(0, "new", 160 * MS);
@@ -581,7 +587,7 @@
 #[test]
 fn homes_are_assumed_warm_once_answers_show_that_other_routers_keep_them_warm() {
     for others_keep_it in [true, false] {
-        let mut test = TestRouter::new(Settings { balancers: 80, ..settings() }, 1, 6);
+        let mut test = TestRouter::new(Settings { dispatcher_count: 80, ..settings() }, 1, 6);
         for n in 0..12 {
             let id = test.request(0, &format!("f{n}"), 4 * S);
             assert!(test.sent_to().is_some());
@@ -600,7 +606,7 @@
 #[test]
 fn a_few_lost_attempts_in_a_zone_count_against_its_other_workers() {
     // Twenty workers are in the router's own zone, which is lost, and twenty in the other.
-    let set = Settings { balancers: 100, my_zone: 1, ..settings() };
+    let set = Settings { dispatcher_count: 100, own_zone: 1, ..settings() };
     let mut test = TestRouter::new(set, 1, 40);
     let mut failed = 0;
     for n in 0..60 {
@@ -622,7 +628,7 @@
 
 #[test]
 fn a_worker_that_has_just_become_a_home_is_not_assumed_warm() {
-    let mut test = TestRouter::new(Settings { balancers: 2, ..settings() }, 1, 6);
+    let mut test = TestRouter::new(Settings { dispatcher_count: 2, ..settings() }, 1, 6);
     // Answers show that other routers keep functions warm at their homes.
     for n in 0..40 {
         let id = test.request(0, &format!("f{n}"), 4 * S);
@@ -724,14 +730,14 @@
 #[test]
 fn invalid_settings_and_events_are_ignored() {
     let absurd = Settings {
-        balancers: 0,
+        dispatcher_count: 0,
         keep_alive: 0,
         max_attempts: 0,
         cold_share: -1.0,
         fall_multiple: f64::NAN,
         fall_window: 0,
         warm_after: 0,
-        classes: vec![Class { aim: 0, ..class(Effect::Idempotent) }],
+        classes: vec![Class { latency_target: 0, ..class(Effect::Idempotent) }],
         ..settings()
     };
     for set in [settings(), absurd] {
@@ -808,7 +814,7 @@
 #[test]
 fn a_successor_inherits_the_used_part_of_the_load_ration() {
     let mut set = settings();
-    (set.orders, set.load_window, set.loads_anyway) = (true, 5 * S, 1.0 / 0.9);
+    (set.load_orders_allowed, set.load_window, set.loads_anyway) = (true, 5 * S, 1.0 / 0.9);
     let ordered = |test: &mut TestRouter| {
         // The copy of f is due for renewal; a request for another function triggers the check.
         test.now += 8 * S;
@@ -1032,7 +1038,7 @@
 #[test]
 fn a_retry_of_a_refused_request_is_not_charged_to_the_quota_again() {
     let mut set = settings();
-    (set.tenant_quotas, set.report_fields, set.classes[0].aim) = (vec![10.0], vec![], 500 * MS);
+    (set.tenant_quotas, set.report_fields, set.classes[0].latency_target) = (vec![10.0], vec![], 500 * MS);
     // Two requests stay open, so that a third would wait longer than a request beyond its quota may, but less
     // than the aim.
     let test = || {
@@ -1085,7 +1091,7 @@
 #[test]
 fn without_a_load_ration_requests_are_counted_but_no_copies_are_renewed() {
     let mut set = settings();
-    (set.orders, set.load_window, set.keep_alive) = (true, 0, 10 * S);
+    (set.load_orders_allowed, set.load_window, set.keep_alive) = (true, 0, 10 * S);
     let mut test = TestRouter::new(set, 1, 3);
     let mut ordered = 0;
     for _ in 0..400 {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -14,7 +14,7 @@
 
 fn settings(balancers: usize, me: usize) -> Settings {
     let class = Class {
-        aim: 800 * MS,
+        latency_target: 800 * MS,
         deadline: 3 * S,
         effect: Effect::Idempotent,
         key_scope: KeyScope::All,
@@ -23,9 +23,9 @@
         late_worth: 0.1,
     };
     Settings {
-        balancers,
-        me,
-        my_zone: 0,
+        dispatcher_count: balancers,
+        own_index: me,
+        own_zone: 0,
         classes: vec![class],
         tenant_quotas: vec![],
         over_share_worth: 0.2,
@@ -34,12 +34,12 @@
         may_duplicate: true,
         may_cancel: true,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.15,
         warm_after: 14 * S,
         fall_multiple: 2.0,
         fall_window: 1500 * MS,
-        orders: true,
+        load_orders_allowed: true,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: 5 * S,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
 
 fn class(effect: Effect, key_scope: KeyScope) -> Class {
     Class {
-        aim: 500_000,
+        latency_target: 500_000,
         deadline: 3_000_000,
         effect,
         key_scope,
@@ -27,9 +27,9 @@
 
 fn settings(rng: &mut Pcg32) -> Settings {
     Settings {
-        balancers: 2,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 2,
+        own_index: 0,
+        own_zone: 0,
         classes: vec![
             class(Effect::Idempotent, KeyScope::All),
             class(Effect::Deduplicated, KeyScope::Zone),
@@ -44,12 +44,12 @@
         may_duplicate: rng.next_u32().is_multiple_of(2),
         may_cancel: rng.next_u32().is_multiple_of(2),
         max_retry_after: 1_000_000,
-        tick: 2_000,
+        min_batch_interval: 2_000,
         cold_share: 0.2,
         warm_after: 10_000_000,
         fall_multiple: 3.0,
         fall_window: 2_000_000,
-        orders: true,
+        load_orders_allowed: true,
         loads_on_miss: true,
         keep_alive: 8_000_000,
         load_window: 5_000_000,
@@ -68,9 +68,9 @@
     let mut pick = |n: u32| rng.next_u32() % n;
     // With more routers, turns at cold workers that lapse are made up for by further turns, which cannot be
     // checked for one router alone: tests/fleet.rs counts them over all routers.
-    set.balancers = 1 + pick(2) as usize;
-    set.me = pick(set.balancers as u32) as usize;
-    set.my_zone = pick(3) as usize;
+    set.dispatcher_count = 1 + pick(2) as usize;
+    set.own_index = pick(set.dispatcher_count as u32) as usize;
+    set.own_zone = pick(3) as usize;
     set.max_attempts = 1 + pick(5) as usize;
     set.max_retry_after = u64::from(pick(2)) * 2_000_000;
     set.tenant_quotas = (0..pick(4)).map(|n| f64::from(n) * 15.0).collect();
@@ -84,14 +84,14 @@
     set.warm_after = [5_000_000, 18_000_000][pick(2) as usize];
     set.fall_window = [1_500_000, 3_000_000][pick(2) as usize];
     set.fall_multiple = [2.0, 3.0][pick(2) as usize];
-    set.orders = pick(2) == 0;
+    set.load_orders_allowed = pick(2) == 0;
     set.load_window = u64::from(pick(2)) * 5_000_000;
     set.loads_anyway = f64::from(pick(7));
     set.keep_alive = [7_000_000, 8_600_000, 13_000_000][pick(3) as usize];
     set.memory_price = [0.0, 0.05][pick(2) as usize];
     set.cross_zone_price = [0.0, 0.02, 0.5][pick(3) as usize];
     for class in &mut set.classes {
-        class.aim = [1, 400_000, 750_000][pick(3) as usize];
+        class.latency_target = [1, 400_000, 750_000][pick(3) as usize];
         class.repeat_window = [0, 2_000_000, 5_000_000][pick(3) as usize];
         class.credit = [0.0, 1.0, 5.0][pick(3) as usize];
     }
@@ -228,7 +228,7 @@
             Action::Load { worker, function, copies } => {
                 let index = self.index(&worker);
                 assert!(
-                    self.set.orders && self.set.load_window > 0,
+                    self.set.load_orders_allowed && self.set.load_window > 0,
                     "a load order although none is allowed or rationed"
                 );
                 if copies > 0 {
@@ -314,7 +314,7 @@
             };
             let peers =
                 self.list.iter().filter(|l| l.standing == WorkerStatus::Healthy).map(warmth).sum::<f64>();
-            let routers = self.set.balancers as f64;
+            let routers = self.set.dispatcher_count as f64;
             let each = (routers * self.answers.len() as f64 / window as f64 / peers.max(1.0)).max(1.0 / 60e3);
             let budget = self.set.fall_multiple * share * self.set.fall_window as f64 * each;
             // A cold worker that is alone, or nearly, has no peers whose rate could be compared with, so where the
