--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -36,7 +36,7 @@
 
 /// A request as submitted by a front.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct RequestSpec {
     /// Its class, by position in the settings.
     pub class: usize,
     /// Its tenant, by position in the settings.
@@ -44,23 +44,23 @@
     /// Its function.
     pub function: FunctionId,
     /// The number of requests that one copy runs concurrently.
-    pub lanes: f64,
+    pub replica_concurrency: f64,
     /// The typical load time, if known.
     pub load_time: Option<Micros>,
     /// A rough prediction of its run time, if known.
-    pub work: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// Whether it is a client's retry, where clients mark retries.
-    pub again: bool,
+    pub is_retry: bool,
     /// The time left until the final answer is due.
     pub time_left: Micros,
     /// The client's id for the request.
-    pub call: Arc<str>,
+    pub client_request_id: Arc<str>,
     /// The client's idempotency key.
-    pub key: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// The request body.
     pub body: Vec<u8>,
     /// Set if the request may have run before: the time since the client sent it.
-    pub repeat: Option<Micros>,
+    pub possible_repeat_age: Option<Micros>,
 }
 
 /// The final answer to a request.
@@ -86,7 +86,7 @@
         /// How long to wait for the answer.
         wait: Micros,
         /// The request.
-        job: Rc<Job>,
+        job: Rc<RequestSpec>,
     },
     /// Cancel an attempt.
     Halt {
@@ -145,7 +145,7 @@
 
 struct TrackedRequest {
     ticket: Ticket,
-    job: Rc<Job>,
+    job: Rc<RequestSpec>,
     deadline: Micros,
     /// The final answer has been given, or is no longer needed.
     answered: bool,
@@ -316,7 +316,7 @@
     }
 
     /// Accepts a request. Exactly one final answer follows for the ticket, unless `forget` is called for it.
-    pub fn take(&mut self, now: Micros, ticket: Ticket, job: Job) {
+    pub fn take(&mut self, now: Micros, ticket: Ticket, job: RequestSpec) {
         count(&self.counters.requests_taken);
         let id = self.next_id;
         self.next_id += 1;
@@ -330,19 +330,19 @@
         let (mut rejection, max_attempts) = self.check_repeat(&job);
         // Executors identify a request by its client's id. A second request under an open id could be
         // cancelled or answered in place of the first.
-        if rejection.is_none() && self.open_calls.contains(&job.call) {
+        if rejection.is_none() && self.open_calls.contains(&job.client_request_id) {
             rejection = Some("its id is that of a request which is open");
         }
-        let call = job.call.clone();
+        let call = job.client_request_id.clone();
         let event = Event::Request {
             id,
             class: job.class,
             tenant: job.tenant,
             function: job.function.clone(),
-            replica_concurrency: job.lanes,
+            replica_concurrency: job.replica_concurrency,
             load_time: job.load_time,
-            work_hint: job.work,
-            is_retry: job.again,
+            work_hint: job.work_hint,
+            is_retry: job.is_retry,
             time_left: job.time_left,
         };
         let request = TrackedRequest {
@@ -369,9 +369,9 @@
 
     /// Returns the reason why a request that may have run before must not run again, if there is one, and the
     /// maximum number of its attempts.
-    fn check_repeat(&self, job: &Job) -> (Option<&'static str>, usize) {
+    fn check_repeat(&self, job: &RequestSpec) -> (Option<&'static str>, usize) {
         let max_attempts = self.bounds.attempts;
-        let (Some(age), Some(class)) = (job.repeat, self.classes.get(job.class)) else {
+        let (Some(age), Some(class)) = (job.possible_repeat_age, self.classes.get(job.class)) else {
             return (None, max_attempts);
         };
         match class.effect {
@@ -381,7 +381,7 @@
             // as soon as the client sent the request. A second attempt of this repeat could arrive after the
             // window, so the repeat gets one attempt.
             Effect::Deduplicated => {
-                let recognised = class.key_scope == KeyScope::All && job.key.is_some();
+                let recognised = class.key_scope == KeyScope::All && job.idempotency_key.is_some();
                 let too_late = age.saturating_add(self.bounds.send_lag) >= class.repeat_window;
                 (Some("may have run before, too long ago to repeat").filter(|_| too_late || !recognised), 1)
             }
@@ -647,7 +647,7 @@
         let class = self.classes.get(request.job.class).filter(|c| c.effect == Effect::Deduplicated)?;
         let first_sent_at = request.attempts.first().map_or(now, |a| a.sent_at);
         let earlier = request.attempts.split_last().map_or(&[][..], |(_, earlier)| earlier);
-        let window_start = match request.job.repeat {
+        let window_start = match request.job.possible_repeat_age {
             Some(age) => first_sent_at.saturating_sub(age),
             None if earlier.iter().any(|a| a.may_have_run) => first_sent_at,
             None => return None,
@@ -672,7 +672,7 @@
     fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| r.answered && r.attempts.iter().all(|a| !a.open)) {
             if let Some(request) = self.requests.get(&id) {
-                self.open_calls.remove(&request.job.call);
+                self.open_calls.remove(&request.job.client_request_id);
             }
             self.remove(id);
         }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -54,19 +54,19 @@
 }
 
 fn submit(engine: &mut Engine, seq: i64, class: usize, repeat: Option<Micros>, body: usize) -> Vec<Command> {
-    let job = Job {
+    let job = RequestSpec {
         class,
         tenant: 0,
         function: "f".into(),
-        lanes: 1.0,
+        replica_concurrency: 1.0,
         load_time: None,
-        work: None,
-        again: false,
+        work_hint: None,
+        is_retry: false,
         time_left: 4 * SECOND,
-        call: format!("c{seq}").into(),
-        key: Some("k".into()),
+        client_request_id: format!("c{seq}").into(),
+        idempotency_key: Some("k".into()),
         body: vec![0; body],
-        repeat,
+        possible_repeat_age: repeat,
     };
     engine.take(10, Ticket { front: 0, conn: 0, seq }, job);
     engine.commands.drain(..).collect()
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -9,7 +9,7 @@
 use super::line::{self, Answer};
 use super::peer::{ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField};
 use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
-use crate::core::{AttemptId, AttemptResult, Job};
+use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
 use crate::names::{Executor, State};
 use crate::net::{Closed, Link, Poll, Ready};
@@ -256,21 +256,27 @@
         id: AttemptId,
         worker: &WorkerId,
         wait: u64,
-        job: &Job,
+        job: &RequestSpec,
     ) {
         let Some(class) = self.limits.classes.get(job.class) else {
             return self.end_attempt(id, Outcome::NotSent);
         };
-        let (line, timeout) =
-            line::go_line(&job.call, class, &job.function, wait, job.key.as_deref(), &job.body);
+        let (line, timeout) = line::go_line(
+            &job.client_request_id,
+            class,
+            &job.function,
+            wait,
+            job.idempotency_key.as_deref(),
+            &job.body,
+        );
         let deadline = now.saturating_add(wait);
         let timeout =
             TimeoutField { offset: timeout.start as u64, width: timeout.len(), deadline, written_at: now };
-        match self.queue_line(poll, now, worker, &job.call, Purpose::Attempt(id), &line) {
+        match self.queue_line(poll, now, worker, &job.client_request_id, Purpose::Attempt(id), &line) {
             Ok(slot) => {
-                let pending_line = self.links[slot].peer.open.get_mut(&*job.call);
+                let pending_line = self.links[slot].peer.open.get_mut(&*job.client_request_id);
                 pending_line.into_iter().for_each(|e| e.timeout = Some(timeout));
-                self.attempts.insert(id, (slot, job.call.to_string()));
+                self.attempts.insert(id, (slot, job.client_request_id.to_string()));
                 self.flush(poll, now, slot);
             }
             Err(outcome) => self.end_attempt(id, outcome),
--- a/src/node/jobs.rs
+++ b/src/node/jobs.rs
@@ -1,11 +1,11 @@
-//! Checks a request from a front against the settings and turns it into a [`Job`] for the core.
+//! Checks a request from a front against the settings and turns it into a [`RequestSpec`] for the core.
 //!
 //! Given the front's reading of the request, in names; returns the job, in places of the settings' lists, or the field
 //! that is invalid. The body's size and the time-out are bounded here.
 
 use crate::api::Effect;
 use crate::config::Settings;
-use crate::core::Job;
+use crate::core::RequestSpec;
 use crate::front::{Invalid, Sketch};
 
 /// Subtracted from a request's time-out, in microseconds: covers the network between client and dispatcher in both
@@ -22,7 +22,7 @@
     body: Vec<u8>,
     age_us: u64,
     again: bool,
-) -> Result<Job, Invalid> {
+) -> Result<RequestSpec, Invalid> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let class =
         settings.class(&sketch.class).ok_or(Invalid { field: "op", why: "is no class of the settings" })?;
@@ -44,18 +44,18 @@
         None if settings.tenants.is_empty() => 0,
         None => return Err(Invalid { field: "org", why: "is missing" }),
     };
-    Ok(Job {
+    Ok(RequestSpec {
         class,
         tenant,
         function: sketch.function,
-        lanes: sketch.lanes,
+        replica_concurrency: sketch.lanes,
         load_time: sketch.load_us,
-        work: sketch.work_us,
-        again: sketch.again,
+        work_hint: sketch.work_us,
+        is_retry: sketch.again,
         time_left: sketch.ttl_us.saturating_sub(age_us).saturating_sub(NETWORK_MARGIN_US),
-        call: sketch.call,
-        key: sketch.key,
+        client_request_id: sketch.call,
+        idempotency_key: sketch.key,
         body,
-        repeat: again.then_some(age_us),
+        possible_repeat_age: again.then_some(age_us),
     })
 }
