--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use ochreward::api::{Outcome, Settings as ModuleSettings};
 use ochreward::config::{Config, Operator};
-use ochreward::core::Trace;
+use ochreward::core::AttemptTrace;
 use ochreward::names::{Executor, State as ExecutorState};
 use ochreward::overload::{self, Overload};
 use ochreward::zones::{self, Zones};
@@ -452,8 +452,8 @@
                 if gone { (Outcome::ConnectFailed, 0, None) } else { (Outcome::Ok, 0, Some(ANSWER_US)) };
             let sent = now.saturating_sub(ANSWER_US);
             let worker: Arc<str> = name.as_str().into();
-            self.zones.seen(now, Trace { worker: worker.clone(), sent, end: None });
-            self.zones.seen(now, Trace { worker, sent, end: Some(end) });
+            self.zones.seen(now, AttemptTrace { worker: worker.clone(), sent, end: None });
+            self.zones.seen(now, AttemptTrace { worker, sent, end: Some(end) });
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,7 +3,7 @@
 //! Fronts submit requests under a [`Ticket`]. The engine passes events to the [`Router`] and turns its
 //! actions into [`Command`]s for the fronts and the executor pool; it does no I/O and handles no wire format.
 //! It gives exactly one final answer for each accepted request, by the request's deadline regardless of what
-//! executors do. [`Bounds`] limits the attempts per request, and the requests and bytes of bodies held.
+//! executors do. [`EngineLimits`] limits the attempts per request, and the requests and bytes of bodies held.
 
 mod attempt;
 mod timers;
@@ -65,7 +65,7 @@
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// The request was served; holds the executor's response body.
     Served(Vec<u8>),
     /// The request was refused. A retry is harmless after the given time.
@@ -89,17 +89,17 @@
         job: Rc<RequestSpec>,
     },
     /// Cancel an attempt.
-    Halt {
+    Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
     /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::NotSent`].
-    Recall {
+    CancelIfUnsent {
         /// The attempt.
         attempt: AttemptId,
     },
     /// Order a worker to load copies of a function.
-    Load {
+    OrderLoad {
         /// Identifies the order.
         order: u64,
         /// The worker.
@@ -114,13 +114,13 @@
         /// The destination of the answer.
         ticket: Ticket,
         /// The answer.
-        answer: Final,
+        answer: FinalAnswer,
     },
 }
 
 /// Limits of the engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct EngineLimits {
     /// Maximum number of attempts per request.
     pub attempts: usize,
     /// Time limit of a load order.
@@ -162,7 +162,7 @@
 /// Tracks requests, attempts and load orders, and drives the decision module.
 pub struct Engine {
     router: Router,
-    bounds: Bounds,
+    bounds: EngineLimits,
     classes: Vec<Class>,
     requests: BTreeMap<RequestId, TrackedRequest>,
     /// The requests that still need a final answer.
@@ -187,13 +187,13 @@
     pub answers: Vec<(WorkerId, u64, Option<Micros>)>,
     records_answers: bool,
     /// Starts and ends of attempts, recorded once [`Engine::trace`] has been called.
-    pub traces: Vec<Trace>,
+    pub traces: Vec<AttemptTrace>,
     records_traces: bool,
 }
 
 /// The start or the end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Trace {
+pub struct AttemptTrace {
     /// The worker.
     pub worker: WorkerId,
     /// When the attempt was sent.
@@ -217,7 +217,7 @@
         settings: &Settings,
         seed: u64,
         now: Micros,
-        bounds: Bounds,
+        bounds: EngineLimits,
         counters: Rc<Counters>,
     ) -> Engine {
         Engine {
@@ -244,7 +244,7 @@
 
     /// Applies new settings and bounds. Classes are identified by their index; the indices in `fresh` now
     /// denote other classes than before.
-    pub fn configure(&mut self, settings: &Settings, fresh: &[usize], bounds: Bounds) {
+    pub fn configure(&mut self, settings: &Settings, fresh: &[usize], bounds: EngineLimits) {
         self.router.configure(settings.clone(), fresh);
         self.classes = settings.classes.clone();
         self.bounds = bounds;
@@ -355,11 +355,11 @@
         };
         self.requests.insert(id, request);
         if let Some(reason) = rejection {
-            self.answer(id, Final::Failed(reason));
+            self.answer(id, FinalAnswer::Failed(reason));
             return self.remove(id);
         }
         if full {
-            self.answer(id, Final::Refused(self.bounds.retry_after));
+            self.answer(id, FinalAnswer::Refused(self.bounds.retry_after));
             return self.remove(id);
         }
         self.open_calls.insert(call);
@@ -416,7 +416,7 @@
     fn recall_unsent(&mut self, id: RequestId) {
         let attempts = self.requests.get(&id).map_or(&[][..], |r| &r.attempts);
         let open = attempts.iter().enumerate().filter(|(_, a)| a.open);
-        let command = |(number, _)| Command::Recall { attempt: AttemptId { request: id, number } };
+        let command = |(number, _)| Command::CancelIfUnsent { attempt: AttemptId { request: id, number } };
         self.commands.extend(open.map(command));
     }
 
@@ -424,7 +424,7 @@
     pub fn give_up(&mut self, now: Micros) {
         let unanswered: Vec<RequestId> = self.tickets.values().copied().collect();
         for id in unanswered {
-            self.answer(id, Final::Failed("the dispatcher is being stopped"));
+            self.answer(id, FinalAnswer::Failed("the dispatcher is being stopped"));
             self.handle_event(now, Event::Abandoned { id });
             self.remove_if_finished(id);
         }
@@ -471,10 +471,10 @@
             request.job.function.hash(&mut function_hash);
             let sample = (result.found == ReplicaStatus::Warm).then_some(latency);
             let end = Some((result.outcome, function_hash.finish(), sample));
-            self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
+            self.traces.push(AttemptTrace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
         }
         if result.outcome == Outcome::Ok {
-            self.answer(id.request, Final::Served(result.body));
+            self.answer(id.request, FinalAnswer::Served(result.body));
         }
         let last = self.requests.get(&id.request).is_none_or(|r| r.answered);
         let AttemptResult { outcome, found, concurrent_requests: crowd, report, .. } = result;
@@ -509,7 +509,7 @@
                     let state =
                         self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
                     if state.is_some_and(|a| a.open) {
-                        self.commands.push_back(Command::Halt { attempt });
+                        self.commands.push_back(Command::Cancel { attempt });
                         self.ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
                     }
                 }
@@ -517,7 +517,7 @@
                     let state =
                         self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
                     if state.is_some_and(|a| a.open) {
-                        self.commands.push_back(Command::Recall { attempt });
+                        self.commands.push_back(Command::CancelIfUnsent { attempt });
                     }
                 }
                 TimerKind::RouterWakeup(cookie) => self.handle_event(now, Event::Timer { cookie }),
@@ -525,7 +525,7 @@
                     // The engine enforces the deadline itself, so that a request the decision module keeps
                     // for too long still gets its final answer in time.
                     if self.requests.get(&id).is_some_and(|r| !r.answered) {
-                        self.answer(id, Final::Failed("out of time"));
+                        self.answer(id, FinalAnswer::Failed("out of time"));
                         self.handle_event(now, Event::Abandoned { id });
                         self.remove_if_finished(id);
                     }
@@ -554,11 +554,11 @@
         match action {
             Action::Send { id, worker, deadline: until } => self.start_attempt(now, id, worker, until),
             Action::Refuse { id, retry_after } => {
-                self.answer(id, Final::Refused(retry_after));
+                self.answer(id, FinalAnswer::Refused(retry_after));
                 self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.answer(id, Final::Failed("not served in time"));
+                self.answer(id, FinalAnswer::Failed("not served in time"));
                 self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt: number } => {
@@ -568,10 +568,14 @@
                 let (latency, last) = (now - attempt.sent_at, request.answered);
                 if self.records_traces && self.traces.len() < MAX_TRACES {
                     let end = Some((Outcome::Cancelled, 0, None));
-                    self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
+                    self.traces.push(AttemptTrace {
+                        worker: attempt.worker.clone(),
+                        sent: attempt.sent_at,
+                        end,
+                    });
                 }
                 count(&self.counters.ended_cancelled);
-                self.commands.push_back(Command::Halt { attempt: AttemptId { request: id, number } });
+                self.commands.push_back(Command::Cancel { attempt: AttemptId { request: id, number } });
                 self.queue_outcome(id, number, last, Outcome::Cancelled, latency);
                 self.remove_if_finished(id);
             }
@@ -582,7 +586,7 @@
                     LoadOrder { worker: worker.clone(), function: function.clone(), sent_at: now };
                 self.load_orders.insert(order, load_order);
                 self.timers.add(now + self.bounds.load_wait, TimerKind::LoadOrderTimeout(order));
-                self.commands.push_back(Command::Load { order, worker, function, copies });
+                self.commands.push_back(Command::OrderLoad { order, worker, function, copies });
             }
             Action::Timer { at, cookie } => self.timers.add(at, TimerKind::RouterWakeup(cookie)),
             // The host passes the worker list without being asked.
@@ -628,7 +632,7 @@
         }
         count(&self.counters.attempts_sent);
         if self.records_traces && self.traces.len() < MAX_TRACES {
-            self.traces.push(Trace { worker: worker.clone(), sent: now, end: None });
+            self.traces.push(AttemptTrace { worker: worker.clone(), sent: now, end: None });
         }
         let attempt = AttemptId { request: id, number };
         let job = request.job.clone();
@@ -656,13 +660,13 @@
     }
 
     /// Gives the final answer, unless it has been given or is no longer needed.
-    fn answer(&mut self, id: RequestId, answer: Final) {
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         request.answered = true;
         count(match answer {
-            Final::Served(_) => &self.counters.answers_served,
-            Final::Refused(_) => &self.counters.answers_refused,
-            Final::Failed(_) => &self.counters.answers_failed,
+            FinalAnswer::Served(_) => &self.counters.answers_served,
+            FinalAnswer::Refused(_) => &self.counters.answers_refused,
+            FinalAnswer::Failed(_) => &self.counters.answers_failed,
         });
         self.tickets.remove(&request.ticket);
         self.commands.push_back(Command::Answer { ticket: request.ticket, answer });
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -45,7 +45,7 @@
     };
     let (attempts, load_wait, held_bytes) = (3, SECOND, 1000);
     let (held_requests, retry_after, send_lag) = (10, SECOND, SECOND / 4);
-    let bounds = Bounds { attempts, load_wait, held_bytes, held_requests, retry_after, send_lag };
+    let bounds = EngineLimits { attempts, load_wait, held_bytes, held_requests, retry_after, send_lag };
     let mut engine = Engine::new(&settings, 1, 0, bounds, Rc::default());
     let (zone, kind, cell, ready_at) = (0, 0, 0, None);
     let standing = crate::api::WorkerStatus::Healthy;
@@ -76,7 +76,7 @@
     commands.iter().any(|c| matches!(c, Command::Send { .. }))
 }
 
-fn answers(commands: &[Command]) -> Vec<&Final> {
+fn answers(commands: &[Command]) -> Vec<&FinalAnswer> {
     let answers = commands.iter().filter_map(|c| match c {
         Command::Answer { answer, .. } => Some(answer),
         _ => None,
@@ -90,7 +90,10 @@
     assert!(sends_attempt(&submit(&mut engine(), 1, 1, Some(SECOND), 0)));
     for (class, age) in [(1, 2 * SECOND - SECOND / 4), (2, 0)] {
         let commands = submit(&mut engine(), 1, class, Some(age), 0);
-        assert!(!sends_attempt(&commands) && matches!(answers(&commands)[..], [Final::Failed(_)]), "{class}");
+        assert!(
+            !sends_attempt(&commands) && matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]),
+            "{class}"
+        );
     }
 }
 
@@ -99,7 +102,10 @@
     let mut engine = engine();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)));
     let second = submit(&mut engine, 1, 0, None, 5);
-    assert!(!sends_attempt(&second) && matches!(answers(&second)[..], [Final::Failed(_)]), "{second:?}");
+    assert!(
+        !sends_attempt(&second) && matches!(answers(&second)[..], [FinalAnswer::Failed(_)]),
+        "{second:?}"
+    );
     engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)), "the id is free again");
@@ -118,7 +124,7 @@
 fn bodies_beyond_the_limit_are_refused_until_space_is_freed() {
     let mut engine = engine();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 900)));
-    assert!(matches!(answers(&submit(&mut engine, 2, 0, None, 101))[..], [Final::Refused(_)]));
+    assert!(matches!(answers(&submit(&mut engine, 2, 0, None, 101))[..], [FinalAnswer::Refused(_)]));
     engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 3, 0, None, 1000)));
@@ -130,7 +136,7 @@
     submit(&mut engine, 1, 2, None, 0);
     engine.advance(10 + 4 * SECOND);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
-    assert!(matches!(answers(&commands)[..], [Final::Failed(_)]), "{commands:?}");
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]), "{commands:?}");
     engine.ended(5 * SECOND, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.forget(5 * SECOND, Ticket { front: 0, conn: 0, seq: 1 });
     assert!(engine.commands.is_empty() && engine.owed() == 0);
@@ -142,14 +148,14 @@
     submit(&mut engine, 1, 2, None, 0);
     engine.give_up(20);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
-    assert!(matches!(answers(&commands)[..], [Final::Failed(_)]) && engine.owed() == 0, "{commands:?}");
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]) && engine.owed() == 0, "{commands:?}");
     engine.give_up(30);
     engine.advance(10 + 4 * SECOND);
     assert!(answers(&engine.commands.drain(..).collect::<Vec<_>>()).is_empty());
 }
 
 fn recall_count(commands: &[Command]) -> usize {
-    commands.iter().filter(|c| matches!(c, Command::Recall { .. })).count()
+    commands.iter().filter(|c| matches!(c, Command::CancelIfUnsent { .. })).count()
 }
 
 fn end_attempt(engine: &mut Engine, now: Micros, number: usize, outcome: Outcome) -> Vec<Command> {
@@ -169,7 +175,7 @@
         assert_eq!(recall_count(&engine.commands.drain(..).collect::<Vec<_>>()), 1);
         let commands = end_attempt(&mut engine, 20, 0, outcome);
         assert!(
-            !sends_attempt(&commands) && matches!(answers(&commands)[..], [Final::Refused(_)]),
+            !sends_attempt(&commands) && matches!(answers(&commands)[..], [FinalAnswer::Refused(_)]),
             "{commands:?}"
         );
         assert_eq!((engine.owed(), engine.held_bytes()), (0, 0));
@@ -178,7 +184,7 @@
     submit(&mut engine, 1, 2, None, 0);
     engine.hung_up(ticket);
     let commands = end_attempt(&mut engine, 20, 0, Outcome::Ok);
-    assert!(matches!(answers(&commands)[..], [Final::Served(_)]), "{commands:?}");
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Served(_)]), "{commands:?}");
 }
 
 #[test]
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -3,7 +3,7 @@
 use super::options::Options;
 use super::packets;
 use super::records::{Message, Records, Stage};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Fields, Intake, Invalid, Sketch};
 use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
@@ -435,15 +435,15 @@
     }
 
     /// Takes the final answer of a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let answer = match answer {
-            Final::Served(body) => (vec![pair("status", "served")], body),
-            Final::Refused(after) => {
+            FinalAnswer::Served(body) => (vec![pair("status", "served")], body),
+            FinalAnswer::Refused(after) => {
                 let ms = after.div_ceil(1000).to_string();
                 (vec![pair("status", "refused"), pair("pushback", &ms)], Vec::new())
             }
-            Final::Failed(why) => (vec![pair("status", "failed"), pair("why", why)], Vec::new()),
+            FinalAnswer::Failed(why) => (vec![pair("status", "failed"), pair("why", why)], Vec::new()),
         };
         self.answered(ticket.seq, answer, true);
         self.publish_answers(now);
--- a/src/front/mqtt/set.rs
+++ b/src/front/mqtt/set.rs
@@ -6,7 +6,7 @@
 
 use super::front::Front;
 use super::options::Options;
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
 use crate::net::{Poll, Ready};
@@ -100,7 +100,7 @@
     }
 
     /// Takes the final answer of a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         if let Some(front) = self.of(ticket.front) {
             front.answer(poll, now, ticket, answer);
         }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -3,7 +3,7 @@
 use super::policy::Policy;
 use super::sessions::{Act, Rules, Sessions};
 use super::verifier::Verifier;
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
 use crate::keys::Faults;
@@ -286,7 +286,7 @@
     }
 
     /// Takes the final answer of a request.
-    pub fn answer(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         self.sessions.answered(ticket.seq, answer);
         self.carry(poll, now);
     }
--- a/src/front/stations/sessions.rs
+++ b/src/front/stations/sessions.rs
@@ -8,7 +8,7 @@
 
 use super::policy::{Policy, User};
 use super::quota::Bucket;
-use crate::core::Final;
+use crate::core::FinalAnswer;
 use crate::front::{Fields, Invalid, Sketch};
 use ochreward_mqtt::delivery::{Inbound, Outbound, Taken};
 use ochreward_mqtt::packet::{Closing, Connack, Connect, Packet, Publish, Suback, Subscribe, Version, Will};
@@ -598,13 +598,13 @@
     }
 
     /// The core's final answer to a request.
-    pub fn answered(&mut self, number: i64, answer: Final) {
+    pub fn answered(&mut self, number: i64, answer: FinalAnswer) {
         let outcome = match answer {
-            Final::Served(body) => {
+            FinalAnswer::Served(body) => {
                 Outcome { reason: Reason::Success, told: vec![pair("status", "served")], body }
             }
-            Final::Refused(after) => refused(after),
-            Final::Failed(why) => Outcome {
+            FinalAnswer::Refused(after) => refused(after),
+            FinalAnswer::Failed(why) => Outcome {
                 reason: Reason::Implementation,
                 told: vec![pair("status", "failed"), pair("why", why)],
                 body: Vec::new(),
--- a/src/front/stations/sessions/tests.rs
+++ b/src/front/stations/sessions/tests.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    fn answer(&mut self, conn: Conn, number: i64, answer: Final) -> Vec<Packet> {
+    fn answer(&mut self, conn: Conn, number: i64, answer: FinalAnswer) -> Vec<Packet> {
         self.it.answered(number, answer);
         self.carry();
         self.sent.remove(&conn).unwrap_or_default()
@@ -142,7 +142,7 @@
     assert_eq!(b.publish(1, trigger(5, 1, "flow-read")), []);
     let (number, sketch, again) = b.serves[0].clone();
     assert!(&*sketch.call == "0000000000000001" && !again);
-    let sent = b.answer(1, number, Final::Served(b"body".to_vec()));
+    let sent = b.answer(1, number, FinalAnswer::Served(b"body".to_vec()));
     assert!(matches!(&sent[0], Packet::Puback(a) if a.id == 5 && a.reason == Reason::Success));
     assert_eq!(told(&sent[0], "status").as_deref(), Some("served"));
     let Packet::Publish(answer) = &sent[1] else { panic!("{sent:?}") };
@@ -163,7 +163,7 @@
     assert!(b.connect(2, connect("a", 100)).is_some_and(|c| c.session_present));
     assert_eq!(b.publish(2, Publish { dup: true, ..trigger(5, 1, "alert-send") }), []);
     b.it.lost(b.now, 2);
-    assert_eq!(b.answer(2, number, Final::Served(Vec::new())), []);
+    assert_eq!(b.answer(2, number, FinalAnswer::Served(Vec::new())), []);
     // It was answered while the station was away: the answer waits, and the repeat is told it again.
     b.it.accepted(b.now, 3);
     let sent = b.send(3, Packet::Connect(Box::new(connect("a", 100))));
@@ -227,9 +227,9 @@
     b.publish(1, trigger(1, 1, "flow-read"));
     b.publish(1, trigger(2, 2, "flow-read"));
     assert_eq!(b.publish(1, trigger(3, 3, "flow-read")), [], "answers keep the order of their messages");
-    let first = b.answer(1, 1, Final::Refused(250_000));
+    let first = b.answer(1, 1, FinalAnswer::Refused(250_000));
     assert_eq!(told(&first[0], "pushback").as_deref(), Some("250"));
-    let rest = b.answer(1, 2, Final::Failed("why not"));
+    let rest = b.answer(1, 2, FinalAnswer::Failed("why not"));
     assert_eq!((told(&rest[0], "why"), rest.len()), (Some("why not".to_string()), 2));
     assert_eq!(told(&rest[1], "pushback").as_deref(), Some("500"));
     // What was refused never ran: its repeat is a new request.
@@ -298,7 +298,7 @@
     b.it.stop();
     assert_eq!(b.it.owed(), 1);
     b.publish(1, trigger(2, 2, "flow-read"));
-    let sent = b.answer(1, 1, Final::Served(Vec::new()));
+    let sent = b.answer(1, 1, FinalAnswer::Served(Vec::new()));
     assert_eq!(told(&sent[1], "status").as_deref(), Some("refused"));
     assert_eq!(b.connect(2, connect("b", 0)).map(|c| c.reason), Some(Reason::ServerUnavailable));
     b.it.leave(b.now);
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -1,7 +1,7 @@
 //! The listener, its connections, and what is open on each.
 
 use super::wire::{self, Call};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Intake, Invalid, Sketch};
 use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
@@ -511,11 +511,11 @@
     }
 
     /// Writes the final answer of a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: &Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: &FinalAnswer) {
         self.reply(poll, now, ticket, |seq| match answer {
-            Final::Served(body) => wire::answer("serve", seq, body, true),
-            Final::Refused(after) => wire::refused(seq, Some(after.div_ceil(1000))),
-            Final::Failed(why) => wire::failed(seq, why),
+            FinalAnswer::Served(body) => wire::answer("serve", seq, body, true),
+            FinalAnswer::Refused(after) => wire::refused(seq, Some(after.div_ceil(1000))),
+            FinalAnswer::Failed(why) => wire::failed(seq, why),
         });
     }
 
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -1,7 +1,7 @@
 //! The front by itself, on real connections: what a turn of the loop may find in an order that only the kernel decides.
 
 use super::{Front, Limits};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::Intake;
 use crate::net::{Listener, Poll, Ready};
@@ -71,7 +71,7 @@
     while !bed.front.links.iter().all(|(_, link)| link.peer.blocked) {
         seq += 1;
         let ticket = asked(&mut bed, &mut client, seq);
-        bed.front.answer(&bed.poll, 0, ticket, &Final::Served(vec![7; 600_000]));
+        bed.front.answer(&bed.poll, 0, ticket, &FinalAnswer::Served(vec![7; 600_000]));
         let mut happened = Vec::new();
         while bed.poll.wait(SECOND / 5, &mut happened).is_ok() && !happened.is_empty() {
             happened.drain(..).for_each(|ready| bed.front.ready(&mut bed.poll, 0, ready));
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -77,9 +77,9 @@
             Command::Send { attempt, worker, wait, job } => {
                 self.pool.send(poll, now, attempt, &worker, wait, &job)
             }
-            Command::Halt { attempt } => self.pool.halt(poll, now, attempt),
-            Command::Recall { attempt } => self.pool.recall(attempt),
-            Command::Load { order, worker, function, copies } => {
+            Command::Cancel { attempt } => self.pool.halt(poll, now, attempt),
+            Command::CancelIfUnsent { attempt } => self.pool.recall(attempt),
+            Command::OrderLoad { order, worker, function, copies } => {
                 self.pool.load(poll, now, order, &worker, &function, copies)
             }
             Command::Answer { ticket, answer } => {
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -6,7 +6,7 @@
 use super::jobs::NETWORK_MARGIN_US;
 use crate::config::{Config, Settings};
 use crate::control::DEFAULT_FUNCTION_BYTES;
-use crate::core::Bounds;
+use crate::core::EngineLimits;
 use crate::executor;
 use crate::front::thrift;
 
@@ -35,7 +35,7 @@
     settings: &Settings,
     two_processes: bool,
     station_connections: usize,
-) -> (Bounds, executor::Limits, thrift::Limits, usize) {
+) -> (EngineLimits, executor::Limits, thrift::Limits, usize) {
     let processes = if two_processes { 2 } else { 1 };
     let descriptors = descriptors(config);
     let (memory, sockets) = (config.parts.resources.memory / processes, descriptors / processes);
@@ -46,7 +46,7 @@
     let operators = if config.ops.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
     let clients =
         sockets.saturating_sub(executors + RESERVED_DESCRIPTORS + operators + station_connections).max(8);
-    let bounds = Bounds {
+    let bounds = EngineLimits {
         attempts: settings.module.max_attempts,
         load_wait: settings.load_wait,
         held_bytes: memory / 8,
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::api::{Micros, Outcome, Settings, WorkerId};
 use crate::control::ZoneGate;
-use crate::core::Trace;
+use crate::core::AttemptTrace;
 use crate::names::Executor;
 use ochreward_zones::{End, Report, TOP};
 use std::collections::BTreeMap;
@@ -60,8 +60,8 @@
     }
 
     /// Takes what became of attempts.
-    pub fn seen(&mut self, now: Micros, trace: Trace) {
-        let Trace { worker, sent, end } = trace;
+    pub fn seen(&mut self, now: Micros, trace: AttemptTrace) {
+        let AttemptTrace { worker, sent, end } = trace;
         let Some((outcome, kind, took)) = end else { return self.machine.sent(now, &worker) };
         let end = match outcome {
             Outcome::ConnectFailed => End::Refused,
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -26,7 +26,7 @@
 }
 
 fn attempt(zones: &mut Zones, now: Micros, worker: &str, outcome: Outcome) {
-    let trace = |end| Trace { worker: worker.into(), sent: now, end };
+    let trace = |end| AttemptTrace { worker: worker.into(), sent: now, end };
     zones.seen(now, trace(None));
     zones.seen(now, trace(Some((outcome, 1, Some(50 * MS)))));
 }
