--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -88,7 +88,7 @@
             calls: 0,
             failing: 0,
         };
-        bed.router.bound_functions(ochreward::control::DEFAULT_FUNCTION_BYTES);
+        bed.router.set_max_function_bytes(ochreward::control::DEFAULT_FUNCTION_BYTES);
         let entries = (0..workers).map(|n| listing(n, WorkerStatus::Healthy, None)).collect();
         bed.tell(&Event::Workers { complete: true, entries });
         bed
--- a/src/control.rs
+++ b/src/control.rs
@@ -327,12 +327,12 @@
 
     /// Sets how many routers serve, into how many parts a cold worker's budget is divided, and the number of
     /// this router's part. With `None`, the settings apply.
-    pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
+    pub fn set_cold_budget_division(&mut self, division: Option<(usize, usize, usize)>) {
         self.division = division;
     }
 
     /// Records that a connection to a worker was refused although no attempt was sent there, as by a probe.
-    pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
+    pub fn probe_failed(&mut self, now: Micros, worker: &WorkerId) {
         if let Some(slot) = self.worker_ids.get(worker) {
             self.workers[*slot].connection_failed(now, true);
         }
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -1,6 +1,6 @@
 //! Applies the fleet's budgets and admission level to this router's requests, one at a time.
 //!
-//! The host computes what is left to this router and passes it in at intervals with [`Router::budget`]. Without a budget of
+//! The host computes what is left to this router and passes it in at intervals with [`Router::replace_budget`]. Without a budget of
 //! the fleet, only the router's own limits apply. No I/O; the size is bounded by the numbers of workers and zones.
 
 use super::tables::{Request, Worker, rendezvous};
@@ -113,7 +113,7 @@
 
 impl Router {
     /// Replaces the budget and returns the previous one with what was used of it.
-    pub fn budget(&mut self, next: Budget) -> Budget {
+    pub fn replace_budget(&mut self, next: Budget) -> Budget {
         for (zone, gate) in &next.zone_gates {
             // When the fleet readmits a zone, its failures and slowness are forgotten. Otherwise what was observed before it
             // was shut would keep this router from sending requests there for long.
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -280,8 +280,8 @@
             (next.admission_level, next.mean_retry_after) =
                 (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
         }
-        let spent = self.search.budget(next.clone());
-        let expected = self.scan.budget(next);
+        let spent = self.search.replace_budget(next.clone());
+        let expected = self.scan.replace_budget(next);
         assert_eq!(spent, expected, "budget spent since the last one");
     }
 
@@ -308,8 +308,8 @@
             }
             995..997 => {
                 if let Some(worker) = self.random_worker().map(|n| self.workers[&n].worker.clone()) {
-                    self.search.unreached(self.now, &worker);
-                    self.scan.unreached(self.now, &worker);
+                    self.search.probe_failed(self.now, &worker);
+                    self.scan.probe_failed(self.now, &worker);
                 }
             }
             997 => self.change_settings(),
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -148,7 +148,7 @@
     /// Replaces the state of this router by the learned one, without requests in progress. Returns false and changes nothing
     /// if this router has requests or the state is inconsistent. Settings whose classes have the same indexes, and a worker
     /// list, must be applied afterwards.
-    pub fn inherit(&mut self, now: Micros, learned: LearnedState) -> bool {
+    pub fn restore(&mut self, now: Micros, learned: LearnedState) -> bool {
         let usable = self.requests.is_empty() && learned.is_consistent(now);
         if !usable {
             return false;
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -30,7 +30,7 @@
     pub functions: usize,
     /// Dormant functions, held as compact records.
     pub dormant_functions: usize,
-    /// Estimated bytes of the function table, at most the bound set by [`Router::bound_functions`].
+    /// Estimated bytes of the function table, at most the bound set by [`Router::set_max_function_bytes`].
     pub function_bytes: usize,
     /// Bytes of the preference ring.
     pub ring_bytes: usize,
@@ -57,7 +57,7 @@
 
 impl Router {
     /// Sets the bound of the function table in bytes, at least [`MIN_FUNCTION_BYTES`].
-    pub fn bound_functions(&mut self, bytes: usize) {
+    pub fn set_max_function_bytes(&mut self, bytes: usize) {
         self.functions.set_max_bytes(bytes.max(MIN_FUNCTION_BYTES));
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -181,12 +181,12 @@
     counters: Rc<Counters>,
     /// Operations for the host, in order.
     pub commands: VecDeque<Command>,
-    /// Answers of workers, recorded once [`Engine::budget`] has been called: the worker, a hash of the
+    /// Answers of workers, recorded once [`Engine::replace_budget`] has been called: the worker, a hash of the
     /// function, and the latency, or `None` if the worker was full. Requests that started a load are left
     /// out.
     pub answers: Vec<(WorkerId, u64, Option<Micros>)>,
     records_answers: bool,
-    /// Starts and ends of attempts, recorded once [`Engine::trace`] has been called.
+    /// Starts and ends of attempts, recorded once [`Engine::enable_tracing`] has been called.
     pub traces: Vec<AttemptTrace>,
     records_traces: bool,
 }
@@ -253,25 +253,25 @@
     /// Sets how the budget of a worker in cold start is divided among dispatchers that know of each other:
     /// the number of serving dispatchers, the number of parts, and the index of this dispatcher's part.
     /// `None` restores the division of the settings.
-    pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
-        self.router.divide(division);
+    pub fn set_cold_budget_division(&mut self, division: Option<(usize, usize, usize)>) {
+        self.router.set_cold_budget_division(division);
     }
 
     /// Sets what the decision module may spend of the fleet's budgets from now on, and returns what remains
     /// of the previous budget. Starts the recording of `answers`.
-    pub fn budget(&mut self, next: Budget) -> Budget {
+    pub fn replace_budget(&mut self, next: Budget) -> Budget {
         self.records_answers = true;
-        self.router.budget(next)
+        self.router.replace_budget(next)
     }
 
     /// Starts the recording of `traces`.
-    pub fn trace(&mut self) {
+    pub fn enable_tracing(&mut self) {
         self.records_traces = true;
     }
 
     /// Handles a failed connection probe of a worker.
-    pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
-        self.router.unreached(now, worker);
+    pub fn probe_failed(&mut self, now: Micros, worker: &WorkerId) {
+        self.router.probe_failed(now, worker);
     }
 
     /// Returns the indices of the classes that have open requests.
@@ -286,12 +286,12 @@
 
     /// Adopts the learned state of another process; returns false if it cannot be used. The caller must then
     /// call `configure` and `list`.
-    pub fn inherit(&mut self, now: Micros, learned: LearnedState) -> bool {
-        self.router.inherit(now, learned)
+    pub fn restore(&mut self, now: Micros, learned: LearnedState) -> bool {
+        self.router.restore(now, learned)
     }
 
     /// Returns the number of requests that still need a final answer.
-    pub fn owed(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.tickets.len()
     }
 
@@ -301,22 +301,22 @@
     }
 
     /// Returns when the next timer expires.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next_expiry()
     }
 
     /// Limits the memory that the decision module may use for functions.
-    pub fn bound_functions(&mut self, bytes: usize) {
-        self.router.bound_functions(bytes);
+    pub fn set_max_function_bytes(&mut self, bytes: usize) {
+        self.router.set_max_function_bytes(bytes);
     }
 
     /// Passes the complete worker list to the decision module; workers absent from it have been removed.
-    pub fn list(&mut self, now: Micros, entries: Vec<WorkerEntry>) {
+    pub fn set_workers(&mut self, now: Micros, entries: Vec<WorkerEntry>) {
         self.handle_event(now, Event::Workers { complete: true, entries });
     }
 
     /// Accepts a request. Exactly one final answer follows for the ticket, unless `forget` is called for it.
-    pub fn take(&mut self, now: Micros, ticket: Ticket, job: RequestSpec) {
+    pub fn submit(&mut self, now: Micros, ticket: Ticket, job: RequestSpec) {
         count(&self.counters.requests_taken);
         let id = self.next_id;
         self.next_id += 1;
@@ -389,7 +389,7 @@
     }
 
     /// Drops a request whose client no longer waits: no answer is given, and unsent attempts are cancelled.
-    pub fn forget(&mut self, now: Micros, ticket: Ticket) {
+    pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         count(&self.counters.requests_forgotten);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -402,7 +402,7 @@
 
     /// Handles a client that has closed its end of the connection and has probably gone: no further attempt
     /// is sent for the request. Attempts already sent may still be answered.
-    pub fn hung_up(&mut self, ticket: Ticket) {
+    pub fn client_closed(&mut self, ticket: Ticket) {
         let Some(id) = self.tickets.get(&ticket).copied() else { return };
         count(&self.counters.requests_hung_up);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -421,7 +421,7 @@
     }
 
     /// Fails every request that still needs an answer, because the process is about to exit.
-    pub fn give_up(&mut self, now: Micros) {
+    pub fn fail_open_requests(&mut self, now: Micros) {
         let unanswered: Vec<RequestId> = self.tickets.values().copied().collect();
         for id in unanswered {
             self.answer(id, FinalAnswer::Failed("the dispatcher is being stopped"));
@@ -431,7 +431,7 @@
     }
 
     /// Handles the end of an attempt.
-    pub fn ended(&mut self, now: Micros, id: AttemptId, result: AttemptResult) {
+    pub fn attempt_ended(&mut self, now: Micros, id: AttemptId, result: AttemptResult) {
         let counters = self.counters.clone();
         let Some(request) = self.requests.get_mut(&id.request) else { return count(&counters.late_answers) };
         let Some(attempt) = request.attempts.get_mut(id.number).filter(|a| a.open) else {
@@ -496,7 +496,7 @@
     }
 
     /// Handles the end of a load order.
-    pub fn loaded(&mut self, now: Micros, order: u64, outcome: Outcome, copies: u32) {
+    pub fn load_order_ended(&mut self, now: Micros, order: u64, outcome: Outcome, copies: u32) {
         let Some(LoadOrder { worker, function, sent_at }) = self.load_orders.remove(&order) else { return };
         self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, copies });
     }
@@ -510,7 +510,7 @@
                         self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
                     if state.is_some_and(|a| a.open) {
                         self.commands.push_back(Command::Cancel { attempt });
-                        self.ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
+                        self.attempt_ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
                     }
                 }
                 TimerKind::RepeatSendDeadline(attempt) => {
@@ -530,7 +530,7 @@
                         self.remove_if_finished(id);
                     }
                 }
-                TimerKind::LoadOrderTimeout(order) => self.loaded(now, order, Outcome::Timeout, 0),
+                TimerKind::LoadOrderTimeout(order) => self.load_order_ended(now, order, Outcome::Timeout, 0),
             }
         }
     }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -49,7 +49,7 @@
     let mut engine = Engine::new(&settings, 1, 0, bounds, Rc::default());
     let (zone, kind, cell, ready_at) = (0, 0, 0, None);
     let standing = crate::api::WorkerStatus::Healthy;
-    engine.list(0, vec![WorkerEntry { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
+    engine.set_workers(0, vec![WorkerEntry { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
     engine
 }
 
@@ -68,7 +68,7 @@
         body: vec![0; body],
         possible_repeat_age: repeat,
     };
-    engine.take(10, Ticket { front: 0, conn: 0, seq }, job);
+    engine.submit(10, Ticket { front: 0, conn: 0, seq }, job);
     engine.commands.drain(..).collect()
 }
 
@@ -106,7 +106,7 @@
         !sends_attempt(&second) && matches!(answers(&second)[..], [FinalAnswer::Failed(_)]),
         "{second:?}"
     );
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
+    engine.attempt_ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)), "the id is free again");
 }
@@ -115,7 +115,11 @@
 fn repeated_keyed_request_gets_one_attempt() {
     let mut engine = engine();
     submit(&mut engine, 1, 1, Some(SECOND), 0);
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Error));
+    engine.attempt_ended(
+        20,
+        AttemptId { request: 1, number: 0 },
+        AttemptResult::from_outcome(Outcome::Error),
+    );
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(!sends_attempt(&commands) && answers(&commands).len() == 1, "{commands:?}");
 }
@@ -125,7 +129,7 @@
     let mut engine = engine();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 900)));
     assert!(matches!(answers(&submit(&mut engine, 2, 0, None, 101))[..], [FinalAnswer::Refused(_)]));
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
+    engine.attempt_ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 3, 0, None, 1000)));
 }
@@ -137,19 +141,26 @@
     engine.advance(10 + 4 * SECOND);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]), "{commands:?}");
-    engine.ended(5 * SECOND, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
-    engine.forget(5 * SECOND, Ticket { front: 0, conn: 0, seq: 1 });
-    assert!(engine.commands.is_empty() && engine.owed() == 0);
+    engine.attempt_ended(
+        5 * SECOND,
+        AttemptId { request: 1, number: 0 },
+        AttemptResult::from_outcome(Outcome::Ok),
+    );
+    engine.abandon(5 * SECOND, Ticket { front: 0, conn: 0, seq: 1 });
+    assert!(engine.commands.is_empty() && engine.open_requests() == 0);
 }
 
 #[test]
 fn give_up_fails_open_requests_immediately_and_once() {
     let mut engine = engine();
     submit(&mut engine, 1, 2, None, 0);
-    engine.give_up(20);
+    engine.fail_open_requests(20);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
-    assert!(matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]) && engine.owed() == 0, "{commands:?}");
-    engine.give_up(30);
+    assert!(
+        matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]) && engine.open_requests() == 0,
+        "{commands:?}"
+    );
+    engine.fail_open_requests(30);
     engine.advance(10 + 4 * SECOND);
     assert!(answers(&engine.commands.drain(..).collect::<Vec<_>>()).is_empty());
 }
@@ -159,7 +170,7 @@
 }
 
 fn end_attempt(engine: &mut Engine, now: Micros, number: usize, outcome: Outcome) -> Vec<Command> {
-    engine.ended(now, AttemptId { request: 1, number }, AttemptResult::from_outcome(outcome));
+    engine.attempt_ended(now, AttemptId { request: 1, number }, AttemptResult::from_outcome(outcome));
     engine.commands.drain(..).collect()
 }
 
@@ -171,18 +182,18 @@
     for outcome in [Outcome::Full, Outcome::NotSent] {
         let mut engine = engine();
         assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)));
-        engine.hung_up(ticket);
+        engine.client_closed(ticket);
         assert_eq!(recall_count(&engine.commands.drain(..).collect::<Vec<_>>()), 1);
         let commands = end_attempt(&mut engine, 20, 0, outcome);
         assert!(
             !sends_attempt(&commands) && matches!(answers(&commands)[..], [FinalAnswer::Refused(_)]),
             "{commands:?}"
         );
-        assert_eq!((engine.owed(), engine.held_bytes()), (0, 0));
+        assert_eq!((engine.open_requests(), engine.held_bytes()), (0, 0));
     }
     let mut engine = engine();
     submit(&mut engine, 1, 2, None, 0);
-    engine.hung_up(ticket);
+    engine.client_closed(ticket);
     let commands = end_attempt(&mut engine, 20, 0, Outcome::Ok);
     assert!(matches!(answers(&commands)[..], [FinalAnswer::Served(_)]), "{commands:?}");
 }
@@ -192,7 +203,7 @@
     let mut engine = engine();
     // The first request for a function starts a load, which the decision module does not cancel.
     submit(&mut engine, 1, 0, None, 0);
-    engine.forget(20, Ticket { front: 0, conn: 0, seq: 1 });
+    engine.abandon(20, Ticket { front: 0, conn: 0, seq: 1 });
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(recall_count(&commands) == 1 && answers(&commands).is_empty(), "{commands:?}");
     assert!(end_attempt(&mut engine, 30, 0, Outcome::NotSent).is_empty());
--- a/src/node.rs
+++ b/src/node.rs
@@ -165,7 +165,7 @@
             station_options.as_ref().map_or(0, |o| o.connections),
         );
         let mut engine = Engine::new(&settings.module, config.seed, now, bounds, counters.clone());
-        engine.bound_functions(limits::function_bytes(
+        engine.set_max_function_bytes(limits::function_bytes(
             &config,
             function_bytes,
             handover.other_process_runs(),
@@ -222,7 +222,7 @@
         if let Some(options) = zone_options {
             let home = node.peer_options.as_ref().map_or(String::new(), |p| p.zone.clone());
             node.zones = Some(Zones::new(&options, &node.settings.module, &home, now));
-            node.engine.trace();
+            node.engine.enable_tracing();
         }
         node.reserve_descriptor();
         node.publish_list();
@@ -318,7 +318,8 @@
         let shutdown = self.shutdown_deadline();
         let bans = Some(self.next_bans_read).filter(|_| self.handover.other_process_runs());
         let door = self.door.as_ref().map(Door::due);
-        let optional = [self.engine.due(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
+        let optional =
+            [self.engine.next_timer_at(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
         let deadlines = optional.into_iter().flatten().chain([
             self.mqtt.due(),
             self.stream.as_ref().map_or(u64::MAX, ConfigStream::due),
--- a/src/node/beside.rs
+++ b/src/node/beside.rs
@@ -98,7 +98,7 @@
         self.clock.catch_up(state.now);
         self.now = self.now.max(self.clock.read());
         let mut new_places = Vec::new();
-        if self.engine.inherit(self.now, state.learned) {
+        if self.engine.restore(self.now, state.learned) {
             count(&self.counters.handovers_taken);
             let default_classes = vec![Class::default(); state.classes.len()];
             new_places = self.settings.follow((&state.classes, &default_classes), &BTreeSet::new());
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -25,20 +25,20 @@
             // earlier ones: no resend for a client that has gone, and no new request planned on an outdated executor state.
             intake.retain(|item| match item {
                 Intake::Forget(ticket) => {
-                    self.engine.forget(self.now, *ticket);
+                    self.engine.abandon(self.now, *ticket);
                     false
                 }
                 Intake::HungUp(ticket) => {
-                    self.engine.hung_up(*ticket);
+                    self.engine.client_closed(*ticket);
                     false
                 }
                 Intake::Serve { .. } => true,
             });
             for report in reports {
                 match report {
-                    Report::Attempt(id, ended) => self.engine.ended(self.now, id, ended),
+                    Report::Attempt(id, ended) => self.engine.attempt_ended(self.now, id, ended),
                     Report::Order(order, outcome, copies) => {
-                        self.engine.loaded(self.now, order, outcome, copies)
+                        self.engine.load_order_ended(self.now, order, outcome, copies)
                     }
                 }
             }
@@ -46,7 +46,7 @@
                 let Intake::Serve { ticket, sketch, body, age_us, again } = item else { continue };
                 let class_removed = self.settings.past.contains(&sketch.class);
                 match build_job(&self.settings, sketch, body, age_us.max(self.stalled_us), again) {
-                    Ok(job) => self.engine.take(self.now, ticket, job),
+                    Ok(job) => self.engine.submit(self.now, ticket, job),
                     Err(invalid) => self.refuse_invalid(ticket, &invalid, class_removed),
                 }
             }
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -64,7 +64,7 @@
         if let Some(zones) = &mut self.zones {
             zones.listed(&executors, &self.settings.vocabulary.zones);
         }
-        self.engine.list(self.now, entries);
+        self.engine.set_workers(self.now, entries);
     }
 
     /// Records when workers that announce their start time were first listed.
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -31,12 +31,12 @@
         if self.overload.is_none() && self.zones.is_none() {
             return;
         }
-        let previous = self.engine.budget(Budget::default());
+        let previous = self.engine.replace_budget(Budget::default());
         let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &previous)).unwrap_or_default();
         if let Some(zones) = &mut self.zones {
             next.zone_gates = zones.gates(self.now, &previous.zone_gates);
         }
-        self.engine.budget(next);
+        self.engine.replace_budget(next);
         self.export_overload_counters();
     }
 
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -45,11 +45,11 @@
         self.exchange_executor_observations();
         let Some(peers) = &mut self.peers else { return };
         let serving = if self.shutdown_started.is_some() { Serving::Drains } else { Serving::Serves };
-        let load = self.engine.owed() * 1_000 / self.settings.max_open.max(1);
+        let load = self.engine.open_requests() * 1_000 / self.settings.max_open.max(1);
         peers.tell(serving, self.counters.version_number.get(), load.min(1_000) as u16);
         peers.advance(self.now);
         if let Some(division) = peers.news(self.now) {
-            self.engine.divide(Some((division.alive, division.parts, division.place)));
+            self.engine.set_cold_budget_division(Some((division.alive, division.parts, division.place)));
         }
         self.send_state_to_peer();
         self.take_list_from_peer();
@@ -70,7 +70,7 @@
         let Some(peers) = &mut self.peers else { return };
         for observation in observations {
             if observation.looked {
-                self.engine.unreached(self.now, &observation.worker);
+                self.engine.probe_failed(self.now, &observation.worker);
                 peers.refused(self.now, &observation.worker);
             } else {
                 // Only first-hand observations are announced: the result of a probe that a peer's hint caused would be
@@ -121,7 +121,7 @@
         let clock_ahead = state.now.saturating_sub(self.now);
         let same_classes = state.classes == self.settings.classes;
         let learned = same_classes.then(|| state.learned.from_peer(clock_ahead)).flatten();
-        let learned = learned.is_some_and(|l| self.engine.inherit(self.now, l));
+        let learned = learned.is_some_and(|l| self.engine.restore(self.now, l));
         info!(
             instance = self.config.name,
             peer = &*from,
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -43,14 +43,14 @@
         self.thrift.leave(self.now, since + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
         if self.now >= since + self.longest_deadline() + FAIL_OPEN_AFTER_US {
             self.thrift.shut(&self.poll);
-            self.engine.give_up(self.now);
+            self.engine.fail_open_requests(self.now);
             self.deliver_messages();
         }
         self.mqtt.stop();
         if let Some(front) = &mut self.stations {
             front.stop(&self.poll);
         }
-        let all_settled = self.engine.owed() == 0
+        let all_settled = self.engine.open_requests() == 0
             && !self.thrift.listens()
             && !self.thrift.unsent()
             && self.thrift.left(self.now)
--- a/src/node/versions.rs
+++ b/src/node/versions.rs
@@ -92,7 +92,7 @@
             self.engine.classes_in_use().into_iter().filter_map(|p| self.settings.classes.get(p).cloned());
         let usage = Usage {
             classes: classes.collect(),
-            requests: self.engine.owed(),
+            requests: self.engine.open_requests(),
             descriptors: self.thrift.connections()
                 + self.pool.connections()
                 + self.stations.as_ref().map_or(0, crate::front::stations::Front::connections),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -793,7 +793,7 @@
 fn successor(set: Settings, now: Micros, handover: &str, workers: usize) -> (bool, TestRouter) {
     let mut test = TestRouter { router: Router::new(set.clone(), 9, now), now, out: vec![], next_id: 1 };
     let learned = serde_json::from_str::<ochreward::control::LearnedState>(handover);
-    let taken = learned.is_ok_and(|l| test.router.inherit(now, l));
+    let taken = learned.is_ok_and(|l| test.router.restore(now, l));
     test.router.configure(set, &[]);
     test.list(true, (0..workers).map(|n| healthy(n, None)).collect());
     (taken, test)
@@ -874,7 +874,7 @@
     use ochreward::control::TableSizes;
     let mut test = TestRouter::new(settings(), 45, 36);
     const FUNCTION_BYTES: usize = 768 << 10;
-    test.router.bound_functions(FUNCTION_BYTES);
+    test.router.set_max_function_bytes(FUNCTION_BYTES);
     let (mut generation, mut most_early, mut most_late) = (0, TableSizes::default(), TableSizes::default());
     let end = 45 * 60 * S;
     let mut n = 0usize;
--- a/tests/fleet/cold_budget.rs
+++ b/tests/fleet/cold_budget.rs
@@ -49,7 +49,7 @@
 fn play_with(routers: usize, seed: u64, division: Option<(usize, usize, usize)>) -> Outcome {
     let mut rng = Pcg32::seed_from_u64(seed ^ (routers as u64) << 40);
     let mut fleet = Fleet::new(routers, seed);
-    fleet.routers.iter_mut().for_each(|r| r.divide(division));
+    fleet.routers.iter_mut().for_each(|r| r.set_cold_budget_division(division));
     // Some see several times the mean, many far less.
     let weights: Vec<f64> =
         (0..routers).map(|_| (1.6 * (unit(&mut rng) + unit(&mut rng) - 1.0)).exp()).collect();
