--- a/src/api.rs
+++ b/src/api.rs
@@ -109,7 +109,7 @@
     /// Whether a worker without the function loads it while the request waits; otherwise it answers with a
     /// miss.
     pub loads_on_miss: bool,
-    /// The minimum time for which an idle copy stays loaded.
+    /// The minimum time for which an idle replica stays loaded.
     pub keep_alive: Micros,
     /// The window of the rate limit on loads; 0 if loads are not limited.
     pub load_window: Micros,
@@ -121,7 +121,7 @@
     pub cross_zone_price: f64,
     /// The cost of a fetch from the store, relative to the value of a request.
     pub fetch_price: f64,
-    /// The cost of the memory held by idle copies.
+    /// The cost of the memory held by idle replicas.
     pub memory_price: f64,
     /// Whether the worker list is sent only on request ([`Action::WatchWorkers`]).
     pub list_on_request: bool,
@@ -158,7 +158,7 @@
 /// The result of an attempt, a probe or a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was served, or the copies are loaded.
+    /// The request was served, or the replicas are loaded.
     Ok,
     /// The worker answered with an error; the request may have run.
     Error,
@@ -180,12 +180,12 @@
     Unknown,
 }
 
-/// What an answer reports about the copy that handled the request.
+/// What an answer reports about the replica that handled the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaStatus {
     /// Nothing was reported.
     NotReported,
-    /// A copy was already loaded.
+    /// A replica was already loaded.
     Warm,
     /// The request started a load.
     LoadStarted,
@@ -217,7 +217,7 @@
         tenant: usize,
         /// Its function.
         function: FunctionId,
-        /// The number of requests that one copy runs concurrently.
+        /// The number of requests that one replica runs concurrently.
         replica_concurrency: f64,
         /// The typical load time, if known.
         load_time: Option<Micros>,
@@ -239,7 +239,7 @@
         is_final: bool,
         /// How the attempt ended.
         outcome: Outcome,
-        /// What the answer reports about the copy.
+        /// What the answer reports about the replica.
         found: ReplicaStatus,
         /// The number of requests for the function at the worker, if reported.
         concurrent_requests: Option<u32>,
@@ -263,8 +263,8 @@
         outcome: Outcome,
         /// Time since the order.
         latency: Micros,
-        /// The number of copies now loaded on the worker.
-        copies: u32,
+        /// The number of replicas now loaded on the worker.
+        replicas: u32,
     },
     /// The client has disconnected, or the request's deadline has passed.
     Abandoned {
@@ -309,14 +309,14 @@
         /// The index of the attempt.
         attempt: usize,
     },
-    /// Order a worker to keep at least `copies` copies loaded; 0 only queries how many are loaded.
+    /// Order a worker to keep at least `replicas` replicas loaded; 0 only queries how many are loaded.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The minimum number of copies.
-        copies: u32,
+        /// The minimum number of replicas.
+        replicas: u32,
     },
     /// Set a timer that wakes the router.
     Timer {
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -392,7 +392,7 @@
             function: unit_key.into(),
             outcome: outcome(&status),
             latency: lag_us,
-            copies: units_held,
+            replicas: units_held,
         },
         Body::Wakeup { cookie } => api::Event::Timer { cookie },
         Body::Spawn { .. } | Body::Stop | Body::Other => return None,
@@ -435,7 +435,7 @@
         api::Action::Refuse { id, retry_after } => OrderBody::PushBack { rid: id, come_back_us: retry_after },
         api::Action::Fail { id } => OrderBody::ReportFailure { rid: id },
         api::Action::Cancel { id, attempt } => OrderBody::Withdraw { rid: id, go: attempt },
-        api::Action::Load { worker, function, copies } => {
+        api::Action::Load { worker, function, replicas: copies } => {
             OrderBody::StartCopy { worker, unit_key: function, units_held: copies }
         }
         api::Action::Timer { at, cookie } => OrderBody::SetTimer { alarm_time_us: at, cookie },
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,12 +1,12 @@
 //! The decisions of a router; its interface (settings, events, actions) is src/api.rs.
 //!
 //! The policy is smallest estimated completion time: a request goes to the worker with the smallest predicted
-//! finish (load time if its copy of the function is not known to be warm, plus own pending work there, plus
+//! finish (load time if its replica of the function is not known to be warm, plus own pending work there, plus
 //! the learned run time). It is refused at once when even that exceeds the time left. Everything else here
-//! feeds that estimate, excludes workers from it, or keeps copies loaded.
+//! feeds that estimate, excludes workers from it, or keeps replicas loaded.
 //!
 //! The first workers of a function in an order of preference that all routers share are its homes. A router
-//! sends there even without knowing of a copy, because other routers probably keep one loaded.
+//! sends there even without knowing of a replica, because other routers probably keep one loaded.
 //!
 //! No I/O and no clock: the time comes with each event. All tables are bounded (`Router::sizes`).
 
@@ -79,9 +79,9 @@
 /// Probability, before any answer, that other routers keep a function warm at its homes.
 const PRIOR_HOME_HIT_PROBABILITY: f64 = 0.5;
 
-// ---- Which copies exist ----
+// ---- Which replicas exist ----
 
-/// An idle copy counts as warm for this share of the keep-alive: clocks differ and messages are late.
+/// An idle replica counts as warm for this share of the keep-alive: clocks differ and messages are late.
 const WARM_KEEP_ALIVE_SHARE: f64 = 0.95;
 /// A load counts as under way for this multiple of its expected time.
 const LOAD_TIMEOUT_FACTOR: f64 = 4.0;
@@ -98,16 +98,16 @@
 /// Multiplier on the price of crossing zones: an answer that comes a little later earns no less, so the price
 /// weighs more than the time that it equals.
 const CROSSING_PRICE_FACTOR: f64 = 10.0;
-/// Concurrent requests per lane that one copy is meant to carry. Beyond that, the function gets one more
+/// Concurrent requests per lane that one replica is meant to carry. Beyond that, the function gets one more
 /// home.
 const TARGET_LANE_USE: f64 = 0.3;
 /// The same for a router that sees little of the traffic. It guesses the number of homes badly, and all
-/// routers together hold as many copies as the highest guess asks for, so it fills copies further.
+/// routers together hold as many replicas as the highest guess asks for, so it fills replicas further.
 const TARGET_LANE_USE_SPARSE: f64 = 0.6;
 /// The same where workers report the requests they hold: the load from other routers is visible, and loading
-/// a copy costs more than a short wait.
+/// a replica costs more than a short wait.
 const TARGET_LANE_USE_REPORTED: f64 = 1.2;
-/// Concurrent requests that a worker is assumed to run, whatever one copy does, where workers report the
+/// Concurrent requests that a worker is assumed to run, whatever one replica does, where workers report the
 /// requests they hold. Pending work is divided by it.
 const WORKER_CONCURRENCY_REPORTED: f64 = 3.0;
 /// Share of a run that is left, on average, of each request that a worker reports for other routers. Evenly
@@ -161,13 +161,13 @@
 /// Upper bound of the refused requests that are remembered for each tenant.
 const MAX_REFUSALS_REMEMBERED: f64 = 1_000.0;
 
-// ---- Copies kept loaded ----
+// ---- Replicas kept loaded ----
 
-/// An idle copy is renewed after this share of the keep-alive.
+/// An idle replica is renewed after this share of the keep-alive.
 const RENEW_KEEP_ALIVE_SHARE: f64 = 0.75;
-/// A copy that this router has not used for this many keep-alives is no longer renewed.
+/// A replica that this router has not used for this many keep-alives is no longer renewed.
 const RENEWAL_MAX_UNUSED_KEEP_ALIVES: f64 = 3.0;
-/// Copies that other routers use this often per keep-alive need no renewal: with random arrivals only one in
+/// Replicas that other routers use this often per keep-alive need no renewal: with random arrivals only one in
 /// twenty goes unused for a whole keep-alive (e^-3).
 const MIN_PEER_USES_PER_KEEP_ALIVE: f64 = 3.0;
 /// Where loads are not rationed, requests within this share of the keep-alive show how much this router sees.
@@ -193,11 +193,11 @@
     work_factor: f64,
     /// The function would have to be loaded, more probably than not.
     cold: bool,
-    /// The worker is a home where this router has observed no copy, but other routers may keep one.
+    /// The worker is a home where this router has observed no replica, but other routers may keep one.
     unobserved: bool,
-    /// The total if a copy is loaded.
+    /// The total if a replica is loaded.
     total_if_warm: f64,
-    /// The total if the copy has to be loaded.
+    /// The total if the replica has to be loaded.
     total_if_cold: f64,
     /// Number of the turn at a cold worker that this request would use.
     cold_turn: u64,
@@ -217,7 +217,7 @@
         self.total - self.load_wait - (self.run_time - self.run_time / self.work_factor)
     }
 
-    /// Returns the more probable of the two totals: a copy that probably exists needs no time to load.
+    /// Returns the more probable of the two totals: a replica that probably exists needs no time to load.
     fn probable_total(&self) -> f64 {
         if self.unobserved && !self.cold { self.total_if_warm } else { self.total }
     }
@@ -276,7 +276,7 @@
     /// Times of the requests taken and the loads ordered within the ration's window.
     recent_requests: VecDeque<Micros>,
     recent_load_orders: VecDeque<Micros>,
-    /// When copies were last checked for renewal.
+    /// When replicas were last checked for renewal.
     renewals_checked_at: Micros,
     tenant_quotas: Vec<TenantQuota>,
 }
@@ -376,10 +376,10 @@
         match event {
             Event::Workers { complete, entries } => self.apply_worker_list(*complete, entries, out),
             Event::ListRefused if self.settings.list_on_request => out.push(Action::WatchWorkers),
-            Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
+            Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, replicas, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
                 if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
-                    (mark.count, mark.loading) = (*copies, None);
+                    (mark.count, mark.loading) = (*replicas, None);
                 }
             }
             Event::ListRefused | Event::Loaded { .. } => {}
@@ -430,7 +430,7 @@
                 out.push(Action::Timer { at: deadline, cookie: *id });
                 self.dispatch(*id, out);
                 self.functions[function].request_rate.add(self.now, self.half_life_us, 1.0);
-                self.renew_copies(out);
+                self.renew_replicas(out);
                 self.retire_functions();
             }
             Event::AttemptEnded { id, is_final: last, .. } => {
@@ -455,14 +455,14 @@
         }
     }
 
-    // ---- Copies kept and loaded ahead ----
+    // ---- Replicas kept and loaded ahead ----
 
-    /// Orders idle copies loaded again before their keep-alive runs out, within the ration of loads.
+    /// Orders idle replicas loaded again before their keep-alive runs out, within the ration of loads.
     /// Otherwise they would be unloaded, and the next request would wait for a load.
-    fn renew_copies(&mut self, out: &mut Vec<Action>) {
+    fn renew_replicas(&mut self, out: &mut Vec<Action>) {
         self.recent_requests.push_back(self.now);
         if self.settings.load_window == 0 || !self.settings.load_orders_allowed {
-            // Without a ration nothing would bound the copies held: they would displace those that others
+            // Without a ration nothing would bound the replicas held: they would displace those that others
             // need, and memory has a price. So none is renewed.
             let since =
                 self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64) as Micros);
@@ -489,10 +489,11 @@
             let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
             let mark = &worker.replicas[&function_slot];
             let unused_keep_alives = (self.now - mark.last_requested) as f64 / keep_alive;
-            let idle_copy = worker.up && mark.count > 0 && mark.loading.is_none() && mark.own_in_flight == 0;
-            if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
-                // If every router renewed the copies that all of them use, there would be as many load orders
-                // as requests. So a copy that the others use often enough is left to them.
+            let idle_replica =
+                worker.up && mark.count > 0 && mark.loading.is_none() && mark.own_in_flight == 0;
+            if idle_replica && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
+                // If every router renewed the replicas that all of them use, there would be as many load orders
+                // as requests. So a replica that the others use often enough is left to them.
                 let rate = function.request_rate.rate(self.now, self.half_life_us);
                 let peers = (self.settings.dispatcher_count - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
@@ -518,7 +519,7 @@
             let (w, id) = (&mut self.workers[worker], self.functions[function].id.clone());
             w.replicas.entry(function).and_modify(|m| m.last_used = self.now);
             self.renewals.push(ReplicaUse { at: self.now, worker, function });
-            out.push(Action::Load { worker: w.id.clone(), function: id, copies: 1 });
+            out.push(Action::Load { worker: w.id.clone(), function: id, replicas: 1 });
         }
     }
 
@@ -585,7 +586,7 @@
     }
 
     /// Updates the run times of the function and its class and the worker's slowness from an answer of a warm
-    /// copy.
+    /// replica.
     fn learn_run_time(&mut self, function: usize, worker: usize, took: f64, expected: f64) {
         let error = (took / expected.max(1.0)).min(MAX_ERROR_RATIO) - 1.0;
         self.learn_slowness(worker, error);
@@ -757,11 +758,11 @@
         let warmth = self.warmth(&mark);
         let whole_load = self.load_cost(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
-        let peer_copy = rank.map(|rank| self.peer_copy_probability(function, rank, known));
-        let (load_wait, copies) = match warmth {
+        let peer_replica = rank.map(|rank| self.peer_replica_probability(function, rank, known));
+        let (load_wait, replicas) = match warmth {
             Warmth::Warm => (0.0, mark.count),
             Warmth::Loading(left) => (left, 1),
-            Warmth::Cold => ((1.0 - peer_copy.unwrap_or(0.0)) * whole_load, 1),
+            Warmth::Cold => ((1.0 - peer_replica.unwrap_or(0.0)) * whole_load, 1),
         };
         let run_time_of =
             |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.estimate.run_time);
@@ -778,7 +779,7 @@
         };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
         let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
-        let lanes = function.lanes * f64::from(copies.max(1));
+        let lanes = function.lanes * f64::from(replicas.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
         let total = self.settings.min_batch_interval as f64 + load_wait + pending.max(lane_wait) + run_time;
         // A worker that has just rejected this request would probably do so again: every other worker comes
@@ -817,10 +818,11 @@
             load_wait: load_wait.min(self.base_load_time(function)),
             run_time,
             work_factor: request.size.run_time_factor,
-            cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_HOME_HIT_PROBABILITY),
-            unobserved: peer_copy.is_some(),
+            cold: matches!(warmth, Warmth::Cold)
+                && peer_replica.is_none_or(|p| p <= PRIOR_HOME_HIT_PROBABILITY),
+            unobserved: peer_replica.is_some(),
             total_if_warm,
-            total_if_cold: if peer_copy.is_some() { total_if_warm + whole_load } else { total },
+            total_if_cold: if peer_replica.is_some() { total_if_warm + whole_load } else { total },
             cold_turn,
             // The wait grows with the number of routers, so that all of them together try an unused worker
             // with about one request at a time.
@@ -863,8 +865,8 @@
 
     /// Returns the probability that other routers keep the function warm at a worker, one of its homes. A
     /// worker that became a home only because others left counts as one from the time they left: otherwise,
-    /// after the loss of many workers, all routers would assume copies that none has loaded yet.
-    fn peer_copy_probability(&self, function: &Function, rank: &Rank, known: &ChoiceInputs) -> f64 {
+    /// after the loss of many workers, all routers would assume replicas that none has loaded yet.
+    fn peer_replica_probability(&self, function: &Function, rank: &Rank, known: &ChoiceInputs) -> f64 {
         let (rate, homes, up_before) = (known.request_rate, known.homes, rank.up_before);
         let home_since = Some(rank.last_down_at).filter(|_| rank.workers_before >= homes);
         let age = match self.workers[rank.worker].ready_at.max(home_since) {
@@ -878,7 +880,7 @@
     }
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
-    /// observed no copy, once there has been time to load it.
+    /// observed no replica, once there has been time to load it.
     fn home_hit_probability(&self, f: &Function) -> f64 {
         let of_class = self.class_estimates[f.class].home_hits.mean_with_prior(
             self.now,
@@ -889,7 +891,7 @@
         f.home_hits.mean_with_prior(self.now, self.half_life_us, of_class, 1.0)
     }
 
-    /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
+    /// Returns whether a replica is assumed to be loaded, and if not, how much of a load under way is left.
     fn warmth(&self, mark: &Replica) -> Warmth {
         if let Some((began, due)) = mark.loading {
             let timeout = LOAD_TIMEOUT_FACTOR * (due - began) as f64;
@@ -1075,7 +1077,7 @@
     fn send_hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let left = request.deadline.saturating_sub(self.now) as f64;
-        // A copy loaded for a second attempt displaces others and mostly comes too late. So a cold worker
+        // A replica loaded for a second attempt displaces others and mostly comes too late. So a cold worker
         // qualifies only if the answer is still expected within the aim.
         let aim = request.class_settings.latency_target as f64;
         let spent = (self.now - request.attempts[0].sent_at) as f64;
@@ -1202,7 +1204,7 @@
             mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own_in_flight));
         }
         // A load that outlasts its request is never reported, and the next request would be sent there to
-        // wait for it too. So such a timeout counts as a copy not found. It is not counted for the class,
+        // wait for it too. So such a timeout counts as a replica not found. It is not counted for the class,
         // because queues under overload look the same.
         let outlasted = self.sparsity > 0.5
             && outcome == Outcome::Timeout
@@ -1258,7 +1260,7 @@
     }
 }
 
-/// Whether a worker is assumed to hold a copy of a function.
+/// Whether a worker is assumed to hold a replica of a function.
 enum Warmth {
     Warm,
     /// A load is under way; the expected time left, in microseconds.
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -206,9 +206,9 @@
 
     fn end_ordered_load(&mut self) {
         if let Some((worker, function)) = self.orders.pop() {
-            let (outcome, copies) =
+            let (outcome, replicas) =
                 [(Outcome::Ok, 1), (Outcome::Full, 0), (Outcome::Error, 0)][self.below(3) as usize];
-            self.handle(&Event::Loaded { worker, function, outcome, latency: 300 * MS, copies });
+            self.handle(&Event::Loaded { worker, function, outcome, latency: 300 * MS, replicas });
         }
     }
 
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -14,7 +14,7 @@
 /// Limit of plausible times and counts: about three hours, in microseconds.
 const MAX_FIGURE: f64 = 1e10;
 /// Limit of plausible replicas of one function at one worker.
-const MAX_COPIES: u32 = 1_024;
+const MAX_REPLICAS: u32 = 1_024;
 /// Limit of the dormant functions that are handed over, which keeps the handover message short.
 const MAX_DORMANT: usize = 4_096;
 
@@ -47,7 +47,7 @@
         let plausible_pool = |p: &ClassEstimates| {
             p.load_time.is_none_or(plausible) && plausible(p.run_time) && plausible_evidence(&p.home_hits)
         };
-        let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_COPIES);
+        let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_REPLICAS);
         let all_plausible = self.functions.iter().all(plausible_function)
             && self.class_estimates.iter().all(plausible_pool)
             && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_marks(w));
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -105,7 +105,7 @@
                 // A restarted process holds no replicas, and what was observed of its predecessor does not apply to it.
                 worker.ready_at = entry.ready_at;
                 self.zone_losses.remove(&entry.zone);
-                worker.forget_copies();
+                worker.forget_replicas();
                 worker.slowness = DecayingMean::default();
                 worker.last_cold_turn = 0;
                 worker.losses_by_class.fill(DecayingMean::default());
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -22,7 +22,7 @@
     pub(super) listed: bool,
     /// When its process last started, if that is not long past.
     pub(super) ready_at: Option<Micros>,
-    /// Its copies, by the slot of their function.
+    /// Its replicas, by the slot of their function.
     #[serde(rename = "marks")]
     pub(super) replicas: BTreeMap<usize, Replica>,
     /// Open attempts there: the request, and the number of the attempt.
@@ -57,14 +57,14 @@
     pub(super) last_cold_turn: u64,
 }
 
-/// The assumed state of a function's copies at a worker.
+/// The assumed state of a function's replicas at a worker.
 #[derive(Default, Clone, Copy, Serialize, Deserialize)]
 pub(super) struct Replica {
     #[serde(rename = "copies")]
     pub(super) count: u32,
     /// When the load under way began, and when it is expected to end.
     pub(super) loading: Option<(Micros, Micros)>,
-    /// When a copy was last used or ordered loaded.
+    /// When a replica was last used or ordered loaded.
     #[serde(rename = "used")]
     pub(super) last_used: Micros,
     /// When this router last sent a request for it there.
@@ -83,7 +83,7 @@
 pub(super) struct Function {
     pub(super) id: FunctionId,
     pub(super) class: usize,
-    /// Requests that one copy runs at a time.
+    /// Requests that one replica runs at a time.
     pub(super) lanes: f64,
     /// Load time given by requests.
     #[serde(rename = "told_load")]
@@ -106,7 +106,7 @@
     /// Requests for it at this router.
     #[serde(rename = "seen")]
     pub(super) request_rate: DecayingMean,
-    /// Whether a copy was found at homes where this router had observed none.
+    /// Whether a replica was found at homes where this router had observed none.
     #[serde(rename = "found")]
     pub(super) home_hits: DecayingMean,
     /// The first workers in its order of preference, which all dispatchers share.
@@ -135,7 +135,7 @@
     /// Learned load time.
     #[serde(rename = "load")]
     pub(super) load_time: Option<f64>,
-    /// Whether a copy was found at homes where this router had observed none.
+    /// Whether a replica was found at homes where this router had observed none.
     #[serde(rename = "found")]
     pub(super) home_hits: DecayingMean,
     /// Concurrency of a function of the class, as in [`Function`].
@@ -192,17 +192,17 @@
 
 impl Worker {
     /// Records that a connection broke or was `refused`. A broken connection alone does not mean that the
-    /// process has died and its copies are gone. That is assumed only if a new connection is refused after
+    /// process has died and its replicas are gone. That is assumed only if a new connection is refused after
     /// it, without an answer in between.
     pub(super) fn connection_failed(&mut self, now: Micros, refused: bool) {
         if refused && self.last_broken > self.last_answer && self.last_broken < now {
-            self.forget_copies();
+            self.forget_replicas();
         }
         self.last_broken = now;
     }
 
-    /// Assumes that no copy is loaded there any more. Open attempts stay counted.
-    pub(super) fn forget_copies(&mut self) {
+    /// Assumes that no replica is loaded there any more. Open attempts stay counted.
+    pub(super) fn forget_replicas(&mut self) {
         self.replicas
             .values_mut()
             .for_each(|m| *m = Replica { own_in_flight: m.own_in_flight, ..Replica::default() });
--- a/src/core/attempt.rs
+++ b/src/core/attempt.rs
@@ -16,7 +16,7 @@
 pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// What the answer reports about the copy.
+    /// What the answer reports about the replica.
     pub found: ReplicaStatus,
     /// The number of requests for the function at the worker, if reported.
     pub concurrent_requests: Option<u32>,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -43,7 +43,7 @@
     pub tenant: usize,
     /// Its function.
     pub function: FunctionId,
-    /// The number of requests that one copy runs concurrently.
+    /// The number of requests that one replica runs concurrently.
     pub replica_concurrency: f64,
     /// The typical load time, if known.
     pub load_time: Option<Micros>,
@@ -98,7 +98,7 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Order a worker to load copies of a function.
+    /// Order a worker to load replicas of a function.
     OrderLoad {
         /// Identifies the order.
         order: u64,
@@ -106,8 +106,8 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The minimum number of copies to keep loaded.
-        copies: u32,
+        /// The minimum number of replicas to keep loaded.
+        replicas: u32,
     },
     /// Give the final answer.
     Answer {
@@ -199,7 +199,7 @@
     /// When the attempt was sent.
     pub sent: Micros,
     /// `None` for a start. For an end: the outcome, a hash of the function (0 where the decision module
-    /// cancelled the attempt), and the latency if a copy was already loaded.
+    /// cancelled the attempt), and the latency if a replica was already loaded.
     pub end: Option<(Outcome, u64, Option<Micros>)>,
 }
 
@@ -496,9 +496,9 @@
     }
 
     /// Handles the end of a load order.
-    pub fn load_order_ended(&mut self, now: Micros, order: u64, outcome: Outcome, copies: u32) {
+    pub fn load_order_ended(&mut self, now: Micros, order: u64, outcome: Outcome, replicas: u32) {
         let Some(LoadOrder { worker, function, sent_at }) = self.load_orders.remove(&order) else { return };
-        self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, copies });
+        self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, replicas });
     }
 
     /// Handles the timers that have expired.
@@ -579,14 +579,14 @@
                 self.queue_outcome(id, number, last, Outcome::Cancelled, latency);
                 self.remove_if_finished(id);
             }
-            Action::Load { worker, function, copies } => {
+            Action::Load { worker, function, replicas } => {
                 let order = self.next_id;
                 self.next_id += 1;
                 let load_order =
                     LoadOrder { worker: worker.clone(), function: function.clone(), sent_at: now };
                 self.load_orders.insert(order, load_order);
                 self.timers.add(now + self.bounds.load_wait, TimerKind::LoadOrderTimeout(order));
-                self.commands.push_back(Command::OrderLoad { order, worker, function, copies });
+                self.commands.push_back(Command::OrderLoad { order, worker, function, replicas });
             }
             Action::Timer { at, cookie } => self.timers.add(at, TimerKind::RouterWakeup(cookie)),
             // The host passes the worker list without being asked.
--- a/src/executor/line.rs
+++ b/src/executor/line.rs
@@ -47,12 +47,12 @@
     end_line(begin_line("halt", rid))
 }
 
-/// Returns a `stage` line, which orders an executor to load copies of a function.
-pub fn stage_line(tag: &str, function: &str, copies: u32) -> Vec<u8> {
+/// Returns a `stage` line, which orders an executor to load replicas of a function.
+pub fn stage_line(tag: &str, function: &str, replicas: u32) -> Vec<u8> {
     let mut out = begin_line("stage", tag);
     out.push_str(",\"attrs\":{\"k\":");
     json::write_string(&mut out, function);
-    out.push_str(&format!(",\"pods\":{copies}}}"));
+    out.push_str(&format!(",\"pods\":{replicas}}}"));
     end_line(out)
 }
 
@@ -88,14 +88,14 @@
     pub rid: String,
     /// The result.
     pub outcome: Outcome,
-    /// What the answer reports about the copy.
+    /// What the answer reports about the replica.
     pub found: ReplicaStatus,
     /// The number of requests for the function at the executor, for outcomes that report it.
     pub crowd: Option<u32>,
     /// The load report in its original notation, if it is no longer than [`MAX_LOAD_REPORT_BYTES`].
     pub load: Option<String>,
-    /// The number of copies loaded, in answers to load orders.
-    pub copies: u32,
+    /// The number of replicas loaded, in answers to load orders.
+    pub replicas: u32,
     /// The response body.
     pub body: Vec<u8>,
 }
@@ -130,7 +130,7 @@
         Some(_) => return None,
     };
     let load = attr("load").filter(|l| l.len() <= MAX_LOAD_REPORT_BYTES).map(str::to_string);
-    Some(Answer { rid, outcome, found, crowd, load, copies: number("pods"), body })
+    Some(Answer { rid, outcome, found, crowd, load, replicas: number("pods"), body })
 }
 
 #[cfg(test)]
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -63,7 +63,7 @@
     pub keepalive: u64,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// Whether answers report if a copy was loaded.
+    /// Whether answers report if a replica was loaded.
     pub tells_warm: bool,
     /// Whether answers report the number of requests for the function at the executor.
     pub tells_crowd: bool,
@@ -83,7 +83,7 @@
 pub enum Report {
     /// An attempt ended.
     Attempt(AttemptId, AttemptResult),
-    /// A load order ended, with the number of copies now loaded.
+    /// A load order ended, with the number of replicas now loaded.
     Order(u64, Outcome, u32),
 }
 
@@ -291,10 +291,10 @@
         order: u64,
         worker: &WorkerId,
         function: &FunctionId,
-        copies: u32,
+        replicas: u32,
     ) {
         let tag = format!("L{order}");
-        let line = line::stage_line(&tag, function, copies);
+        let line = line::stage_line(&tag, function, replicas);
         match self.queue_line(poll, now, worker, &tag, Purpose::LoadOrder(order), &line) {
             Ok(slot) => {
                 count(&self.counters.loads_ordered);
@@ -513,7 +513,7 @@
         let Some(pending_line) = peer.open.remove(&answer.rid) else {
             return count(&self.counters.late_answers);
         };
-        let Answer { outcome, found, crowd, load, copies, body, .. } = answer;
+        let Answer { outcome, found, crowd, load, replicas, body, .. } = answer;
         if let Purpose::Attempt(id) = pending_line.purpose {
             self.attempts.remove(&id);
             if outcome != Outcome::Ok {
@@ -532,13 +532,13 @@
         let report = line::load_values(&self.limits.report, load.as_deref());
         let crowd = crowd.filter(|_| self.limits.tells_crowd);
         let result = AttemptResult { outcome, found, concurrent_requests: crowd, report, body };
-        Self::push_report(&mut self.reports, pending_line.purpose, result, copies);
+        Self::push_report(&mut self.reports, pending_line.purpose, result, replicas);
     }
 
-    fn push_report(reports: &mut Vec<Report>, purpose: Purpose, result: AttemptResult, copies: u32) {
+    fn push_report(reports: &mut Vec<Report>, purpose: Purpose, result: AttemptResult, replicas: u32) {
         match purpose {
             Purpose::Attempt(id) => reports.push(Report::Attempt(id, result)),
-            Purpose::LoadOrder(order) => reports.push(Report::Order(order, result.outcome, copies)),
+            Purpose::LoadOrder(order) => reports.push(Report::Order(order, result.outcome, replicas)),
             Purpose::Tombstone => {}
         }
     }
@@ -570,7 +570,7 @@
         }
         let written = if link.io.connecting() { 0 } else { link.io.written };
         // A malformed or truncated answer ends the connection for everything on it, but does not show that
-        // the executor's process died. Reported as a reset, it would make the router assume that all copies
+        // the executor's process died. Reported as a reset, it would make the router assume that all replicas
         // there are lost.
         let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unread() > 0;
         for pending_line in link.peer.open.into_values() {
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -37,8 +37,8 @@
             for report in reports {
                 match report {
                     Report::Attempt(id, ended) => self.engine.attempt_ended(self.now, id, ended),
-                    Report::Order(order, outcome, copies) => {
-                        self.engine.load_order_ended(self.now, order, outcome, copies)
+                    Report::Order(order, outcome, replicas) => {
+                        self.engine.load_order_ended(self.now, order, outcome, replicas)
                     }
                 }
             }
@@ -79,8 +79,8 @@
             }
             Command::Cancel { attempt } => self.pool.halt(poll, now, attempt),
             Command::CancelIfUnsent { attempt } => self.pool.recall(attempt),
-            Command::OrderLoad { order, worker, function, copies } => {
-                self.pool.load(poll, now, order, &worker, &function, copies)
+            Command::OrderLoad { order, worker, function, replicas } => {
+                self.pool.load(poll, now, order, &worker, &function, replicas)
             }
             Command::Answer { ticket, answer } => {
                 if self.mqtt.has(ticket.front) {
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -35,7 +35,7 @@
         let forget_before =
             self.now.saturating_sub(self.settings.module.warm_after + LIFTED_BAN_RETENTION_US);
         // The entry of a listed executor is kept: without it, the start time would change and the executor would seem to
-        // have restarted and lost its copies.
+        // have restarted and lost its replicas.
         let in_list = |id: &WorkerId| self.executors.iter().any(|e| e.id == *id);
         self.ban_lifted_at.retain(|id, at| *at > forget_before || in_list(id));
         let (bans, version_bans) = (&self.bans, &self.version_bans);
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -137,7 +137,7 @@
         self.out.iter().any(|a| matches!(a, Action::Refuse { .. }))
     }
 
-    /// Sends `count` requests for the function, each answered by a warm copy in 100 ms.
+    /// Sends `count` requests for the function, each answered by a warm replica in 100 ms.
     fn serve_warm(&mut self, class: usize, function: &str, count: usize) {
         for _ in 0..count {
             let id = self.request(class, function, 4 * S);
@@ -156,7 +156,7 @@
         id
     }
 
-    /// Sends a request for the function and answers it after a load, so that the chosen worker holds a copy.
+    /// Sends a request for the function and answers it after a load, so that the chosen worker holds a replica.
     fn warm_up(&mut self, class: usize, function: &str) -> WorkerId {
         let id = self.request(class, function, 4 * S);
         let worker = self.sent_to().expect("sent");
@@ -182,18 +182,18 @@
 }
 
 #[test]
-fn requests_go_to_the_warm_copy_while_a_lane_is_free() {
+fn requests_go_to_the_warm_replica_while_a_lane_is_free() {
     let mut test = TestRouter::new(settings(), 1, 6);
     let worker = test.warm_up(0, "f");
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker.clone()));
-    // The second lane of the copy is used as well. Only then is a queue there compared with a load elsewhere.
+    // The second lane of the replica is used as well. Only then is a queue there compared with a load elsewhere.
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker));
 }
 
 #[test]
-fn a_copy_idle_past_its_keep_alive_is_not_assumed_loaded() {
+fn a_replica_idle_past_its_keep_alive_is_not_assumed_loaded() {
     let mut test = TestRouter::new(settings(), 1, 6);
     test.warm_up(0, "f");
     test.now += 11 * S;
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_worker_restart_clears_its_copies() {
+fn a_worker_restart_clears_its_replicas() {
     let mut test = TestRouter::new(settings(), 1, 1);
     test.warm_up(0, "f");
     let now = test.now;
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_broken_connection_keeps_the_copies_and_the_worker_in_use() {
+fn a_broken_connection_keeps_the_replicas_and_the_worker_in_use() {
     for outcome in [Outcome::Reset, Outcome::Unknown] {
         let mut test = TestRouter::new(settings(), 1, 3);
         let worker = test.warm_up(0, "f");
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn recently_used_copies_are_renewed_within_the_load_ration() {
+fn recently_used_replicas_are_renewed_within_the_load_ration() {
     let rationed = Settings {
         load_orders_allowed: true,
         load_window: 5 * S,
@@ -379,7 +379,7 @@
         ..settings()
     };
     let mut test = TestRouter::new(rationed, 1, 3);
-    let copies: Vec<(String, WorkerId)> =
+    let replicas: Vec<(String, WorkerId)> =
         (0..20).map(|n| (format!("f{n}"), test.warm_up(0, &format!("f{n}")))).collect();
     let mut orders: Vec<(Micros, FunctionId)> = Vec::new();
     let mut taken: Vec<Micros> = Vec::new();
@@ -389,8 +389,8 @@
         let id = test.request(0, "other", 4 * S);
         let loads: Vec<_> = test.out.iter().filter(|a| matches!(a, Action::Load { .. })).cloned().collect();
         for load in loads {
-            let Action::Load { worker, function, copies: 1 } = load else { panic!("{load:?}") };
-            assert!(copies.iter().any(|(f, w)| **f == *function && *w == worker) || &*function == "other");
+            let Action::Load { worker, function, replicas: 1 } = load else { panic!("{load:?}") };
+            assert!(replicas.iter().any(|(f, w)| **f == *function && *w == worker) || &*function == "other");
             orders.push((test.now, function));
             let since = test.now - 5 * S;
             let within =
@@ -404,7 +404,7 @@
         }
         test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 0);
     }
-    // The last of the copies is renewed, and copies without requests are dropped in the end.
+    // The last of the replicas is renewed, and replicas without requests are dropped in the end.
     assert!(orders.iter().any(|(_, f)| &**f == "f19"), "{orders:?}");
     let before = orders.len();
     test.now += 60 * S;
@@ -426,7 +426,7 @@
     test.serve_warm(0, "f", 30);
     test.request(0, "f", 250 * MS);
     assert!(test.sent_to().is_some(), "{:?}", test.out);
-    // With warm copies in both zones, the one in the router's own zone is chosen though it is no faster.
+    // With warm replicas in both zones, the one in the router's own zone is chosen though it is no faster.
     let mut test = TestRouter::new(Settings { cross_zone_price: 0.04, ..settings() }, 1, 2);
     test.list(true, vec![healthy(1, None)]);
     assert_eq!(test.warm_up(0, "f"), worker_id(1));
@@ -549,7 +549,7 @@
 }
 
 #[test]
-fn a_hedged_request_does_not_load_a_copy_that_would_miss_the_aim() {
+fn a_hedged_request_does_not_load_a_replica_that_would_miss_the_aim() {
     let mut test = TestRouter::new(settings(), 1, 2);
     test.request_past_hedge_delay(0, "f");
     assert_eq!(test.sent_to(), None, "a load of 600 ms can't end within the aim of 500 ms");
@@ -749,7 +749,7 @@
         test.handle(Event::Streaming { id: 99 });
         let (worker, function) = ("never seen".into(), "never asked".into());
         let (outcome, latency) = (Outcome::Ok, 0);
-        test.handle(Event::Loaded { worker, function, outcome, latency, copies: 3 });
+        test.handle(Event::Loaded { worker, function, outcome, latency, replicas: 3 });
         let (function, load_time) = ("f".into(), Some(0));
         let odd = Event::Request {
             id: 5,
@@ -800,13 +800,13 @@
 }
 
 #[test]
-fn a_successor_inherits_copies_and_learned_times() {
+fn a_successor_inherits_replicas_and_learned_times() {
     let mut old = TestRouter::new(settings(), 1, 6);
     let warm = old.warm_up(0, "f");
     old.serve_warm(0, "f", 20);
     let (taken, mut new) = successor(settings(), old.now, &handover_text(&old), 6);
     assert!(taken);
-    // Too little time for a load: only a router that inherited the copy and the run time sends this.
+    // Too little time for a load: only a router that inherited the replica and the run time sends this.
     new.request(0, "f", 300 * MS);
     assert_eq!(new.sent_to(), Some(warm));
 }
@@ -816,7 +816,7 @@
     let mut set = settings();
     (set.load_orders_allowed, set.load_window, set.loads_anyway) = (true, 5 * S, 1.0 / 0.9);
     let ordered = |test: &mut TestRouter| {
-        // The copy of f is due for renewal; a request for another function triggers the check.
+        // The replica of f is due for renewal; a request for another function triggers the check.
         test.now += 8 * S;
         test.request(0, "other", 4 * S);
         test.out.iter().any(|a| matches!(a, Action::Load { .. }))
@@ -940,7 +940,7 @@
 // ---- Load reports, quotas, hints and other optional settings ----
 
 impl TestRouter {
-    /// Ends an attempt with an answer of a warm copy and a load report.
+    /// Ends an attempt with an answer of a warm replica and a load report.
     fn end_with_report(&mut self, id: RequestId, attempt: usize, latency: Micros, report: Vec<f64>) {
         let (last, outcome, found, crowd) = (true, Outcome::Ok, ReplicaStatus::Warm, None);
         self.handle(Event::AttemptEnded {
@@ -955,7 +955,7 @@
         });
     }
 
-    /// Sends one request to each of two workers, so that both hold a copy, and answers it with that worker's
+    /// Sends one request to each of two workers, so that both hold a replica, and answers it with that worker's
     /// report.
     fn warm_up_two(&mut self, reports: [&[f64]; 2]) -> [WorkerId; 2] {
         let first = self.request(0, "f", 4 * S);
@@ -1089,7 +1089,7 @@
 }
 
 #[test]
-fn without_a_load_ration_requests_are_counted_but_no_copies_are_renewed() {
+fn without_a_load_ration_requests_are_counted_but_no_replicas_are_renewed() {
     let mut set = settings();
     (set.load_orders_allowed, set.load_window, set.keep_alive) = (true, 0, 10 * S);
     let mut test = TestRouter::new(set, 1, 3);
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -122,7 +122,7 @@
     }
 
     /// Runs on until `end` with `rate` requests a second in all, at random routers, over so many functions; a
-    /// run at a worker takes `run(worker)`. Copies stand everywhere.
+    /// run at a worker takes `run(worker)`. Replicas stand everywhere.
     fn run(&mut self, end: Micros, rate: f64, functions: u32, run: impl Fn(&str) -> Micros) {
         let gap = (1e6 / rate) as Micros;
         while self.now < end {
@@ -236,7 +236,7 @@
 /// What many routers use needs no orders to be held: in sum they are few beside the requests. Before the mend there
 /// were half as many orders as requests.
 #[test]
-fn routers_that_use_the_same_copies_do_not_all_order_them_held() {
+fn routers_that_use_the_same_replicas_do_not_all_order_them_held() {
     for (balancers, seed) in [(37, 1), (37, 2), (100, 1), (100, 2)] {
         let mut fleet = Fleet::new(balancers, seed);
         fleet.list(true, &["a", "b", "c", "d", "e", "f", "g", "h"].map(|w| (w, None)));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -116,7 +116,7 @@
 struct Simulation {
     rng: Pcg32,
     set: Settings,
-    /// Requests that one copy runs at a time.
+    /// Requests that one replica runs at a time.
     lanes: f64,
     /// Whether clients send work hints and flag retries.
     hints: bool,
@@ -225,13 +225,13 @@
                     t.closes = t.closes.min(self.now + 1_000);
                 }
             }
-            Action::Load { worker, function, copies } => {
+            Action::Load { worker, function, replicas } => {
                 let index = self.index(&worker);
                 assert!(
                     self.set.load_orders_allowed && self.set.load_window > 0,
                     "a load order although none is allowed or rationed"
                 );
-                if copies > 0 {
+                if replicas > 0 {
                     assert_eq!(
                         self.list[index].standing,
                         WorkerStatus::Healthy,
@@ -409,8 +409,8 @@
         self.open_orders.extend(rest);
         for (_, worker, function) in due {
             let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][self.below(3) as usize];
-            let copies = self.below(3) as u32;
-            self.handle(Event::Loaded { worker, function, outcome, latency: 5_000, copies });
+            let replicas = self.below(3) as u32;
+            self.handle(Event::Loaded { worker, function, outcome, latency: 5_000, replicas });
         }
         for (id, request) in &self.requests {
             assert!(
