--- a/src/control.rs
+++ b/src/control.rs
@@ -346,14 +346,14 @@
         let highest_credit = settings.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
         let mut old_pools = std::mem::take(&mut self.class_estimates);
         for (index, class) in settings.classes.iter().enumerate() {
-            let known = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
+            let inputs = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
             let initial = || ClassEstimates {
                 run_time: class.latency_target as f64 * PRIOR_RUN_AIM_SHARE,
                 ..ClassEstimates::default()
             };
             let worth = (class.credit / highest_credit).clamp(0.0, 1.0);
             let queue_aim_share = IDLE_AIM_SHARE + (1.0 - IDLE_AIM_SHARE) * worth.sqrt();
-            self.class_estimates.push(ClassEstimates { queue_aim_share, ..known.unwrap_or_else(initial) });
+            self.class_estimates.push(ClassEstimates { queue_aim_share, ..inputs.unwrap_or_else(initial) });
         }
         for worker in &mut self.workers {
             worker.losses_by_class.resize(settings.classes.len(), DecayingMean::default());
@@ -378,8 +378,8 @@
             Event::ListRefused if self.settings.list_on_request => out.push(Action::WatchWorkers),
             Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, replicas, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
-                if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
-                    (mark.count, mark.loading) = (*replicas, None);
+                if let Some(replica) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
+                    (replica.count, replica.loading) = (*replicas, None);
                 }
             }
             Event::ListRefused | Event::Loaded { .. } => {}
@@ -487,10 +487,10 @@
         let mut due: Vec<(f64, usize, usize)> = Vec::new();
         for ReplicaUse { worker: worker_slot, function: function_slot, .. } in uses {
             let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
-            let mark = &worker.replicas[&function_slot];
-            let unused_keep_alives = (self.now - mark.last_requested) as f64 / keep_alive;
+            let replica = &worker.replicas[&function_slot];
+            let unused_keep_alives = (self.now - replica.last_requested) as f64 / keep_alive;
             let idle_replica =
-                worker.up && mark.count > 0 && mark.loading.is_none() && mark.own_in_flight == 0;
+                worker.up && replica.count > 0 && replica.loading.is_none() && replica.own_in_flight == 0;
             if idle_replica && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
                 // If every router renewed the replicas that all of them use, there would be as many load orders
                 // as requests. So a replica that the others use often enough is left to them.
@@ -674,7 +674,7 @@
     /// started. Its budget is dealt out to the routers in rotation, one request per turn, and an unused turn
     /// lapses. The worker's full capacity is taken to be what its peers serve each, and at least what one
     /// core could.
-    fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &ChoiceInputs) -> Option<u64> {
+    fn next_cold_turn(&self, worker: &Worker, function: &Function, inputs: &ChoiceInputs) -> Option<u64> {
         let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
         let warm_after = self.settings.warm_after as f64;
         if age >= warm_after {
@@ -686,7 +686,7 @@
             self.settings.own_index,
         ));
         let parts = parts.max(1) as u64;
-        let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
+        let fleet_capacity = inputs.capacity.get_or_init(|| self.capacity()).max(1.0);
         let rate_per_worker =
             self.answer_rate.rate(self.now, self.half_life_us) * alive as f64 / fleet_capacity;
         let rate_per_worker =
@@ -744,23 +744,23 @@
         request: &Request,
         worker: usize,
         rank: Option<&Rank>,
-        known: &ChoiceInputs,
+        inputs: &ChoiceInputs,
     ) -> Option<Estimate> {
         let target = &self.workers[worker];
         let function = &self.functions[request.function];
         let class = &request.class_settings;
-        let slowness = self.slowness(target, known.fleet_slowness)
+        let slowness = self.slowness(target, inputs.fleet_slowness)
             / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
         let run_time = function.run_time * slowness * request.size.run_time_factor;
         let cold_turn =
-            self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
-        let mark = target.replicas.get(&request.function).copied().unwrap_or_default();
-        let warmth = self.warmth(&mark);
+            self.next_cold_turn(target, function, inputs).filter(|_| self.may_send(request, worker))?;
+        let replica = target.replicas.get(&request.function).copied().unwrap_or_default();
+        let warmth = self.warmth(&replica);
         let whole_load = self.load_cost(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
-        let peer_replica = rank.map(|rank| self.peer_replica_probability(function, rank, known));
+        let peer_replica = rank.map(|rank| self.peer_replica_probability(function, rank, inputs));
         let (load_wait, replicas) = match warmth {
-            Warmth::Warm => (0.0, mark.count),
+            Warmth::Warm => (0.0, replica.count),
             Warmth::Loading(left) => (left, 1),
             Warmth::Cold => ((1.0 - peer_replica.unwrap_or(0.0)) * whole_load, 1),
         };
@@ -778,7 +778,7 @@
             function.lanes.min(2.0)
         };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
-        let in_flight = f64::from(mark.own_in_flight) + mark.others_in_flight;
+        let in_flight = f64::from(replica.own_in_flight) + replica.others_in_flight;
         let lanes = function.lanes * f64::from(replicas.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
         let total = self.settings.min_batch_interval as f64 + load_wait + pending.max(lane_wait) + run_time;
@@ -866,8 +866,8 @@
     /// Returns the probability that other routers keep the function warm at a worker, one of its homes. A
     /// worker that became a home only because others left counts as one from the time they left: otherwise,
     /// after the loss of many workers, all routers would assume replicas that none has loaded yet.
-    fn peer_replica_probability(&self, function: &Function, rank: &Rank, known: &ChoiceInputs) -> f64 {
-        let (rate, homes, up_before) = (known.request_rate, known.homes, rank.up_before);
+    fn peer_replica_probability(&self, function: &Function, rank: &Rank, inputs: &ChoiceInputs) -> f64 {
+        let (rate, homes, up_before) = (inputs.request_rate, inputs.homes, rank.up_before);
         let home_since = Some(rank.last_down_at).filter(|_| rank.workers_before >= homes);
         let age = match self.workers[rank.worker].ready_at.max(home_since) {
             Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load_time(function)).max(0.0),
@@ -876,7 +876,7 @@
         let uses = (rate / homes).max(1.0 / self.settings.keep_alive as f64) * age;
         // All routers fill the homes in the same order, but estimate different numbers of them: the first
         // workers are homes by every estimate, the last ones by few.
-        known.home_hit_probability * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
+        inputs.home_hit_probability * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
     }
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
@@ -892,8 +892,8 @@
     }
 
     /// Returns whether a replica is assumed to be loaded, and if not, how much of a load under way is left.
-    fn warmth(&self, mark: &Replica) -> Warmth {
-        if let Some((began, due)) = mark.loading {
+    fn warmth(&self, replica: &Replica) -> Warmth {
+        if let Some((began, due)) = replica.loading {
             let timeout = LOAD_TIMEOUT_FACTOR * (due - began) as f64;
             if ((self.now - began) as f64) < timeout {
                 // A load that is overdue is expected to take as long again, up to the whole expected time.
@@ -901,9 +901,9 @@
                 return Warmth::Loading(left.max(so_far.min(due - began)) as f64);
             }
         }
-        let idle = self.now.saturating_sub(mark.last_used) as f64;
-        if mark.count > 0
-            && (mark.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64)
+        let idle = self.now.saturating_sub(replica.last_used) as f64;
+        if replica.count > 0
+            && (replica.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64)
         {
             return Warmth::Warm;
         }
@@ -913,7 +913,7 @@
     /// Returns the worker with the smallest estimate. Ties between cold workers are broken by the order of
     /// preference that all routers share, ties between warm ones at random.
     fn best_worker(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
-        let known = self.choice_inputs(request.function);
+        let inputs = self.choice_inputs(request.function);
         let load = self.load_time(request.function);
         let tie = load
             * if self.report_fields.reports_held() {
@@ -927,10 +927,10 @@
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
         let key = |e: &Estimate| e.key() + error * preference::slot_jitter(draw, e.worker) * e.run_time;
         if self.exhaustive_search {
-            return self.best_by_scan(request, &known, only_cold, tie, key);
+            return self.best_by_scan(request, &inputs, only_cold, tie, key);
         }
         self.cache_preferred(request.function, 0);
-        let mut search = Search::new(self, request, &known);
+        let mut search = Search::new(self, request, &inputs);
         search.visit_warm_homes(key);
         let least_warm = min_key(&search.warm, Estimate::key);
         let cold = only_cold || search.any_cold_before(least_warm);
@@ -1004,13 +1004,13 @@
         let w = &mut self.workers[e.worker];
         self.budget.count_sent(w);
         w.open_attempts.push((id, request.attempts.len()));
-        let mark = replica_mut(w, e.worker, &mut self.functions[function], function);
+        let replica = replica_mut(w, e.worker, &mut self.functions[function], function);
         self.renewals.push(ReplicaUse { at: self.now, worker: e.worker, function });
-        mark.own_in_flight += 1;
-        (mark.last_used, mark.last_requested) = (self.now, self.now);
+        replica.own_in_flight += 1;
+        (replica.last_used, replica.last_requested) = (self.now, self.now);
         if e.cold {
-            (mark.count, mark.others_in_flight) = (0, 0.0);
-            mark.loading = Some((self.now, self.now.saturating_add(load)));
+            (replica.count, replica.others_in_flight) = (0, 0.0);
+            replica.loading = Some((self.now, self.now.saturating_add(load)));
         }
         request.attempts.push(Attempt {
             estimate: e,
@@ -1198,10 +1198,10 @@
         if let Some(held) = self.report_fields.held(report) {
             w.report = LoadReport::new(now, held, w.open_attempts.len());
         }
-        let mark = replica_mut(w, worker, &mut self.functions[function], function);
-        mark.own_in_flight = mark.own_in_flight.saturating_sub(1);
+        let replica = replica_mut(w, worker, &mut self.functions[function], function);
+        replica.own_in_flight = replica.own_in_flight.saturating_sub(1);
         if let Some(crowd) = crowd {
-            mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own_in_flight));
+            replica.others_in_flight = f64::from(crowd.saturating_sub(replica.own_in_flight));
         }
         // A load that outlasts its request is never reported, and the next request would be sent there to
         // wait for it too. So such a timeout counts as a replica not found. It is not counted for the class,
@@ -1222,9 +1222,9 @@
                 self.answer_rate.add(now, self.half_life_us, 1.0);
                 self.functions.served(now, function);
                 self.renewals.push(ReplicaUse { at: now, worker, function });
-                mark.last_used = now;
-                mark.count = mark.count.max(1);
-                mark.loading = None;
+                replica.last_used = now;
+                replica.count = replica.count.max(1);
+                replica.loading = None;
                 let took = *latency as f64;
                 match found {
                     ReplicaStatus::LoadStarted => {
@@ -1241,10 +1241,10 @@
                     _ => {}
                 }
             }
-            Outcome::Miss => *mark = Replica { count: 0, loading: None, ..*mark },
+            Outcome::Miss => *replica = Replica { count: 0, loading: None, ..*replica },
             Outcome::Error | Outcome::Full => {
                 if found == ReplicaStatus::LoadFailed {
-                    mark.loading = None;
+                    replica.loading = None;
                 } else if outcome == Outcome::Full {
                     // A rejection counts as an answer that took twice the expected time.
                     self.learn_slowness(worker, 1.0);
@@ -1254,7 +1254,7 @@
                 w.connection_failed(now, outcome == Outcome::ConnectFailed);
             }
             // The attempt was never sent, so the load that it was meant to start is not under way.
-            Outcome::NotSent if e.cold && mark.own_in_flight == 0 => mark.loading = None,
+            Outcome::NotSent if e.cold && replica.own_in_flight == 0 => replica.loading = None,
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -139,14 +139,14 @@
         if !repeatable || !self.budget.zone_gates.values().any(|gate| gate.probe && gate.remaining > 0) {
             return None;
         }
-        let known = self.choice_inputs(request.function);
-        let ranks = self.home_ranks(request.function, known.homes);
+        let inputs = self.choice_inputs(request.function);
+        let ranks = self.home_ranks(request.function, inputs.homes);
         let probed = |zone: &usize| {
             self.budget.zone_gates.get(zone).is_some_and(|gate| gate.probe && gate.remaining > 0)
         };
         let workers = (0..self.workers.len()).filter(|worker| probed(&self.workers[*worker].zone));
         let time_left = request.deadline.saturating_sub(self.now) as f64;
-        let estimate = |worker| self.estimate(request, worker, candidates::rank_of(&ranks, worker), &known);
+        let estimate = |worker| self.estimate(request, worker, candidates::rank_of(&ranks, worker), &inputs);
         let in_time = workers.filter_map(estimate).filter(|estimate| estimate.total <= time_left);
         in_time.min_by(|a, b| a.total.total_cmp(&b.total))
     }
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -77,10 +77,10 @@
 pub(super) fn estimate_all(
     router: &Router,
     request: &Request,
-    known: &ChoiceInputs,
+    inputs: &ChoiceInputs,
     ranks: &[Rank],
 ) -> Estimates {
-    let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), known);
+    let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), inputs);
     Estimates::partition((0..router.workers.len()).filter_map(estimate))
 }
 
@@ -93,7 +93,7 @@
 pub(super) struct Search<'a> {
     router: &'a Router,
     request: &'a Request,
-    known: &'a ChoiceInputs,
+    inputs: &'a ChoiceInputs,
     /// Workers that hold or load a replica by this router's own observations, sorted by slot.
     holders: Vec<usize>,
     /// Estimates of workers that need no load: holders, and visited homes that probably have a replica.
@@ -113,21 +113,21 @@
 
 impl<'a> Search<'a> {
     /// Estimates the workers that hold a replica.
-    pub(super) fn new(router: &'a Router, request: &'a Request, known: &'a ChoiceInputs) -> Search<'a> {
+    pub(super) fn new(router: &'a Router, request: &'a Request, inputs: &'a ChoiceInputs) -> Search<'a> {
         let function = &router.functions[request.function];
         let holds = |worker: &usize| {
-            let mark = router.workers[*worker].replicas.get(&request.function);
-            mark.is_some_and(|mark| !matches!(router.warmth(mark), Warmth::Cold))
+            let replica = router.workers[*worker].replicas.get(&request.function);
+            replica.is_some_and(|replica| !matches!(router.warmth(replica), Warmth::Cold))
         };
         let mut holders: Vec<usize> =
             function.holders.iter().map(|worker| *worker as usize).filter(holds).collect();
         holders.sort_unstable();
         let warm =
-            holders.iter().filter_map(|worker| router.estimate(request, *worker, None, known)).collect();
+            holders.iter().filter_map(|worker| router.estimate(request, *worker, None, inputs)).collect();
         Search {
             router,
             request,
-            known,
+            inputs,
             holders,
             warm,
             cold: Vec::new(),
@@ -142,14 +142,14 @@
 
     /// Returns whether the next worker in preference order is still a home.
     fn homes_remain(&self) -> bool {
-        self.visited_up < self.known.homes && self.visited < self.router.ring.count()
+        self.visited_up < self.inputs.homes && self.visited < self.router.ring.count()
     }
 
     /// Returns an upper bound of the chance that the next worker, or any after it, holds a replica.
     fn max_found_chance(&self) -> f64 {
-        let homes = self.known.homes;
+        let homes = self.inputs.homes;
         if self.homes_remain() {
-            self.known.home_hit_probability * (-self.router.sparsity * self.visited_up / homes).exp()
+            self.inputs.home_hit_probability * (-self.router.sparsity * self.visited_up / homes).exp()
         } else {
             0.0
         }
@@ -158,7 +158,7 @@
     /// Returns a lower bound of the finish of any worker whose own mean slowness is at least `slowness` and that holds a
     /// replica with a chance of at most `found`.
     fn finish_bound(&self, found: f64, slowness: f64) -> f64 {
-        let run_time = self.run_time * slowness.min(self.known.min_expected_slowness);
+        let run_time = self.run_time * slowness.min(self.inputs.min_expected_slowness);
         (self.router.settings.min_batch_interval as f64 + (1.0 - found) * self.load_time + run_time)
             * (1.0 - ROUNDING_MARGIN)
     }
@@ -188,7 +188,7 @@
         };
         let rank = Some(&rank).filter(|_| self.homes_remain());
         if !self.is_holder(worker)
-            && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.known)
+            && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.inputs)
         {
             if estimate.cold { self.cold.push(estimate) } else { self.warm.push(estimate) }
         }
@@ -252,7 +252,7 @@
             .take_while(move |(slowness, _)| self.finish_bound(0.0, *slowness) < bound())
             .map(|(_, worker)| worker)
             .filter(is_new)
-            .filter_map(|worker| self.router.estimate(self.request, worker, None, self.known))
+            .filter_map(|worker| self.router.estimate(self.request, worker, None, self.inputs))
     }
 
     /// Returns whether the worker holds or loads a replica by this router's own observations.
@@ -413,13 +413,13 @@
     pub(super) fn best_by_scan(
         &self,
         request: &Request,
-        known: &ChoiceInputs,
+        inputs: &ChoiceInputs,
         only_cold: bool,
         tie: f64,
         key: impl Fn(&Estimate) -> f64,
     ) -> Option<Estimate> {
-        let ranks = self.home_ranks(request.function, known.homes);
-        let estimates = estimate_all(self, request, known, &ranks);
+        let ranks = self.home_ranks(request.function, inputs.homes);
+        let estimates = estimate_all(self, request, inputs, &ranks);
         let min_cold = min_key(&estimates.cold, Estimate::key);
         if min_key(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
             return min_by_key(&estimates.warm, key);
--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -334,16 +334,16 @@
             kept.iter().zip(recomputed).all(|(kept, recomputed)| approx_eq(*kept, recomputed)),
             "{kept:?}, recomputed {recomputed:?}"
         );
-        let mut marks: BTreeSet<(usize, u32)> = BTreeSet::new();
+        let mut replicas: BTreeSet<(usize, u32)> = BTreeSet::new();
         for (slot, worker) in router.workers.iter().enumerate() {
-            marks.extend(worker.replicas.keys().map(|function| (*function, slot as u32)));
+            replicas.extend(worker.replicas.keys().map(|function| (*function, slot as u32)));
             assert_eq!(router.worker_ids[&worker.id], slot);
             assert_eq!(router.unlisted.contains(&slot), !worker.listed, "{}", worker.id);
         }
         let holders = router.functions.iter().flat_map(|(slot, f)| f.holders.iter().map(move |w| (slot, *w)));
         assert_eq!(
             holders.collect::<BTreeSet<_>>(),
-            marks,
+            replicas,
             "the holders of a function are the workers with a mark of it"
         );
         let mut in_flight: BTreeMap<usize, u32> = BTreeMap::new();
--- a/src/control/fleet/tests.rs
+++ b/src/control/fleet/tests.rs
@@ -101,8 +101,8 @@
             prop_assert_eq!(sums.up() as f64, recomputed[3]);
             let order: Vec<f64> = sums.by_slowness().map(|(slowness, _)| slowness).collect();
             prop_assert!(order.is_sorted() && order.len() == workers.len());
-            let known: Vec<f64> = workers.iter().filter_map(|w| w.slowness.own_mean()).collect();
-            let range = known.iter().copied().reduce(f64::min).zip(known.iter().copied().reduce(f64::max));
+            let inputs: Vec<f64> = workers.iter().filter_map(|w| w.slowness.own_mean()).collect();
+            let range = inputs.iter().copied().reduce(f64::min).zip(inputs.iter().copied().reduce(f64::max));
             prop_assert_eq!(sums.slowness_range(), range);
         }
     }
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -44,18 +44,19 @@
             let figures = loads && plausible(f.run_time) && plausible(f.lanes);
             figures && plausible_evidence(&f.request_rate) && plausible_evidence(&f.home_hits)
         };
-        let plausible_pool = |p: &ClassEstimates| {
+        let plausible_estimates = |p: &ClassEstimates| {
             p.load_time.is_none_or(plausible) && plausible(p.run_time) && plausible_evidence(&p.home_hits)
         };
-        let plausible_marks = |w: &Worker| w.replicas.values().all(|mark| mark.count <= MAX_REPLICAS);
+        let plausible_replicas =
+            |w: &Worker| w.replicas.values().all(|replica| replica.count <= MAX_REPLICAS);
         let all_plausible = self.functions.iter().all(plausible_function)
-            && self.class_estimates.iter().all(plausible_pool)
-            && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_marks(w));
+            && self.class_estimates.iter().all(plausible_estimates)
+            && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_replicas(w));
         if !all_plausible {
             return None;
         }
         let classes = self.class_estimates.len();
-        let mark = |m: Replica| Replica {
+        let replica = |m: Replica| Replica {
             count: m.count,
             last_used: rebased(m.last_used),
             last_requested: rebased(m.last_requested),
@@ -63,7 +64,7 @@
         };
         let worker = |w: Worker| Worker {
             ready_at: w.ready_at.map(rebased),
-            replicas: w.replicas.into_iter().map(|(f, m)| (f, mark(m))).collect(),
+            replicas: w.replicas.into_iter().map(|(f, m)| (f, replica(m))).collect(),
             slowness: w.slowness.rebased(behind),
             losses_by_class: vec![DecayingMean::default(); classes],
             last_answer_by_class: vec![0; classes],
@@ -105,11 +106,11 @@
         let (functions, classes) = (self.functions.len(), self.class_estimates.len());
         let worker = |w: &Worker| {
             let per_class = w.losses_by_class.len() == classes && w.last_answer_by_class.len() == classes;
-            let marks = w.replicas.iter().all(|(function, mark)| {
-                let loading = mark.loading.is_none_or(|(began, due)| began <= now && began <= due);
-                *function < functions && loading && mark.last_used <= now && mark.last_requested <= now
+            let replicas = w.replicas.iter().all(|(function, replica)| {
+                let loading = replica.loading.is_none_or(|(began, due)| began <= now && began <= due);
+                *function < functions && loading && replica.last_used <= now && replica.last_requested <= now
             });
-            per_class && marks && w.last_sent <= now
+            per_class && replicas && w.last_sent <= now
         };
         // Two entries with one id would give one worker or function two slots.
         let worker_ids: HashSet<&str> = self.workers.iter().map(|w| &*w.id).collect();
@@ -132,9 +133,12 @@
         let mut functions: Vec<Function> = self.functions.iter().map(|(_, f)| f.clone()).collect();
         functions.extend(self.functions.dormant_functions().take(MAX_DORMANT));
         let renumbered = |w: &Worker| {
-            let marks =
-                w.replicas.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
-            Worker { replicas: marks, ..w.clone() }
+            let replicas = w
+                .replicas
+                .iter()
+                .filter_map(|(slot, replica)| Some((*numbers.get(slot)?, *replica)))
+                .collect();
+            Worker { replicas, ..w.clone() }
         };
         LearnedState {
             workers: self.workers.iter().map(renumbered).collect(),
@@ -163,9 +167,10 @@
         let slots = self.functions.replace(now, functions);
         for (worker_slot, worker) in self.workers.iter_mut().enumerate() {
             worker.open_attempts.clear();
-            let marks = std::mem::take(&mut worker.replicas).into_iter();
-            worker.replicas =
-                marks.map(|(number, mark)| (slots[number], Replica { own_in_flight: 0, ..mark })).collect();
+            let replicas = std::mem::take(&mut worker.replicas).into_iter();
+            worker.replicas = replicas
+                .map(|(number, replica)| (slots[number], Replica { own_in_flight: 0, ..replica }))
+                .collect();
             for function_slot in worker.replicas.keys() {
                 self.functions[*function_slot].holders.push(worker_slot as u32);
             }
--- a/src/control/places.rs
+++ b/src/control/places.rs
@@ -220,7 +220,7 @@
         let run = self.class_estimates[class].run_time;
         let create = || Function { id: id.clone(), class, lanes: 1.0, run_time: run, ..Function::default() };
         let slot = self.functions.activate(self.now, id, create);
-        self.drop_expired_marks(slot);
+        self.drop_expired_replicas(slot);
         let function = &mut self.functions[slot];
         function.class = class;
         function.lanes = if lanes.is_finite() { lanes.max(1.0) } else { 1.0 };
@@ -231,15 +231,16 @@
 
     /// Removes marks of a function that have not been used for [`DORMANT_AFTER_KEEP_ALIVES`] keep-alives and stand for no replica, so that the
     /// number of marks is bounded by recent use.
-    fn drop_expired_marks(&mut self, function: usize) {
+    fn drop_expired_replicas(&mut self, function: usize) {
         let oldest =
             self.now.saturating_sub((DORMANT_AFTER_KEEP_ALIVES * self.settings.keep_alive as f64) as Micros);
         let mut holders = std::mem::take(&mut self.functions[function].holders);
         holders.retain(|worker| {
-            let mark = self.workers[*worker as usize].replicas.get(&function);
-            let warm = |mark: &Replica| !matches!(self.warmth(mark), Warmth::Cold);
-            let kept =
-                mark.is_some_and(|mark| mark.own_in_flight > 0 || mark.last_used >= oldest || warm(mark));
+            let replica = self.workers[*worker as usize].replicas.get(&function);
+            let warm = |replica: &Replica| !matches!(self.warmth(replica), Warmth::Cold);
+            let kept = replica.is_some_and(|replica| {
+                replica.own_in_flight > 0 || replica.last_used >= oldest || warm(replica)
+            });
             if !kept {
                 self.workers[*worker as usize].replicas.remove(&function);
             }
@@ -267,9 +268,9 @@
         self.fleet = FleetSums::of(times, &self.workers, self.now);
         let mut uses = Vec::new();
         for (slot, worker) in self.workers.iter().enumerate() {
-            let marks = worker.replicas.iter();
-            uses.extend(marks.map(|(function, mark)| ReplicaUse {
-                at: mark.last_used,
+            let replicas = worker.replicas.iter();
+            uses.extend(replicas.map(|(function, replica)| ReplicaUse {
+                at: replica.last_used,
                 worker: slot,
                 function: *function,
             }));
