--- a/src/executor/mod.rs
+++ b/src/executor/mod.rs
@@ -1,6 +1,6 @@
 //! The client side of the executor protocol: connections to executors and the JSON lines exchanged on them.
 //!
-//! [`Pool`] is given attempts and load orders and reports how each one ended; [`Limits`] bounds its
+//! [`Pool`] is given attempts and load orders and reports how each one ended; [`PoolSettings`] bounds its
 //! connections, the requests open on each, and the memory for partially received answers.
 
 mod json;
@@ -8,4 +8,4 @@
 mod peer;
 mod pool;
 
-pub use pool::{Limits, Pool, Report, Sighting};
+pub use pool::{Completion, ConnectionFailure, Pool, PoolSettings};
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -2,7 +2,7 @@
 //!
 //! The pool chooses the connection for each attempt and load order, opens and closes connections, matches
 //! answers to requests, and reports how each attempt and order ended. It is given the list of executors by
-//! the name service and writes nothing to one that the list does not show as ready. [`Limits`] bounds the
+//! the name service and writes nothing to one that the list does not show as ready. [`PoolSettings`] bounds the
 //! connections, the requests open on each, and the bytes of partially received answers. Times are in
 //! microseconds.
 
@@ -50,13 +50,13 @@
 
 /// Limits and protocol settings of the pool.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct PoolSettings {
     /// Maximum number of connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Maximum number of bytes of partially received answers, over all connections.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Maximum number of attempts and load orders that await an answer on a connection.
-    pub streams: usize,
+    pub max_requests_per_connection: usize,
     /// Time limit for establishing a connection.
     pub connect_timeout: u64,
     /// The idle time after which executors close a connection.
@@ -64,14 +64,14 @@
     /// The names of the classes, by index.
     pub classes: Vec<String>,
     /// Whether answers report if a replica was loaded.
-    pub tells_warm: bool,
+    pub reports_warm: bool,
     /// Whether answers report the number of requests for the function at the executor.
-    pub tells_crowd: bool,
+    pub reports_concurrency: bool,
     /// The names of the values in load reports, in order; empty if answers carry none.
     pub report: Vec<String>,
 }
 
-impl Limits {
+impl PoolSettings {
     /// Returns how long an idle connection is kept.
     fn idle_timeout(&self) -> u64 {
         self.keepalive - IDLE_MARGIN_US.min(self.keepalive / 4)
@@ -80,7 +80,7 @@
 
 /// The end of an attempt or a load order.
 #[derive(Debug)]
-pub enum Report {
+pub enum Completion {
     /// An attempt ended.
     Attempt(AttemptId, AttemptResult),
     /// A load order ended, with the number of replicas now loaded.
@@ -92,20 +92,20 @@
 
 /// A connection failure that indicates a fault of the executor itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct ConnectionFailure {
     /// The executor.
     pub worker: WorkerId,
     /// Whether the connection could not be established.
-    pub refused: bool,
+    pub connect_refused: bool,
     /// Whether the failed connection was a probe, with nothing to send.
-    pub looked: bool,
+    pub is_probe: bool,
 }
 
 /// The connections to all executors.
 pub struct Pool {
     /// The owner id of the pool's sockets in the event loop.
     owner: u8,
-    limits: Limits,
+    limits: PoolSettings,
     listed: BTreeMap<WorkerId, (SocketAddr, State)>,
     links: Slab<Link<ExecutorConnection>>,
     /// The connection and request id of each attempt that awaits an answer.
@@ -122,14 +122,14 @@
     has_held_lines: bool,
     counters: Rc<Counters>,
     /// Ended attempts and load orders, in order.
-    pub reports: Vec<Report>,
+    pub completions: Vec<Completion>,
     /// Executors whose connections broke while an answer was awaited, or could not be established.
-    pub sightings: Vec<Sighting>,
+    pub connection_failures: Vec<ConnectionFailure>,
 }
 
 impl Pool {
     /// Returns a pool without connections.
-    pub fn new(owner: u8, limits: Limits, counters: Rc<Counters>) -> Pool {
+    pub fn new(owner: u8, limits: PoolSettings, counters: Rc<Counters>) -> Pool {
         Pool {
             owner,
             limits,
@@ -142,8 +142,8 @@
             writes_on_hold: false,
             has_held_lines: false,
             counters,
-            reports: Vec::new(),
-            sightings: Vec::new(),
+            completions: Vec::new(),
+            connection_failures: Vec::new(),
         }
     }
 
@@ -153,9 +153,9 @@
     }
 
     /// Applies new limits and closes idle connections beyond them; connections in use are kept.
-    pub fn bound(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: PoolSettings) {
         self.limits = limits;
-        while self.links.len() > self.limits.connections && self.evict_idle() {}
+        while self.links.len() > self.limits.max_connections && self.evict_idle() {}
     }
 
     /// Closes the least recently used connection on which no answer is awaited; returns false if there is
@@ -170,7 +170,7 @@
     }
 
     /// Records that all answers of the name service received so far have been read.
-    pub fn list_was_read(&mut self) {
+    pub fn mark_list_read(&mut self) {
         self.list_read_at = Instant::now();
     }
 
@@ -181,7 +181,7 @@
 
     /// Returns whether writes are held back, by `hold_writes` or because the executor list was not read
     /// recently.
-    pub fn holds_writes(&self) -> bool {
+    pub fn has_held_writes(&self) -> bool {
         self.writes_on_hold || self.has_held_lines
     }
 
@@ -214,7 +214,7 @@
 
     /// Applies the complete executor list. Lines still queued for an executor that drains or has been removed
     /// are withdrawn.
-    pub fn list(&mut self, executors: &[Executor]) {
+    pub fn set_executors(&mut self, executors: &[Executor]) {
         let new = executors.iter().map(|e| (e.id.clone(), (e.address, e.state))).collect();
         let old = std::mem::replace(&mut self.listed, new);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
@@ -300,33 +300,37 @@
                 count(&self.counters.loads_ordered);
                 self.flush(poll, now, slot);
             }
-            Err(outcome) => self.reports.push(Report::Order(order, outcome, 0)),
+            Err(outcome) => self.completions.push(Completion::Order(order, outcome, 0)),
         }
     }
 
     /// Probes an executor to which there is no connection by opening one. Returns false if no probe is made:
     /// the executor is not ready or already connected, or the limit on connections is reached.
-    pub fn look(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
+    pub fn probe(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
         let Some((address, State::Ready)) = self.listed.get(worker).copied() else { return false };
         let connected = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
         // A probe must not take up a connection that a request may need.
-        if connected || self.links.len() >= self.limits.connections {
+        if connected || self.links.len() >= self.limits.max_connections {
             return false;
         }
         if self.connect(poll, now, worker, address).is_err() {
-            self.record_sighting(worker, true, true);
+            self.record_connection_failure(worker, true, true);
         }
         true
     }
 
-    fn record_sighting(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
-        if self.sightings.len() < MAX_SIGHTINGS {
-            self.sightings.push(Sighting { worker: worker.clone(), refused, looked });
+    fn record_connection_failure(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
+        if self.connection_failures.len() < MAX_SIGHTINGS {
+            self.connection_failures.push(ConnectionFailure {
+                worker: worker.clone(),
+                connect_refused: refused,
+                is_probe: looked,
+            });
         }
     }
 
     /// Cancels an attempt: its answer is no longer awaited.
-    pub fn halt(&mut self, poll: &Poll, now: u64, id: AttemptId) {
+    pub fn cancel(&mut self, poll: &Poll, now: u64, id: AttemptId) {
         // A line that is still queued would otherwise be sent, and run, long after its request ended.
         if self.unqueue_attempt(id) {
             return;
@@ -343,7 +347,7 @@
     }
 
     /// Ends an attempt as moot if nothing of it has been sent; otherwise the attempt continues.
-    pub fn recall(&mut self, id: AttemptId) {
+    pub fn cancel_if_unsent(&mut self, id: AttemptId) {
         if self.unqueue_attempt(id) {
             self.end_attempt(id, Outcome::NotSent);
         }
@@ -384,7 +388,7 @@
         let usable = |link: &Link<ExecutorConnection>| {
             let peer = &link.peer;
             !peer.closing
-                && peer.awaiting() < limits.streams
+                && peer.awaiting() < limits.max_requests_per_connection
                 && !peer.open.contains_key(rid)
                 && (peer.awaiting() > 0 || now < peer.last_used_at + limits.idle_timeout())
                 && peer.unanswered_since.is_none_or(|since| now < since + UNRESPONSIVE_AFTER_US)
@@ -421,7 +425,7 @@
     ) -> Result<usize, Outcome> {
         // The limit keeps the process within its file descriptors; at the limit an idle connection is
         // evicted.
-        if self.links.len() >= self.limits.connections && !self.evict_idle() {
+        if self.links.len() >= self.limits.max_connections && !self.evict_idle() {
             return Err(Outcome::ConnectFailed);
         }
         count(&self.counters.executor_connects);
@@ -472,7 +476,7 @@
     }
 
     /// Handles an I/O event on a connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         let (slot, hold) = (ready.token.slot as usize, self.must_hold_writes());
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = std::mem::take(&mut self.answers);
@@ -499,7 +503,7 @@
         }
         // Long answers on many connections at once must not exhaust the memory: closes the connection that
         // holds most.
-        while self.unread_bytes > self.limits.unread {
+        while self.unread_bytes > self.limits.max_unread_bytes {
             let longest = self.links.iter().max_by_key(|(_, l)| l.io.unread()).map(|(slot, _)| slot);
             let Some(longest) = longest else { return };
             self.close(longest, Closed::Malformed("partially received answers exceed the memory limit"));
@@ -524,21 +528,26 @@
         } else if pending_line.purpose == Purpose::Tombstone {
             count(&self.counters.late_answers);
         }
-        let found = if self.limits.tells_warm || found == ReplicaStatus::LoadFailed {
+        let found = if self.limits.reports_warm || found == ReplicaStatus::LoadFailed {
             found
         } else {
             ReplicaStatus::NotReported
         };
         let report = line::load_values(&self.limits.report, load.as_deref());
-        let crowd = crowd.filter(|_| self.limits.tells_crowd);
+        let crowd = crowd.filter(|_| self.limits.reports_concurrency);
         let result = AttemptResult { outcome, found, concurrent_requests: crowd, report, body };
-        Self::push_report(&mut self.reports, pending_line.purpose, result, replicas);
+        Self::push_completion(&mut self.completions, pending_line.purpose, result, replicas);
     }
 
-    fn push_report(reports: &mut Vec<Report>, purpose: Purpose, result: AttemptResult, replicas: u32) {
+    fn push_completion(
+        reports: &mut Vec<Completion>,
+        purpose: Purpose,
+        result: AttemptResult,
+        replicas: u32,
+    ) {
         match purpose {
-            Purpose::Attempt(id) => reports.push(Report::Attempt(id, result)),
-            Purpose::LoadOrder(order) => reports.push(Report::Order(order, result.outcome, replicas)),
+            Purpose::Attempt(id) => reports.push(Completion::Attempt(id, result)),
+            Purpose::LoadOrder(order) => reports.push(Completion::Order(order, result.outcome, replicas)),
             Purpose::Tombstone => {}
         }
     }
@@ -548,11 +557,11 @@
         if let Purpose::Attempt(id) = purpose {
             self.attempts.remove(&id);
         }
-        Self::push_report(&mut self.reports, purpose, AttemptResult::from_outcome(outcome), 0);
+        Self::push_completion(&mut self.completions, purpose, AttemptResult::from_outcome(outcome), 0);
     }
 
     fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
-        self.reports.push(Report::Attempt(id, AttemptResult::from_outcome(outcome)));
+        self.completions.push(Completion::Attempt(id, AttemptResult::from_outcome(outcome)));
     }
 
     /// Closes a connection and ends the attempts and load orders open on it.
@@ -566,7 +575,7 @@
         }
         let refused = reason == Closed::NoConnect;
         if refused || (reason == Closed::Broken && link.peer.awaiting() > 0 && !link.peer.closing) {
-            self.record_sighting(&link.peer.worker, refused, refused && link.peer.open.is_empty());
+            self.record_connection_failure(&link.peer.worker, refused, refused && link.peer.open.is_empty());
         }
         let written = if link.io.connecting() { 0 } else { link.io.written };
         // A malformed or truncated answer ends the connection for everything on it, but does not show that
--- a/src/executor/pool/tests.rs
+++ b/src/executor/pool/tests.rs
@@ -9,19 +9,19 @@
 fn pool() -> (Poll, Pool, TcpListener, Rc<Counters>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let counters = Rc::new(Counters::default());
-    let limits = Limits {
-        connections: 8,
-        unread: 1 << 20,
-        streams: 32,
+    let limits = PoolSettings {
+        max_connections: 8,
+        max_unread_bytes: 1 << 20,
+        max_requests_per_connection: 32,
         connect_timeout: 1_000_000,
         keepalive: 15_000_000,
         classes: vec!["flow-read".to_string()],
-        tells_warm: true,
-        tells_crowd: true,
+        reports_warm: true,
+        reports_concurrency: true,
         report: Vec::new(),
     };
     let mut pool = Pool::new(OWNER, limits, counters.clone());
-    pool.list(&[executor(&listener, State::Ready)]);
+    pool.set_executors(&[executor(&listener, State::Ready)]);
     (Poll::new().expect("an epoll instance"), pool, listener, counters)
 }
 
@@ -40,7 +40,7 @@
 fn run_event_loop_once(poll: &mut Poll, pool: &mut Pool) {
     let mut events = Vec::new();
     poll.wait(20_000, &mut events).expect("an iteration of the event loop");
-    events.into_iter().for_each(|ready| pool.ready(poll, 1_000, ready));
+    events.into_iter().for_each(|ready| pool.handle_event(poll, 1_000, ready));
 }
 
 fn stale_list_read() -> Instant {
@@ -59,7 +59,7 @@
     }
     assert!(stream.read(&mut [0]).is_err(), "the line was written although a drain may be unread");
     assert!(counters.writes_held.get() > 0);
-    pool.list_was_read();
+    pool.mark_list_read();
     run_event_loop_once(&mut poll, &mut pool);
     assert!(stream.read(&mut [0]).is_ok(), "the line is written once the answers have been read");
 }
@@ -74,10 +74,10 @@
     stream.set_nonblocking(true).expect("a non-blocking stream");
     assert!(stream.read(&mut [0]).is_err(), "the line was written before the release");
     pool.list_read_at = stale_list_read();
-    assert!(pool.holds_writes());
-    pool.list_was_read();
+    assert!(pool.has_held_writes());
+    pool.mark_list_read();
     pool.release_writes(&poll, 1_000);
-    assert!(!pool.holds_writes());
+    assert!(!pool.has_held_writes());
     assert!(stream.read(&mut [0]).is_ok(), "the line is written on release");
 }
 
@@ -88,12 +88,12 @@
     pool.load(&mut poll, 1_000, 1, &"s0".into(), &"7f3a9c21e0b4d655".into(), 1);
     let (mut stream, _) = listener.accept().expect("a connection");
     run_event_loop_once(&mut poll, &mut pool);
-    pool.list_was_read();
-    pool.list(&[executor(&listener, State::Draining)]);
+    pool.mark_list_read();
+    pool.set_executors(&[executor(&listener, State::Draining)]);
     run_event_loop_once(&mut poll, &mut pool);
     let mut sent = Vec::new();
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
     stream.read_to_end(&mut sent).expect("the end of the connection");
     assert!(sent.is_empty(), "the line was written to a draining executor");
-    assert!(matches!(pool.reports[..], [Report::Order(1, Outcome::NotSent, 0)]));
+    assert!(matches!(pool.completions[..], [Completion::Order(1, Outcome::NotSent, 0)]));
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -275,7 +275,7 @@
             // Answers of the name service come first: a connection that becomes writable in the same turn writes what is queued
             // on it, and must not write to a worker that one of these answers marks as draining.
             events.sort_by_key(|ready| ready.token.owner != NAMES);
-            self.pool.list_was_read();
+            self.pool.mark_list_read();
             // After a stall nothing is written until all input and all timers have been handled: an attempt queued for its
             // connection may by now be past its key's repeat window or its client's deadline.
             if stalled {
@@ -348,7 +348,7 @@
                 self.list_known |= self.counters.dns_answers.get() > 0;
                 self.names_heard_at = self.now;
             }
-            EXECUTORS => self.pool.ready(&mut self.poll, self.now, ready),
+            EXECUTORS => self.pool.handle_event(&mut self.poll, self.now, ready),
             THRIFT => self.thrift.ready(&mut self.poll, self.now, ready),
             DOOR => self.handle_operators_ready(ready),
             STREAM | VERSION_THREAD => self.handle_stream_ready(ready),
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -5,7 +5,7 @@
 use super::jobs::build_job;
 use super::{Node, STATIONS};
 use crate::core::{Command, Ticket};
-use crate::executor::Report;
+use crate::executor::Completion;
 use crate::front::{Intake, Invalid};
 
 impl Node {
@@ -17,7 +17,7 @@
             if let Some(front) = &mut self.stations {
                 intake.append(&mut front.intake);
             }
-            let reports = std::mem::take(&mut self.pool.reports);
+            let reports = std::mem::take(&mut self.pool.completions);
             if intake.is_empty() && reports.is_empty() && self.engine.commands.is_empty() {
                 return;
             }
@@ -36,8 +36,8 @@
             });
             for report in reports {
                 match report {
-                    Report::Attempt(id, ended) => self.engine.attempt_ended(self.now, id, ended),
-                    Report::Order(order, outcome, replicas) => {
+                    Completion::Attempt(id, ended) => self.engine.attempt_ended(self.now, id, ended),
+                    Completion::Order(order, outcome, replicas) => {
                         self.engine.load_order_ended(self.now, order, outcome, replicas)
                     }
                 }
@@ -59,13 +59,13 @@
     /// Ends a turn in which writes were held: reads the name service's answers once more, then writes. However long turns
     /// take, no write is held for longer than one of them.
     pub(super) fn release_held_writes(&mut self) {
-        if !self.pool.holds_writes() {
+        if !self.pool.has_held_writes() {
             return;
         }
         if self.resolver.read(&mut self.poll, self.now) {
             self.list_changed();
         }
-        self.pool.list_was_read();
+        self.pool.mark_list_read();
         self.pool.release_writes(&self.poll, self.now);
         self.deliver_messages();
     }
@@ -77,8 +77,8 @@
             Command::Send { attempt, worker, wait, job } => {
                 self.pool.send(poll, now, attempt, &worker, wait, &job)
             }
-            Command::Cancel { attempt } => self.pool.halt(poll, now, attempt),
-            Command::CancelIfUnsent { attempt } => self.pool.recall(attempt),
+            Command::Cancel { attempt } => self.pool.cancel(poll, now, attempt),
+            Command::CancelIfUnsent { attempt } => self.pool.cancel_if_unsent(attempt),
             Command::OrderLoad { order, worker, function, replicas } => {
                 self.pool.load(poll, now, order, &worker, &function, replicas)
             }
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -35,7 +35,7 @@
     settings: &Settings,
     two_processes: bool,
     station_connections: usize,
-) -> (EngineLimits, executor::Limits, thrift::Limits, usize) {
+) -> (EngineLimits, executor::PoolSettings, thrift::Limits, usize) {
     let processes = if two_processes { 2 } else { 1 };
     let descriptors = descriptors(config);
     let (memory, sockets) = (config.parts.resources.memory / processes, descriptors / processes);
@@ -54,16 +54,16 @@
         retry_after: settings.module.max_retry_after,
         send_lag: settings.connect_timeout + NETWORK_MARGIN_US,
     };
-    let pool = executor::Limits {
-        connections: executors,
+    let pool = executor::PoolSettings {
+        max_connections: executors,
         // Answers that never end, on all connections at once, must not exhaust the memory.
-        unread: memory / 4,
-        streams: settings.streams_per_conn,
+        max_unread_bytes: memory / 4,
+        max_requests_per_connection: settings.streams_per_conn,
         connect_timeout: settings.connect_timeout,
         keepalive: settings.keepalive,
         classes: settings.classes.clone(),
-        tells_warm: settings.tells_warm,
-        tells_crowd: settings.tells_crowd,
+        reports_warm: settings.tells_warm,
+        reports_concurrency: settings.tells_crowd,
         report: settings.report.clone(),
     };
     (bounds, pool, thrift::Limits { connections: clients, unsent: memory / 4 }, operators)
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -51,7 +51,7 @@
         if self.ever_listed.len() < MAX_LISTED_IDS {
             self.ever_listed.extend(executors.iter().map(|e| e.id.clone()));
         }
-        self.pool.list(&executors);
+        self.pool.set_executors(&executors);
         self.record_first_listed();
         let listing = |e: &Executor| -> WorkerEntry {
             let ready_at = self.started_at(e).max(self.ban_lifted_at.get(&e.id).copied());
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -63,13 +63,16 @@
 
     /// Shares what connections to executors have shown with the peers, and probes the executors that peers report as failed.
     fn exchange_executor_observations(&mut self) {
-        let observations = std::mem::take(&mut self.pool.sightings);
+        let observations = std::mem::take(&mut self.pool.connection_failures);
         if let Some(overload) = &mut self.overload {
-            observations.iter().filter(|o| o.refused).for_each(|o| overload.refused(self.now, &o.worker));
+            observations
+                .iter()
+                .filter(|o| o.connect_refused)
+                .for_each(|o| overload.refused(self.now, &o.worker));
         }
         let Some(peers) = &mut self.peers else { return };
         for observation in observations {
-            if observation.looked {
+            if observation.is_probe {
                 self.engine.probe_failed(self.now, &observation.worker);
                 peers.refused(self.now, &observation.worker);
             } else {
@@ -79,7 +82,7 @@
             }
         }
         while let Some(worker) = peers.look(self.now) {
-            if self.pool.look(&mut self.poll, self.now, &worker) {
+            if self.pool.probe(&mut self.poll, self.now, &worker) {
                 count(&self.counters.hints_looks);
             }
         }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -113,7 +113,7 @@
         module.load_orders_allowed &=
             !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
         self.engine.configure(&module, new_places, bounds);
-        self.pool.bound(pool_limits);
+        self.pool.set_limits(pool_limits);
         self.thrift.bound(self.now, front_limits);
     }
 }
