--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -3,7 +3,7 @@
 //! length (per entry, 100 times the entries may cost at most 4 times as much), or if a list of 36 (the most that the
 //! standing fleet days bring) takes 1 ms or more in both together.
 
-use ochreward::names::{Checker, Executor, State, Verdict};
+use ochreward::names::{Executor, ExecutorState, ListValidator, Verdict};
 use ochreward::*;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -24,7 +24,7 @@
         zone: ["east", "west", "south"][n % 3].into(),
         kind: "std".into(),
         cell: n % 4,
-        state: State::Ready,
+        state: ExecutorState::Ready,
         started_ms: 0,
     };
     (0..size).rev().map(one).collect()
@@ -32,12 +32,12 @@
 
 /// Microseconds a list of `size` takes: in the checker, and in the module.
 fn costs(size: usize, rounds: usize) -> (f64, f64) {
-    let (mut checker, mut router) = (Checker::default(), Router::new(settings(), 7, 0));
+    let (mut checker, mut router) = (ListValidator::default(), Router::new(settings(), 7, 0));
     let (mut checked, mut taken, mut out) = (0.0, 0.0, vec![]);
     for round in 1..=rounds {
         let list = executors(size, round);
         let began = Instant::now();
-        let Verdict::Take { executors, .. } = checker.judge(round as u64 * S, list, size) else {
+        let Verdict::Accept { executors, .. } = checker.validate(round as u64 * S, list, size) else {
             panic!("a good list refused");
         };
         checked += began.elapsed().as_secs_f64();
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{self, Class, Effect, KeyScope, ReportField, WorkerId};
 use crate::keys::{Faults, Key};
-use crate::names::{Executor, MOST_EXECUTORS, MOST_ID_BYTES, State, Vocabulary};
+use crate::names::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     /// The tenants' names.
     pub tenants: Vec<String>,
     /// The names of zones and kinds.
-    pub vocabulary: Vocabulary,
+    pub vocabulary: ZoneAndKindNames,
     /// Requests open on a connection to an executor.
     pub streams_per_conn: usize,
     /// How long a connection may take to come up.
@@ -266,16 +266,16 @@
         }
         let instances = topology.get("instances");
         let entries = instances.entries();
-        let few = entries.len() <= MOST_EXECUTORS;
+        let few = entries.len() <= MAX_EXECUTORS;
         instances.must(few, "names more than 65,536 executors: split the fleet into several services");
-        for entry in entries.into_iter().take(MOST_EXECUTORS) {
+        for entry in entries.into_iter().take(MAX_EXECUTORS) {
             let name = entry.get("instanceId");
             let id: WorkerId = name.text().into();
-            name.must(id.len() <= MOST_ID_BYTES, "is longer than 255 bytes: see who registered it");
+            name.must(id.len() <= MAX_ID_BYTES, "is longer than 255 bytes: see who registered it");
             let states = ["in_service", "terminating", "terminated"];
             let state = match entry.get("lifecycle").word(&states) {
-                0 => State::Ready,
-                1 => State::Draining,
+                0 => ExecutorState::Ready,
+                1 => ExecutorState::Draining,
                 _ => {
                     list.remove(&id);
                     continue;
@@ -351,7 +351,7 @@
             .collect(),
         drain_grace: rules.get("stop_sending_within_us").whole_or(DRAIN_GRACE),
         longest: module.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
-        vocabulary: Vocabulary { zones: names(&key.get("zones")), kinds: names(&key.get("kinds")) },
+        vocabulary: ZoneAndKindNames { zones: names(&key.get("zones")), kinds: names(&key.get("kinds")) },
         streams_per_conn: limits.get("streams_per_conn").between(1, 1 << 16, 32) as usize,
         connect_timeout: limits.get("connect_timeout_us").between(1_000, 60_000_000, 250_000),
         keepalive: limits.get("keepalive_us").between(1_000_000, 1 << 40, 15_000_000),
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -11,7 +11,7 @@
 use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
 use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
-use crate::names::{Executor, State};
+use crate::names::{Executor, ExecutorState};
 use crate::net::{Closed, Link, Poll, Ready};
 use slab::Slab;
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
     /// The owner id of the pool's sockets in the event loop.
     owner: u8,
     limits: PoolSettings,
-    listed: BTreeMap<WorkerId, (SocketAddr, State)>,
+    listed: BTreeMap<WorkerId, (SocketAddr, ExecutorState)>,
     links: Slab<Link<ExecutorConnection>>,
     /// The connection and request id of each attempt that awaits an answer.
     attempts: BTreeMap<AttemptId, (usize, String)>,
@@ -221,7 +221,8 @@
         for slot in slots {
             let worker = self.links[slot].peer.worker.clone();
             match self.listed.get(&worker) {
-                Some((address, State::Ready)) if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
+                Some((address, ExecutorState::Ready))
+                    if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
                 // A line queued on a connecting or blocked socket would otherwise be sent after the drain was
                 // announced.
                 _ => self.withdraw_unsent(slot),
@@ -307,7 +308,7 @@
     /// Probes an executor to which there is no connection by opening one. Returns false if no probe is made:
     /// the executor is not ready or already connected, or the limit on connections is reached.
     pub fn probe(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
-        let Some((address, State::Ready)) = self.listed.get(worker).copied() else { return false };
+        let Some((address, ExecutorState::Ready)) = self.listed.get(worker).copied() else { return false };
         let connected = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
         // A probe must not take up a connection that a request may need.
         if connected || self.links.len() >= self.limits.max_connections {
@@ -381,7 +382,7 @@
         purpose: Purpose,
         line: &[u8],
     ) -> Result<usize, Outcome> {
-        let Some((address, State::Ready)) = self.listed.get(worker).copied() else {
+        let Some((address, ExecutorState::Ready)) = self.listed.get(worker).copied() else {
             return Err(Outcome::NotSent);
         };
         let limits = &self.limits;
--- a/src/executor/pool/tests.rs
+++ b/src/executor/pool/tests.rs
@@ -21,11 +21,11 @@
         report: Vec::new(),
     };
     let mut pool = Pool::new(OWNER, limits, counters.clone());
-    pool.set_executors(&[executor(&listener, State::Ready)]);
+    pool.set_executors(&[executor(&listener, ExecutorState::Ready)]);
     (Poll::new().expect("an epoll instance"), pool, listener, counters)
 }
 
-fn executor(listener: &TcpListener, state: State) -> Executor {
+fn executor(listener: &TcpListener, state: ExecutorState) -> Executor {
     Executor {
         id: "s0".into(),
         address: listener.local_addr().expect("an address"),
@@ -89,7 +89,7 @@
     let (mut stream, _) = listener.accept().expect("a connection");
     run_event_loop_once(&mut poll, &mut pool);
     pool.mark_list_read();
-    pool.set_executors(&[executor(&listener, State::Draining)]);
+    pool.set_executors(&[executor(&listener, ExecutorState::Draining)]);
     run_event_loop_once(&mut poll, &mut pool);
     let mut sent = Vec::new();
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
--- a/src/names/check.rs
+++ b/src/names/check.rs
@@ -6,7 +6,7 @@
 //! interval. It cannot be refused for longer, because it announces that every worker is gone, and nothing may be sent to a
 //! worker after the drain grace period that starts then.
 
-use super::{Executor, MOST_EXECUTORS, MOST_ID_BYTES};
+use super::{Executor, MAX_EXECUTORS, MAX_ID_BYTES};
 use crate::api::WorkerId;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -25,9 +25,9 @@
     Empty,
     /// One id has two addresses.
     TwoAddresses(WorkerId, SocketAddr, SocketAddr),
-    /// The list has this many entries, more than [`MOST_EXECUTORS`].
+    /// The list has this many entries, more than [`MAX_EXECUTORS`].
     TooMany(usize),
-    /// An id has this many bytes, more than [`MOST_ID_BYTES`].
+    /// An id has this many bytes, more than [`MAX_ID_BYTES`].
     LongId(usize),
 }
 
@@ -40,13 +40,13 @@
             Doubt::TooMany(count) => {
                 write!(
                     f,
-                    "{count} executors, {MOST_EXECUTORS} at the most: split the fleet into several services"
+                    "{count} executors, {MAX_EXECUTORS} at the most: split the fleet into several services"
                 )
             }
             Doubt::LongId(bytes) => {
                 write!(
                     f,
-                    "an executor's id of {bytes} bytes, {MOST_ID_BYTES} at the most: see who registered it"
+                    "an executor's id of {bytes} bytes, {MAX_ID_BYTES} at the most: see who registered it"
                 )
             }
         }
@@ -57,7 +57,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
     /// The list is valid.
-    Take {
+    Accept {
         /// The list in its original order, each id once.
         executors: Vec<Executor>,
         /// Entries dropped because they repeated the id and address of an earlier one.
@@ -74,20 +74,20 @@
 
 /// A validator of lists.
 #[derive(Debug, Default)]
-pub struct Checker {
+pub struct ListValidator {
     /// When the first of the consecutive empty lists arrived.
     empty_since: Option<u64>,
     /// The reason of the last refusal, until a list is accepted.
     last_refusal: Option<Doubt>,
 }
 
-impl Checker {
+impl ListValidator {
     /// Validates a list that was parsed whole; `in_use_count` is the number of executors in the list in use.
-    pub fn judge(&mut self, now: u64, mut executors: Vec<Executor>, in_use_count: usize) -> Verdict {
-        if executors.len() > MOST_EXECUTORS {
+    pub fn validate(&mut self, now: u64, mut executors: Vec<Executor>, in_use_count: usize) -> Verdict {
+        if executors.len() > MAX_EXECUTORS {
             return self.refuse(Doubt::TooMany(executors.len()));
         }
-        if let Some(too_long) = executors.iter().map(|e| e.id.len()).find(|bytes| *bytes > MOST_ID_BYTES) {
+        if let Some(too_long) = executors.iter().map(|e| e.id.len()).find(|bytes| *bytes > MAX_ID_BYTES) {
             return self.refuse(Doubt::LongId(too_long));
         }
         if executors.is_empty() && in_use_count > 0 {
@@ -116,7 +116,7 @@
             executors.retain(|e| kept.insert(e.id.clone()));
         }
         self.last_refusal = None;
-        Verdict::Take { merged: before - executors.len(), executors }
+        Verdict::Accept { merged: before - executors.len(), executors }
     }
 
     /// Refuses an answer that could not be parsed.
--- a/src/names/dns.rs
+++ b/src/names/dns.rs
@@ -2,7 +2,7 @@
 //!
 //! Input is untrusted: every length, compression pointer and record count is checked against a bound.
 
-use super::{Executor, State};
+use super::{Executor, ExecutorState};
 use crate::api::WorkerId;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -153,8 +153,8 @@
 }
 
 impl Target {
-    fn state(&self) -> State {
-        if self.priority == 0 { State::Ready } else { State::Draining }
+    fn state(&self) -> ExecutorState {
+        if self.priority == 0 { ExecutorState::Ready } else { ExecutorState::Draining }
     }
 }
 
@@ -186,7 +186,7 @@
 pub fn draining_workers(message: &[u8], service: &str) -> Vec<WorkerId> {
     let mut records = Records::default();
     let _ = parse_records(message, service, &mut records);
-    let draining = records.targets.iter().filter(|t| t.state() == State::Draining);
+    let draining = records.targets.iter().filter(|t| t.state() == ExecutorState::Draining);
     draining.map(|t| worker_id(&t.name).into()).filter(|id: &WorkerId| !id.is_empty()).collect()
 }
 
--- a/src/names/list.rs
+++ b/src/names/list.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 
 /// Limit of executors in a list: four times the largest fleet that is planned for.
-pub const MOST_EXECUTORS: usize = 65_536;
+pub const MAX_EXECUTORS: usize = 65_536;
 /// Limit of an executor's id, in bytes: more than a DNS label can have.
-pub const MOST_ID_BYTES: usize = 255;
+pub const MAX_ID_BYTES: usize = 255;
 
 /// The state of an executor in the list. An executor that is absent from the list has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum ExecutorState {
     /// Accepts requests.
     Ready,
     /// Accepts no new requests.
@@ -32,23 +32,23 @@
     /// Its cell.
     pub cell: usize,
     /// Its state.
-    pub state: State,
+    pub state: ExecutorState,
     /// When it started, in Unix milliseconds, if recently; otherwise 0.
     pub started_ms: u64,
 }
 
 /// The zone and machine kind names of the settings; the decision module refers to them by position.
 #[derive(Clone, Debug, Default)]
-pub struct Vocabulary {
+pub struct ZoneAndKindNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Machine kinds.
     pub kinds: Vec<String>,
 }
 
-impl Vocabulary {
+impl ZoneAndKindNames {
     /// Converts an entry for the decision module. `ready_at` is the executor's start on the process clock.
-    pub fn listing(&self, executor: &Executor, ready_at: Option<u64>) -> WorkerEntry {
+    pub fn to_entry(&self, executor: &Executor, ready_at: Option<u64>) -> WorkerEntry {
         // A name that the settings lack gets the position after the last: it equals no known name.
         let position =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(names.len());
@@ -58,8 +58,8 @@
             kind: position(&self.kinds, &executor.kind),
             cell: executor.cell,
             standing: match executor.state {
-                State::Ready => WorkerStatus::Healthy,
-                State::Draining => WorkerStatus::Draining,
+                ExecutorState::Ready => WorkerStatus::Healthy,
+                ExecutorState::Draining => WorkerStatus::Draining,
             },
             ready_at,
         }
--- a/src/names/mod.rs
+++ b/src/names/mod.rs
@@ -1,6 +1,6 @@
 //! Discovery of executors: the list read from the configuration at the start, and from the DNS name service afterwards.
 //!
-//! [`Resolver`] queries the service and owns its sockets. [`Checker`] validates each received list, and [`ListTracker`]
+//! [`Resolver`] queries the service and owns its sockets. [`ListValidator`] validates each received list, and [`ListTracker`]
 //! decides which list is in use and which of its executors may be sent requests.
 
 mod channel;
@@ -12,7 +12,7 @@
 mod stream;
 mod tracker;
 
-pub use check::{Checker, Doubt, EMPTY_HOLD_US, Verdict};
-pub use list::{Executor, MOST_EXECUTORS, MOST_ID_BYTES, State, Vocabulary};
-pub use resolver::{Resolver, Start};
+pub use check::{Doubt, EMPTY_HOLD_US, ListValidator, Verdict};
+pub use list::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
+pub use resolver::{InitialList, Resolver};
 pub use tracker::{Decision, ListTracker, ReceivedList};
--- a/src/names/resolver.rs
+++ b/src/names/resolver.rs
@@ -1,15 +1,15 @@
 //! Queries the name service for the list of workers periodically and holds the list in use.
 //!
-//! [`QuerySchedule`] decides when to query, [`Checker`] which lists are valid, [`ListTracker`] which list is in use; this
+//! [`QuerySchedule`] decides when to query, [`ListValidator`] which lists are valid, [`ListTracker`] which list is in use; this
 //! module owns the sockets. It opens at most [`MAX_CHANNELS`] UDP sockets and runs one query over TCP at a time.
 
 use super::channel::Channel;
-use super::check::{Checker, Doubt, Verdict};
+use super::check::{Doubt, ListValidator, Verdict};
 use super::dns::{self, MAX_MESSAGE_BYTES};
 use super::schedule::QuerySchedule;
 use super::stream::TcpExchange;
 use super::tracker::{Decision, ListTracker, ReceivedList};
-use super::{Executor, State};
+use super::{Executor, ExecutorState};
 use crate::counters::{Counters, add, count};
 use crate::net::{Poll, Ready};
 use std::collections::HashMap;
@@ -42,7 +42,7 @@
     tcp_exchange: Option<TcpExchange>,
     last_query_id: u16,
     schedule: QuerySchedule,
-    checker: Checker,
+    checker: ListValidator,
     tracker: ListTracker,
     /// The answer that carried the list in use, without its message id. Most answers repeat it byte for byte and need not
     /// be parsed.
@@ -56,7 +56,7 @@
 }
 
 /// The initial list of a process, and the seed of its query ids.
-pub struct Start {
+pub struct InitialList {
     /// The number of the last event of the list.
     pub serial: u64,
     /// The list.
@@ -74,7 +74,7 @@
         owner: u8,
         server: SocketAddr,
         service: &str,
-        start: Start,
+        start: InitialList,
         counters: Rc<Counters>,
     ) -> io::Result<Resolver> {
         let channel = Channel::open(poll, owner, 0, server)?;
@@ -89,7 +89,7 @@
             tcp_exchange: None,
             last_query_id: start.seed as u16,
             schedule: QuerySchedule::default(),
-            checker: Checker::default(),
+            checker: ListValidator::default(),
             tracker: ListTracker::new(start.now, start.serial, start.executors),
             confirmed_answer: Vec::new(),
             confirmed_at: start.now,
@@ -101,7 +101,7 @@
 
     /// Sends queries to another address from now on, and schedules the first at once. Answers from the old address to
     /// outstanding queries are still accepted.
-    pub fn move_to(&mut self, poll: &mut Poll, server: SocketAddr) -> io::Result<()> {
+    pub fn set_server(&mut self, poll: &mut Poll, server: SocketAddr) -> io::Result<()> {
         if server != self.server {
             self.open_channel(poll, server)?;
             self.server = server;
@@ -114,7 +114,13 @@
 
     /// Applies a list that did not come from the name service; `origin` names its source in the log. Returns whether the
     /// list in use has changed.
-    pub fn offer(&mut self, now: u64, origin: &'static str, serial: u64, executors: Vec<Executor>) -> bool {
+    pub fn offer_list(
+        &mut self,
+        now: u64,
+        origin: &'static str,
+        serial: u64,
+        executors: Vec<Executor>,
+    ) -> bool {
         let (listed, held) = (executors.len(), self.tracker.serial());
         let whole = !self.tracker.is_from_service();
         let changed = self.tracker.apply_external(now, serial, executors);
@@ -129,7 +135,7 @@
     }
 
     /// Returns the list in use.
-    pub fn in_use(&self) -> &[Executor] {
+    pub fn executors(&self) -> &[Executor] {
         self.tracker.in_use()
     }
 
@@ -144,7 +150,7 @@
     }
 
     /// Returns when [`Resolver::advance`] has to be called next.
-    pub fn due(&self) -> u64 {
+    pub fn next_query_at(&self) -> u64 {
         self.schedule.next_query_at()
     }
 
@@ -163,18 +169,18 @@
     }
 
     /// Handles an event on one of the sockets. Returns whether a newer list was accepted or the list in use has changed.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
+    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
         let changes = self.tracker.change_count();
         let updated = self.read_tcp(poll, now, ready);
         if self.tracker.change_count() > changes {
             self.log_change();
         }
-        self.read(poll, now) || updated
+        self.read_pending(poll, now) || updated
     }
 
     /// Reads all packets that have arrived over UDP. Returns whether a newer list was accepted or the list in use has
     /// changed.
-    pub fn read(&mut self, poll: &mut Poll, now: u64) -> bool {
+    pub fn read_pending(&mut self, poll: &mut Poll, now: u64) -> bool {
         let (changes, mut updated) = (self.tracker.change_count(), false);
         let mut buffer = std::mem::take(&mut self.receive_buffer);
         for index in 0..self.channels.len() {
@@ -353,8 +359,8 @@
     fn handle_list(&mut self, now: u64, queried_at: u64, answer: dns::Answer, message: &[u8]) -> bool {
         let executors_in_use = self.tracker.in_use().len();
         let (serial, unchecked) = (u64::from(answer.serial), answer.executors.clone());
-        let (executors, merged) = match self.checker.judge(now, answer.executors, executors_in_use) {
-            Verdict::Take { executors, merged } => (executors, merged),
+        let (executors, merged) = match self.checker.validate(now, answer.executors, executors_in_use) {
+            Verdict::Accept { executors, merged } => (executors, merged),
             Verdict::Refuse { doubt, first } => {
                 self.log_refusal(&doubt, first, message.len());
                 return self.tracker.apply_drains(now, &unchecked, queried_at >= self.confirmed_at);
@@ -435,9 +441,9 @@
 
     fn log_change(&self) {
         let readiness_by_id = |list: &[Executor]| -> HashMap<_, _> {
-            list.iter().map(|e| (e.id.clone(), e.state == State::Ready)).collect()
+            list.iter().map(|e| (e.id.clone(), e.state == ExecutorState::Ready)).collect()
         };
-        let (old, new) = (readiness_by_id(self.tracker.previous()), readiness_by_id(self.in_use()));
+        let (old, new) = (readiness_by_id(self.tracker.previous()), readiness_by_id(self.executors()));
         let is_ready = |list: &HashMap<_, bool>, id| list.get(id) == Some(&true);
         let ended = old.keys().filter(|id| is_ready(&old, *id) && !is_ready(&new, *id));
         let begun = new.keys().filter(|id| is_ready(&new, *id) && !is_ready(&old, *id));
--- a/src/names/tracker.rs
+++ b/src/names/tracker.rs
@@ -16,7 +16,7 @@
 //! A list that did not come from the service (the configuration's, a predecessor's, a peer's) is provisional: it stays
 //! accepted until the service answers. State is bounded by the list itself and [`MAX_UNLISTED_QUARANTINES`].
 
-use super::{Executor, State};
+use super::{Executor, ExecutorState};
 use crate::api::WorkerId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -252,7 +252,7 @@
 
     fn accept(&mut self, list: ReceivedList) {
         let known: HashSet<&WorkerId> = self.in_use.iter().map(|e| &e.id).collect();
-        for executor in list.executors.iter().filter(|e| e.state == State::Ready) {
+        for executor in list.executors.iter().filter(|e| e.state == ExecutorState::Ready) {
             if !known.contains(&executor.id) {
                 let quarantine =
                     Quarantine { reason: QuarantineReason::New, since: list.received_at, confirmations: 0 };
@@ -279,14 +279,14 @@
 
     /// Quarantines the workers that a list has as draining and, if `absent_is_drained`, those that it does not contain.
     fn quarantine_drained(&mut self, now: u64, executors: &[Executor], absent_is_drained: bool) {
-        let states: HashMap<&WorkerId, State> = executors.iter().map(|e| (&e.id, e.state)).collect();
-        for (id, _) in states.iter().filter(|(_, state)| **state == State::Draining) {
+        let states: HashMap<&WorkerId, ExecutorState> = executors.iter().map(|e| (&e.id, e.state)).collect();
+        for (id, _) in states.iter().filter(|(_, state)| **state == ExecutorState::Draining) {
             self.quarantine_as_drained(now, id);
         }
         if !absent_is_drained {
             return;
         }
-        let listed = self.in_use.iter().filter(|e| e.state == State::Ready).map(|e| &e.id);
+        let listed = self.in_use.iter().filter(|e| e.state == ExecutorState::Ready).map(|e| &e.id);
         let absent = listed.chain(&self.unconfirmed).filter(|id| !states.contains_key(id));
         let absent: Vec<WorkerId> = absent.cloned().collect();
         for id in absent {
@@ -314,9 +314,10 @@
 
     /// Recomputes the list in use from the accepted list and the quarantines. Returns whether it differs.
     fn update_in_use(&mut self) -> bool {
-        let before: HashMap<&WorkerId, State> = self.in_use.iter().map(|e| (&e.id, e.state)).collect();
-        let was_ready = |id: &WorkerId| before.get(id) == Some(&State::Ready);
-        let ready = |e: &&Executor| e.state == State::Ready;
+        let before: HashMap<&WorkerId, ExecutorState> =
+            self.in_use.iter().map(|e| (&e.id, e.state)).collect();
+        let was_ready = |id: &WorkerId| before.get(id) == Some(&ExecutorState::Ready);
+        let ready = |e: &&Executor| e.state == ExecutorState::Ready;
         // New workers are used unconfirmed if there is no other: refusing all requests would be worse.
         let mut ready_workers = self.accepted.executors.iter().filter(ready);
         let none_confirmed = !ready_workers.any(|e| !self.quarantines.contains_key(&e.id));
@@ -324,13 +325,14 @@
         for executor in &self.accepted.executors {
             let state = match self.quarantines.get(&executor.id).map(|q| q.reason) {
                 None => executor.state,
-                Some(QuarantineReason::Drained) => State::Draining,
+                Some(QuarantineReason::Drained) => ExecutorState::Draining,
                 Some(QuarantineReason::New) if was_ready(&executor.id) || none_confirmed => executor.state,
                 Some(QuarantineReason::New) => continue,
             };
             in_use.push(Executor { state, ..executor.clone() });
         }
-        let unconfirmed = |e: &&Executor| e.state == State::Ready && self.quarantines.contains_key(&e.id);
+        let unconfirmed =
+            |e: &&Executor| e.state == ExecutorState::Ready && self.quarantines.contains_key(&e.id);
         self.unconfirmed = self.accepted.executors.iter().filter(unconfirmed).map(|e| e.id.clone()).collect();
         let changed = in_use != self.in_use;
         if changed {
--- a/src/names/tracker/tests.rs
+++ b/src/names/tracker/tests.rs
@@ -3,10 +3,10 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::net::SocketAddr;
 
-const READY: State = State::Ready;
-const DRAINING: State = State::Draining;
+const READY: ExecutorState = ExecutorState::Ready;
+const DRAINING: ExecutorState = ExecutorState::Draining;
 
-fn worker(id: &str, state: State) -> Executor {
+fn worker(id: &str, state: ExecutorState) -> Executor {
     Executor {
         id: id.into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9_000)),
@@ -18,12 +18,12 @@
     }
 }
 
-fn workers(states: &[(&str, State)]) -> Vec<Executor> {
+fn workers(states: &[(&str, ExecutorState)]) -> Vec<Executor> {
     states.iter().map(|(id, state)| worker(id, *state)).collect()
 }
 
 /// A list that was queried at `at` and arrived 1 ms later.
-fn list(serial: u64, at: u64, states: &[(&str, State)]) -> ReceivedList {
+fn list(serial: u64, at: u64, states: &[(&str, ExecutorState)]) -> ReceivedList {
     ReceivedList { serial, executors: workers(states), queried_at: at, received_at: at + 1_000 }
 }
 
@@ -33,7 +33,7 @@
     ready.map(|e| e.id.to_string()).collect()
 }
 
-fn tracker(states: &[(&str, State)]) -> ListTracker {
+fn tracker(states: &[(&str, ExecutorState)]) -> ListTracker {
     ListTracker::new(0, 1, workers(states))
 }
 
@@ -173,7 +173,7 @@
     let mut tracker = tracker(&[]);
     for round in 0..400u64 {
         let ids: Vec<String> = (0..100).map(|n| format!("s{round}-{n}")).collect();
-        let states: Vec<(&str, State)> = ids.iter().map(|id| (id.as_str(), READY)).collect();
+        let states: Vec<(&str, ExecutorState)> = ids.iter().map(|id| (id.as_str(), READY)).collect();
         tracker.apply(list(round + 2, round * 1_000 * MS, &states));
         assert!(
             tracker.quarantines.len() <= MAX_UNLISTED_QUARANTINES + 200,
@@ -190,7 +190,7 @@
     for seed in 0..2_000u64 {
         let mut random = Pcg32::seed_from_u64(seed);
         let ids = ["a", "b", "c", "d", "e", "f"];
-        let mut truth: Vec<(&str, State)> = ids[..3].iter().map(|id| (*id, READY)).collect();
+        let mut truth: Vec<(&str, ExecutorState)> = ids[..3].iter().map(|id| (*id, READY)).collect();
         let mut history = vec![(101u64, truth.clone()), (1, truth.clone())];
         let mut tracker = ListTracker::new(0, 1, workers(&truth));
         let (mut serial, mut next_new, mut removed) = (1u64, 3, Vec::<&str>::new());
--- a/src/node.rs
+++ b/src/node.rs
@@ -173,13 +173,13 @@
         let pool = Pool::new(EXECUTORS, pool_limits, counters.clone());
         let service = crate::config::SERVICE;
         let (serial, executors) = std::mem::take(&mut config.known);
-        let start = names::Start { serial, executors, seed: config.seed, now };
+        let start = names::InitialList { serial, executors, seed: config.seed, now };
         let resolver = Resolver::new(&mut poll, NAMES, config.names, service, start, counters.clone())?;
         let thrift = thrift::Front::new(THRIFT, listener, front_limits, counters.clone());
         let door = |ops| Door::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
         let door = config.ops.map(door).transpose()?;
         let bans = Bans::open(config.folder.as_ref().map(|f| f.join("bans")));
-        let executors = resolver.in_use().to_vec();
+        let executors = resolver.executors().to_vec();
         let mut node = Node {
             poll,
             clock,
@@ -326,7 +326,7 @@
             self.stations.as_ref().map_or(u64::MAX, stations::Front::due),
             self.peers_deadline().min(self.overload_deadline()).min(self.zones_deadline()),
         ]);
-        deadlines.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.due())
+        deadlines.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.next_query_at())
     }
 
     /// Returns the counters as one line.
@@ -342,7 +342,7 @@
     fn handle_ready(&mut self, ready: Ready) {
         match ready.token.owner {
             NAMES => {
-                if self.resolver.ready(&mut self.poll, self.now, ready) {
+                if self.resolver.handle_event(&mut self.poll, self.now, ready) {
                     self.list_changed();
                 }
                 self.list_known |= self.counters.dns_answers.get() > 0;
--- a/src/node/beside.rs
+++ b/src/node/beside.rs
@@ -107,8 +107,8 @@
         }
         self.ever_listed.extend(state.ever_listed.into_iter().take(MAX_LISTED_IDS));
         self.ban_lifted_at.extend(state.ban_lifted_at);
-        if self.resolver.offer(self.now, "predecessor", state.serial, state.executors) {
-            self.executors = self.resolver.in_use().to_vec();
+        if self.resolver.offer_list(self.now, "predecessor", state.serial, state.executors) {
+            self.executors = self.resolver.executors().to_vec();
         }
         self.list_known = true;
         self.apply_settings(&new_places);
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -62,7 +62,7 @@
         if !self.pool.has_held_writes() {
             return;
         }
-        if self.resolver.read(&mut self.poll, self.now) {
+        if self.resolver.read_pending(&mut self.poll, self.now) {
             self.list_changed();
         }
         self.pool.mark_list_read();
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -6,7 +6,7 @@
 use super::Node;
 use crate::api::{WorkerEntry, WorkerId};
 use crate::counters::count;
-use crate::names::{Executor, State};
+use crate::names::{Executor, ExecutorState};
 use std::collections::BTreeSet;
 
 /// The most executor ids remembered as having been listed.
@@ -26,7 +26,7 @@
     /// Takes the resolver's list into use.
     pub(super) fn list_changed(&mut self) {
         count(&self.counters.lists_applied);
-        self.executors = self.resolver.in_use().to_vec();
+        self.executors = self.resolver.executors().to_vec();
         self.publish_list();
     }
 
@@ -41,7 +41,7 @@
         let (bans, version_bans) = (&self.bans, &self.version_bans);
         let with_bans = |e: &Executor| Executor {
             state: if bans.contains(&e.id) || version_bans.contains(&e.id) {
-                State::Draining
+                ExecutorState::Draining
             } else {
                 e.state
             },
@@ -55,7 +55,7 @@
         self.record_first_listed();
         let listing = |e: &Executor| -> WorkerEntry {
             let ready_at = self.started_at(e).max(self.ban_lifted_at.get(&e.id).copied());
-            self.settings.vocabulary.listing(e, ready_at)
+            self.settings.vocabulary.to_entry(e, ready_at)
         };
         let entries = executors.iter().map(listing).collect();
         if let Some(overload) = &mut self.overload {
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -134,8 +134,8 @@
             learned,
             "the name service is silent: goes on from a peer's list"
         );
-        self.resolver.offer(self.now, "peer", state.serial, state.executors);
-        (self.executors, self.list_known) = (self.resolver.in_use().to_vec(), true);
+        self.resolver.offer_list(self.now, "peer", state.serial, state.executors);
+        (self.executors, self.list_known) = (self.resolver.executors().to_vec(), true);
         self.apply_settings(&[]);
         self.publish_list();
     }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -75,12 +75,12 @@
     pub(super) fn adopt_config(&mut self, mut config: Config) -> Result<(), ReloadError> {
         config.replaces(&self.config)?;
         self.overlay_running_version(&mut config)?;
-        self.resolver.move_to(&mut self.poll, config.names).map_err(ReloadError::Names)?;
+        self.resolver.set_server(&mut self.poll, config.names).map_err(ReloadError::Names)?;
         let (serial, executors) = std::mem::take(&mut config.known);
         self.config = config;
         self.adopt_settings();
         self.update_own_file();
-        if self.resolver.offer(self.now, "configuration", serial, executors) {
+        if self.resolver.offer_list(self.now, "configuration", serial, executors) {
             self.list_changed();
         } else {
             self.publish_list();
--- a/src/peers/starting.rs
+++ b/src/peers/starting.rs
@@ -5,7 +5,7 @@
 //! judged, so that no peer can keep the real list out.
 
 use crate::api::Micros;
-use crate::names::{Executor, MOST_EXECUTORS, MOST_ID_BYTES};
+use crate::names::{Executor, MAX_EXECUTORS, MAX_ID_BYTES};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -63,9 +63,9 @@
     pub fn offered(&mut self, now: Micros, mut offer: Offer) -> bool {
         self.open.remove(&offer.from);
         let mut ids = BTreeSet::new();
-        let named = |e: &Executor| (1..=MOST_ID_BYTES).contains(&e.id.len());
+        let named = |e: &Executor| (1..=MAX_ID_BYTES).contains(&e.id.len());
         let sound = !offer.executors.is_empty()
-            && offer.executors.len() <= MOST_EXECUTORS
+            && offer.executors.len() <= MAX_EXECUTORS
             && offer.age <= OLD
             && offer.executors.iter().all(|e| named(e) && ids.insert(e.id.clone()));
         if !sound {
--- a/src/peers/starting/tests.rs
+++ b/src/peers/starting/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::names::State;
+use crate::names::ExecutorState;
 
 fn offer(from: &str, serial: u64, ports: &[u16]) -> Offer {
     let executor = |port: &u16| Executor {
@@ -8,7 +8,7 @@
         zone: "a".into(),
         kind: "std".into(),
         cell: 0,
-        state: State::Ready,
+        state: ExecutorState::Ready,
         started_ms: 0,
     };
     Offer { from: from.into(), serial, age: 0, executors: ports.iter().map(executor).collect() }
--- a/src/versions/rules.rs
+++ b/src/versions/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::api::Effect;
 use crate::config::{DRAIN_GRACE, Parts, Settings};
-use crate::names::Vocabulary;
+use crate::names::ZoneAndKindNames;
 use ochreward_stream::wire::Fault;
 use std::collections::BTreeSet;
 
@@ -180,7 +180,7 @@
 
 /// Checks that zones and kinds keep their places: they are identified by these, so one that moved would be mistaken for
 /// another.
-fn check_vocabulary(faults: &mut Faults, old: &Vocabulary, new: &Vocabulary) {
+fn check_vocabulary(faults: &mut Faults, old: &ZoneAndKindNames, new: &ZoneAndKindNames) {
     for (key, old, new) in [("zones", &old.zones, &new.zones), ("kinds", &old.kinds, &new.kinds)] {
         let keeps_places = old.iter().zip(new).all(|(o, n)| o == n) && new.len() >= old.len();
         faults.require(
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::names::State;
+use crate::names::ExecutorState;
 
 const MS: Micros = 1_000;
 
@@ -17,7 +17,7 @@
         zone: zone.into(),
         kind: "std".into(),
         cell: 0,
-        state: State::Ready,
+        state: ExecutorState::Ready,
         started_ms: 0,
     };
     let list: Vec<Executor> = ["a", "b"].iter().flat_map(|z| (0..2).map(move |n| executor(z, n))).collect();
