--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -244,18 +244,18 @@
     )
     .map_err(io_error("can't start"))?;
     let address = node.address().map_or_else(String::new, |a| a.to_string());
-    if let Some(door) = node.door() {
+    if let Some(door) = node.admin_address() {
         say(format_args!("ochreward {name} answers operators on {door}"));
     }
-    if let Some(stations) = node.stations() {
+    if let Some(stations) = node.station_address() {
         say(format_args!("ochreward {name} takes stations on {stations}"));
     }
-    if let Some(peers) = node.peers() {
+    if let Some(peers) = node.peer_address() {
         say(format_args!("ochreward {name} meets others on {peers}"));
     }
     say(format_args!("ochreward {name} serves on {address}"));
     node.run().map_err(io_error("the loop ended"))?;
-    say(node.counters());
+    say(node.counters_line());
     Ok(())
 }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -91,7 +91,7 @@
     peers: Option<Peers>,
     overload: Option<Overload>,
     zones: Option<Zones>,
-    door: Option<Door>,
+    admin: Option<Door>,
     bans: Bans,
     /// When the bans are next reread, while another process runs.
     next_bans_read: u64,
@@ -201,7 +201,7 @@
             peers: None,
             overload: overload_options.map(|o| Overload::new(o, now << 12 | config.seed & 0xfff, now)),
             zones: None,
-            door,
+            admin: door,
             bans,
             next_bans_read: now,
             list_known: !handover.other_process_runs() && !executors.is_empty(),
@@ -240,17 +240,17 @@
     }
 
     /// Returns the address that stations connect to.
-    pub fn stations(&self) -> Option<std::net::SocketAddr> {
+    pub fn station_address(&self) -> Option<std::net::SocketAddr> {
         self.stations.as_ref().and_then(stations::Front::address)
     }
 
     /// Returns the address of the operators' HTTP interface.
-    pub fn door(&self) -> Option<std::net::SocketAddr> {
-        self.door.as_ref().and_then(Door::address)
+    pub fn admin_address(&self) -> Option<std::net::SocketAddr> {
+        self.admin.as_ref().and_then(Door::address)
     }
 
     /// Returns the address at which other dispatchers reach this one.
-    pub fn peers(&self) -> Option<std::net::SocketAddr> {
+    pub fn peer_address(&self) -> Option<std::net::SocketAddr> {
         self.peers.as_ref().map(Peers::address)
     }
 
@@ -291,7 +291,7 @@
             self.pool.advance(self.now);
             self.thrift.advance(&mut self.poll, self.now);
             self.resolver.advance(&mut self.poll, self.now);
-            if let Some(door) = &mut self.door {
+            if let Some(door) = &mut self.admin {
                 door.advance(&mut self.poll, self.now);
             }
             self.advance_handover();
@@ -317,7 +317,7 @@
     fn next_deadline(&self) -> u64 {
         let shutdown = self.shutdown_deadline();
         let bans = Some(self.next_bans_read).filter(|_| self.handover.other_process_runs());
-        let door = self.door.as_ref().map(Door::due);
+        let door = self.admin.as_ref().map(Door::due);
         let optional =
             [self.engine.next_timer_at(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
         let deadlines = optional.into_iter().flatten().chain([
@@ -330,7 +330,7 @@
     }
 
     /// Returns the counters as one line.
-    pub fn counters(&self) -> String {
+    pub fn counters_line(&self) -> String {
         self.counters.log_events_dropped.set(crate::logs::dropped());
         if let Some(stream) = &self.stream {
             stream.update_staleness(self.clock.read());
@@ -371,7 +371,7 @@
         for request in self.signals.asked() {
             match request {
                 Wish::Stop => self.start_shutdown(),
-                Wish::Print => say(self.counters()),
+                Wish::Print => say(self.counters_line()),
                 Wish::Reload => self.reload(),
             }
         }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -23,7 +23,7 @@
 
     /// Handles a ready descriptor of the operators' interface.
     pub(super) fn handle_operators_ready(&mut self, ready: Ready) {
-        if let Some(door) = &mut self.door {
+        if let Some(door) = &mut self.admin {
             door.ready(&mut self.poll, self.now, ready);
             self.answer_operators();
         }
@@ -31,7 +31,7 @@
 
     /// Carries out the orders that operators have sent, and answers them.
     pub(super) fn answer_operators(&mut self) {
-        let Some(door) = &mut self.door else { return };
+        let Some(door) = &mut self.admin else { return };
         // Before the predecessor's state has arrived, this process does not have the ids that were listed there, so orders
         // about executors wait.
         let handover_pending = self.handover.awaits_state();
@@ -62,7 +62,7 @@
                 Order::Detach(id) => self.detach(&id),
                 Order::Attach(id) => self.attach(&id),
             };
-            if let Some(door) = &mut self.door {
+            if let Some(door) = &mut self.admin {
                 door.answer(&self.poll, self.now, token, status, &text);
             }
         }
