--- a/src/handover.rs
+++ b/src/handover.rs
@@ -27,14 +27,15 @@
 
 /// The state that a process hands over to its successor, or to a peer that is starting.
 #[derive(Serialize, Deserialize)]
-pub struct Word {
+pub struct HandoverState {
     #[serde(rename = "form")]
     format: u32,
     /// The mark of the successor that it is for.
     #[serde(rename = "to")]
     recipient_mark: String,
     /// The sender's clock when the state was taken, in microseconds.
-    pub now: u64,
+    #[serde(rename = "now")]
+    pub clock_us: u64,
     /// The serial of the executor list.
     pub serial: u64,
     /// The executor list.
@@ -51,7 +52,8 @@
     pub learned: LearnedState,
     /// The age of the list: the time since the name service was last heard, in microseconds.
     #[serde(default)]
-    pub age: u64,
+    #[serde(rename = "age")]
+    pub list_age_us: u64,
 }
 
 /// A change in the relation of the two processes.
@@ -61,7 +63,7 @@
     /// The successor has ended without taking over.
     SuccessorGone,
     /// The old process's state has arrived.
-    StateReceived(Box<Word>),
+    StateReceived(Box<HandoverState>),
     /// The old process's state did not arrive in time.
     StateMissed,
     /// The old process has ended: this is the only one now.
@@ -201,7 +203,7 @@
     }
 
     /// Writes the state for the successor that waits for it.
-    pub fn write_state(&self, mut state: Word) -> io::Result<()> {
+    pub fn write_state(&self, mut state: HandoverState) -> io::Result<()> {
         let Some(folder) = &self.folder else { return Ok(()) };
         state.recipient_mark = self.answered_mark.clone();
         let text = serde_json::to_vec(&state)?;
@@ -247,30 +249,30 @@
     }
 
     /// Reads the old process's state. A file that is incomplete, of another format or for another process counts as none.
-    fn read_state(&self) -> Option<Word> {
+    fn read_state(&self) -> Option<HandoverState> {
         let path = self.folder.as_ref()?.join("handover");
         if fs::metadata(&path).ok()?.len() > MAX_STATE_BYTES {
             return None;
         }
-        let state: Word = serde_json::from_slice(&fs::read(path).ok()?).ok()?;
+        let state: HandoverState = serde_json::from_slice(&fs::read(path).ok()?).ok()?;
         (state.format == STATE_FORMAT && state.recipient_mark == self.mark).then_some(state)
     }
 }
 
-impl Word {
+impl HandoverState {
     /// Creates a state without an executor list, of what was learned for classes by these names.
-    pub fn new(now: u64, classes: Vec<String>, learned: LearnedState) -> Word {
-        Word {
+    pub fn new(now: u64, classes: Vec<String>, learned: LearnedState) -> HandoverState {
+        HandoverState {
             format: STATE_FORMAT,
             recipient_mark: String::new(),
-            now,
+            clock_us: now,
             serial: 0,
             executors: vec![],
             ever_listed: vec![],
             ban_lifted_at: vec![],
             classes,
             learned,
-            age: 0,
+            list_age_us: 0,
         }
     }
 
@@ -280,7 +282,7 @@
     }
 
     /// Reads another member's state. Its content is not trusted: what is not of this format gives `None`.
-    pub fn read(bytes: &[u8]) -> Option<Word> {
-        serde_json::from_slice(bytes).ok().filter(|state: &Word| state.format == STATE_FORMAT)
+    pub fn read(bytes: &[u8]) -> Option<HandoverState> {
+        serde_json::from_slice(bytes).ok().filter(|state: &HandoverState| state.format == STATE_FORMAT)
     }
 }
--- a/src/node/beside.rs
+++ b/src/node/beside.rs
@@ -7,7 +7,7 @@
 use super::listing::MAX_LISTED_IDS;
 use crate::api::Class;
 use crate::counters::count;
-use crate::handover::{HandoverEvent, Word};
+use crate::handover::{HandoverEvent, HandoverState};
 use std::collections::BTreeSet;
 use tracing::{info, warn};
 
@@ -80,7 +80,7 @@
 
     /// Writes this process's state for the successor.
     fn send_state_to_successor(&mut self) {
-        let mut state = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
+        let mut state = HandoverState::new(self.now, self.settings.classes.clone(), self.engine.learned());
         (state.serial, state.executors) = (self.resolver.serial(), self.executors.clone());
         state.ever_listed = self.ever_listed.iter().cloned().collect();
         state.ban_lifted_at = self.ban_lifted_at.iter().map(|(id, at)| (id.clone(), *at)).collect();
@@ -94,8 +94,8 @@
     }
 
     /// Continues from the predecessor's state.
-    fn adopt_predecessor_state(&mut self, state: Word) {
-        self.clock.catch_up(state.now);
+    fn adopt_predecessor_state(&mut self, state: HandoverState) {
+        self.clock.catch_up(state.clock_us);
         self.now = self.now.max(self.clock.read());
         let mut new_places = Vec::new();
         if self.engine.restore(self.now, state.learned) {
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -5,7 +5,7 @@
 
 use super::{Node, PEERS};
 use crate::counters::count;
-use crate::handover::Word;
+use crate::handover::HandoverState;
 use crate::peers::{Peers, Start};
 use ochreward_membership::Serving;
 use std::io;
@@ -94,10 +94,10 @@
         if !peers.wants_word(&self.poll, self.now) {
             return;
         }
-        let mut state = Word::new(self.now, self.settings.classes.clone(), self.engine.learned());
+        let mut state = HandoverState::new(self.now, self.settings.classes.clone(), self.engine.learned());
         if self.list_known {
             (state.serial, state.executors) = (self.resolver.serial(), self.executors.clone());
-            state.age = self.now.saturating_sub(self.names_heard_at);
+            state.list_age_us = self.now.saturating_sub(self.names_heard_at);
         }
         peers.give_word(&self.poll, self.now, state.to_json());
     }
@@ -121,7 +121,7 @@
         }
         let Some(peers) = &mut self.peers else { return };
         let Some((from, state)) = peers.seek_list(&mut self.poll, self.now) else { return };
-        let clock_ahead = state.now.saturating_sub(self.now);
+        let clock_ahead = state.clock_us.saturating_sub(self.now);
         let same_classes = state.classes == self.settings.classes;
         let learned = same_classes.then(|| state.learned.from_peer(clock_ahead)).flatten();
         let learned = learned.is_some_and(|l| self.engine.restore(self.now, l));
@@ -129,7 +129,7 @@
             instance = self.config.name,
             peer = &*from,
             serial = state.serial,
-            age_ms = state.age / 1_000,
+            age_ms = state.list_age_us / 1_000,
             executors = state.executors.len(),
             learned,
             "the name service is silent: goes on from a peer's list"
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::api::WorkerId;
 use crate::counters::{Counters, add, count};
-use crate::handover::Word;
+use crate::handover::HandoverState;
 use crate::net::{Interest, Poll, Ready, Token};
 use exchange::Exchange;
 use hints::Hints;
@@ -80,7 +80,7 @@
     looks: Vec<WorkerId>,
     /// The search for a list while the name service is silent, and the words that came.
     starting: Starting,
-    words: BTreeMap<Arc<str>, Word>,
+    words: BTreeMap<Arc<str>, HandoverState>,
     rng: Pcg32,
     division: Option<Division>,
     /// The machine has taken or done something since the division was last looked at.
@@ -298,13 +298,13 @@
     // ---- The list of executors from a peer ----
 
     /// Looks for a list among peers, the name service having been silent; a word that is to be taken.
-    pub fn seek_list(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, Word)> {
+    pub fn seek_list(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, HandoverState)> {
         for (from, line) in std::mem::take(&mut self.exchange.outcomes) {
-            let Some(word) = line.and_then(|l| Word::read(&l)) else {
+            let Some(word) = line.and_then(|l| HandoverState::read(&l)) else {
                 self.starting.failed(&from);
                 continue;
             };
-            let (serial, age, executors) = (word.serial, word.age, word.executors.clone());
+            let (serial, age, executors) = (word.serial, word.list_age_us, word.executors.clone());
             // Danger: words are large. One that finds no place is as good as not told.
             let room = self.words.len() < MOST_WORDS || self.words.contains_key(&from);
             if !room {
