--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -28,7 +28,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum AdminCommand {
     /// Whether this process is ready to serve.
     Ready,
     /// To leave an executor out.
@@ -53,7 +53,7 @@
 }
 
 /// The door.
-pub struct Door {
+pub struct AdminEndpoint {
     owner: u8,
     listener: Listener,
     callers: Slab<Caller>,
@@ -62,10 +62,10 @@
     paused_until: Option<u64>,
     counters: Rc<Counters>,
     /// Calls that wait for their answer.
-    pub orders: Vec<(Token, Order)>,
+    pub commands: Vec<(Token, AdminCommand)>,
 }
 
-impl Door {
+impl AdminEndpoint {
     /// Listens on the address, with so many places for callers.
     pub fn new(
         poll: &mut Poll,
@@ -73,11 +73,20 @@
         address: SocketAddr,
         places: usize,
         counters: Rc<Counters>,
-    ) -> io::Result<Door> {
+    ) -> io::Result<AdminEndpoint> {
         let listener = Listener::bind(poll, owner, address)?;
         let (callers, orders) = (Slab::new(), Vec::new());
         let (spares, paused_until) = (Vec::new(), None);
-        let mut door = Door { owner, listener, callers, places, spares, paused_until, counters, orders };
+        let mut door = AdminEndpoint {
+            owner,
+            listener,
+            callers,
+            places,
+            spares,
+            paused_until,
+            counters,
+            commands: orders,
+        };
         door.refill();
         Ok(door)
     }
@@ -168,7 +177,7 @@
     fn call(&mut self, poll: &Poll, now: u64, token: Token, asked: &Asked) {
         count(&self.counters.door_calls);
         match order(asked) {
-            Ok(order) => self.orders.push((token, order)),
+            Ok(order) => self.commands.push((token, order)),
             Err((status, why)) => self.answer(poll, now, token, status, why),
         }
     }
@@ -229,7 +238,7 @@
 }
 
 /// What a call asks for; else the status and the words of a no.
-fn order(asked: &Asked) -> Result<Order, (u16, &'static str)> {
+fn order(asked: &Asked) -> Result<AdminCommand, (u16, &'static str)> {
     const UNKNOWN: (u16, &str) = (404, "no such call");
     let path = asked.path.split(['?', '#']).next().unwrap_or_default();
     let worker = |id: &str| {
@@ -238,12 +247,16 @@
     };
     let method = asked.method.as_str();
     if path == "/_ready" {
-        return if matches!(method, "GET" | "HEAD") { Ok(Order::Ready) } else { Err((405, "GET is wanted")) };
+        return if matches!(method, "GET" | "HEAD") {
+            Ok(AdminCommand::Ready)
+        } else {
+            Err((405, "GET is wanted"))
+        };
     }
     let asks = match path {
-        "/_peers" => Some(Order::Peers),
-        "/_budgets" => Some(Order::Budgets),
-        "/_zones" => Some(Order::Zones),
+        "/_peers" => Some(AdminCommand::Peers),
+        "/_budgets" => Some(AdminCommand::Budgets),
+        "/_zones" => Some(AdminCommand::Zones),
         _ => None,
     };
     if let Some(order) = asks {
@@ -255,15 +268,15 @@
     }
     let (verb, id) = path.strip_prefix("/_executors/").and_then(|p| p.split_once('/')).ok_or(UNKNOWN)?;
     let order = match verb {
-        "detach" => Order::Detach(worker(id)?),
-        "attach" => Order::Attach(worker(id)?),
+        "detach" => AdminCommand::Detach(worker(id)?),
+        "attach" => AdminCommand::Attach(worker(id)?),
         _ => return Err(UNKNOWN),
     };
     if method == "PUT" { Ok(order) } else { Err((405, "PUT is wanted")) }
 }
 
 /// A word on a zone: `leave/ZONE/SECONDS`, `stay/ZONE/SECONDS`, or `follow/ZONE`, which takes such a word back.
-fn zone(words: &str) -> Option<Order> {
+fn zone(words: &str) -> Option<AdminCommand> {
     let parts: Vec<&str> = words.split('/').collect();
     let seconds =
         |text: &str| text.parse::<u64>().ok().filter(|s| *s > 0).map(|s| s.saturating_mul(1_000_000));
@@ -273,7 +286,7 @@
         ["follow", zone] => (zone, None),
         _ => return None,
     };
-    Some(Order::Zone(http::unescape(name).filter(|n| !n.is_empty())?, order))
+    Some(AdminCommand::Zone(http::unescape(name).filter(|n| !n.is_empty())?, order))
 }
 
 #[cfg(test)]
--- a/src/door/tests.rs
+++ b/src/door/tests.rs
@@ -3,13 +3,13 @@
 #[test]
 fn each_call_is_told_from_what_is_none() {
     let of = |method: &str, path: &str| order(&Asked { method: method.into(), path: path.into() });
-    assert_eq!(of("GET", "/_ready"), Ok(Order::Ready));
-    assert_eq!(of("GET", "/_peers"), Ok(Order::Peers));
-    let leave = Order::Zone("zone-b".into(), Some((zones::Order::Leave, 90_000_000)));
+    assert_eq!(of("GET", "/_ready"), Ok(AdminCommand::Ready));
+    assert_eq!(of("GET", "/_peers"), Ok(AdminCommand::Peers));
+    let leave = AdminCommand::Zone("zone-b".into(), Some((zones::Order::Leave, 90_000_000)));
     assert_eq!(of("PUT", "/_zones/leave/zone-b/90"), Ok(leave));
-    assert_eq!(of("PUT", "/_zones/follow/zone-b"), Ok(Order::Zone("zone-b".into(), None)));
-    assert_eq!(of("PUT", "/_executors/detach/s-1"), Ok(Order::Detach("s-1".into())));
-    assert_eq!(of("PUT", "/_executors/attach/s%2D1"), Ok(Order::Attach("s-1".into())));
+    assert_eq!(of("PUT", "/_zones/follow/zone-b"), Ok(AdminCommand::Zone("zone-b".into(), None)));
+    assert_eq!(of("PUT", "/_executors/detach/s-1"), Ok(AdminCommand::Detach("s-1".into())));
+    assert_eq!(of("PUT", "/_executors/attach/s%2D1"), Ok(AdminCommand::Attach("s-1".into())));
     let no = [
         ("PUT", "/_zones", 405),
         ("GET", "/_zones/leave/a/9", 405),
--- a/src/node.rs
+++ b/src/node.rs
@@ -10,7 +10,7 @@
 use crate::config::{Config, Settings};
 use crate::core::Engine;
 use crate::counters::{Counters, most, say};
-use crate::door::Door;
+use crate::door::AdminEndpoint;
 use crate::executor::Pool;
 use crate::front::{mqtt, stations, thrift};
 use crate::handover::Handover;
@@ -91,7 +91,7 @@
     peers: Option<Peers>,
     overload: Option<Overload>,
     zones: Option<Zones>,
-    admin: Option<Door>,
+    admin: Option<AdminEndpoint>,
     bans: Bans,
     /// When the bans are next reread, while another process runs.
     next_bans_read: u64,
@@ -176,7 +176,7 @@
         let start = names::InitialList { serial, executors, seed: config.seed, now };
         let resolver = Resolver::new(&mut poll, NAMES, config.names, service, start, counters.clone())?;
         let thrift = thrift::Front::new(THRIFT, listener, front_limits, counters.clone());
-        let door = |ops| Door::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
+        let door = |ops| AdminEndpoint::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
         let door = config.ops.map(door).transpose()?;
         let bans = Bans::open(config.folder.as_ref().map(|f| f.join("bans")));
         let executors = resolver.executors().to_vec();
@@ -246,7 +246,7 @@
 
     /// Returns the address of the operators' HTTP interface.
     pub fn admin_address(&self) -> Option<std::net::SocketAddr> {
-        self.admin.as_ref().and_then(Door::address)
+        self.admin.as_ref().and_then(AdminEndpoint::address)
     }
 
     /// Returns the address at which other dispatchers reach this one.
@@ -317,7 +317,7 @@
     fn next_deadline(&self) -> u64 {
         let shutdown = self.shutdown_deadline();
         let bans = Some(self.next_bans_read).filter(|_| self.handover.other_process_runs());
-        let door = self.admin.as_ref().map(Door::due);
+        let door = self.admin.as_ref().map(AdminEndpoint::due);
         let optional =
             [self.engine.next_timer_at(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
         let deadlines = optional.into_iter().flatten().chain([
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -6,7 +6,7 @@
 use super::Node;
 use crate::api::WorkerId;
 use crate::counters::count;
-use crate::door::Order;
+use crate::door::AdminCommand;
 use crate::net::{Ready, Token};
 use tracing::info;
 
@@ -35,32 +35,36 @@
         // Before the predecessor's state has arrived, this process does not have the ids that were listed there, so orders
         // about executors wait.
         let handover_pending = self.handover.awaits_state();
-        let (deferred, orders) = std::mem::take(&mut door.orders).into_iter().partition(|(_, o)| {
-            handover_pending && !matches!(o, Order::Ready | Order::Peers | Order::Budgets | Order::Zones)
+        let (deferred, orders) = std::mem::take(&mut door.commands).into_iter().partition(|(_, o)| {
+            handover_pending
+                && !matches!(
+                    o,
+                    AdminCommand::Ready | AdminCommand::Peers | AdminCommand::Budgets | AdminCommand::Zones
+                )
         });
-        door.orders = deferred;
-        let orders: Vec<(Token, Order)> = orders;
+        door.commands = deferred;
+        let orders: Vec<(Token, AdminCommand)> = orders;
         for (token, order) in orders {
             let (status, text) = match order {
-                Order::Ready if self.is_ready() => (200, "ready".to_string()),
-                Order::Ready => (503, "not ready".to_string()),
-                Order::Peers => match &self.peers {
+                AdminCommand::Ready if self.is_ready() => (200, "ready".to_string()),
+                AdminCommand::Ready => (503, "not ready".to_string()),
+                AdminCommand::Peers => match &self.peers {
                     Some(peers) => (200, crate::peers::report(peers, self.now).to_string()),
                     None => {
                         (404, "this dispatcher has no peers: no [peers] in its operator's file".to_string())
                     }
                 },
-                Order::Budgets => match &self.overload {
+                AdminCommand::Budgets => match &self.overload {
                     Some(overload) => (200, crate::overload::report(overload, self.now).to_string()),
                     None => (404, "no [overload] in this dispatcher's operator's file".to_string()),
                 },
-                Order::Zones => match &mut self.zones {
+                AdminCommand::Zones => match &mut self.zones {
                     Some(zones) => (200, crate::zones::report(zones, self.now).to_string()),
                     None => (404, crate::zones::ZoneError::Off.to_string()),
                 },
-                Order::Zone(zone, order) => self.order_zone(&zone, order),
-                Order::Detach(id) => self.detach(&id),
-                Order::Attach(id) => self.attach(&id),
+                AdminCommand::Zone(zone, order) => self.order_zone(&zone, order),
+                AdminCommand::Detach(id) => self.detach(&id),
+                AdminCommand::Attach(id) => self.attach(&id),
             };
             if let Some(door) = &mut self.admin {
                 door.answer(&self.poll, self.now, token, status, &text);
