--- a/src/front/info.rs
+++ b/src/front/info.rs
@@ -24,7 +24,7 @@
 
 /// The figures of a request as its fields tell them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sketch {
+pub struct ParsedRequest {
     /// The name of its class.
     pub class: String,
     /// The client's id for it.
@@ -60,9 +60,9 @@
     text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-impl Sketch {
+impl ParsedRequest {
     /// Reads the fields; the first that can't be used is named.
-    pub fn read(fields: &Fields) -> Result<Sketch, Invalid> {
+    pub fn read(fields: &Fields) -> Result<ParsedRequest, Invalid> {
         let want = |field: &'static str| {
             fields.get(field).map(String::as_str).ok_or(Invalid { field, why: "is missing" })
         };
@@ -101,7 +101,7 @@
                 None => return Err(Invalid { field: "info", why: "must be name:figure pairs" }),
             }
         }
-        Ok(Sketch {
+        Ok(ParsedRequest {
             class: want("op")?.to_string(),
             call: call.into(),
             ttl_us: (ttl * 1000.0) as u64,
--- a/src/front/info/tests.rs
+++ b/src/front/info/tests.rs
@@ -21,15 +21,15 @@
 
 #[test]
 fn good_fields_are_read() {
-    let sketch = Sketch::read(&fields(&[])).expect("good");
+    let sketch = ParsedRequest::read(&fields(&[])).expect("good");
     assert_eq!((sketch.ttl_us, sketch.lanes, sketch.load_us), (1_500_000, 2.0, Some(640_000)));
 }
 
 #[test]
 fn the_hint_and_the_mark_of_a_retry_are_read() {
-    let sketch = Sketch::read(&fields(&[("work", Some("8.2")), ("rep", Some("1"))])).expect("good");
+    let sketch = ParsedRequest::read(&fields(&[("work", Some("8.2")), ("rep", Some("1"))])).expect("good");
     assert_eq!((sketch.work_us, sketch.again), (Some(8_200), true));
-    let plain = Sketch::read(&fields(&[("work", Some("0"))])).expect("good");
+    let plain = ParsedRequest::read(&fields(&[("work", Some("0"))])).expect("good");
     assert_eq!((plain.work_us, plain.again), (None, false), "a hint at nothing is none");
 }
 
@@ -51,6 +51,6 @@
         ("work", Some("1e9")),
     ];
     for (name, value) in bad {
-        assert_eq!(Sketch::read(&fields(&[(name, value)])).expect_err(name).field, name);
+        assert_eq!(ParsedRequest::read(&fields(&[(name, value)])).expect_err(name).field, name);
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -8,17 +8,17 @@
 
 use crate::core::Ticket;
 
-pub use info::{Fields, Invalid, Sketch};
+pub use info::{Fields, Invalid, ParsedRequest};
 
 /// What clients ask, whichever front they come by.
 #[derive(Debug)]
 pub enum Intake {
     /// A request whose figures are usable.
-    Serve {
+    Submit {
         /// Where its answer goes.
         ticket: Ticket,
         /// Its figures.
-        sketch: Sketch,
+        sketch: ParsedRequest,
         /// Its body.
         body: Vec<u8>,
         /// How long ago its client sent it, in microseconds; 0 where that is not told.
@@ -27,7 +27,7 @@
         again: bool,
     },
     /// The client waits for this no more.
-    Forget(Ticket),
+    Abandon(Ticket),
     /// The client has closed its end: no further attempt is to begin for this, but what runs may still be answered.
-    HungUp(Ticket),
+    ClientClosed(Ticket),
 }
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -5,7 +5,7 @@
 use super::records::{Message, Records, Stage};
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
-use crate::front::{Fields, Intake, Invalid, Sketch};
+use crate::front::{Fields, Intake, Invalid, ParsedRequest};
 use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
 use ochreward_mqtt::packet::{Connack, Packet, Publish, Unwritable};
 use ochreward_mqtt::{Properties, Qos, Reason, Version, Violation, decode};
@@ -430,7 +430,7 @@
         let age_us = unix_ms.saturating_sub(message.sent_ms) * 1000;
         if let Some((sketch, body)) = message.request.take() {
             let ticket = Ticket { front: self.id, conn: 0, seq: number };
-            self.intake.push(Intake::Serve { ticket, sketch, body, age_us, again });
+            self.intake.push(Intake::Submit { ticket, sketch, body, age_us, again });
         }
     }
 
@@ -660,8 +660,8 @@
 }
 
 /// Reads a trigger: the figures of its request, and when its client sent it.
-fn read(p: &Publish, fields: &Fields, kept: bool) -> Result<(Sketch, u64), Invalid> {
-    let sketch = Sketch::read(fields)?;
+fn read(p: &Publish, fields: &Fields, kept: bool) -> Result<(ParsedRequest, u64), Invalid> {
+    let sketch = ParsedRequest::read(fields)?;
     let sent = fields.get("sent").ok_or(Invalid { field: "sent", why: "is missing" })?;
     let sent = sent.parse().map_err(|_| Invalid { field: "sent", why: "must be Unix milliseconds" })?;
     if !kept {
--- a/src/front/mqtt/records.rs
+++ b/src/front/mqtt/records.rs
@@ -1,6 +1,6 @@
 //! What is known of each message: where it stands on its way to one answer, and which were answered before.
 
-use crate::front::Sketch;
+use crate::front::ParsedRequest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
     /// The answer is kept by the broker: only where the topic is the message's own.
     pub kept: bool,
     /// Its figures and body, until the core has them.
-    pub request: Option<(Sketch, Vec<u8>)>,
+    pub request: Option<(ParsedRequest, Vec<u8>)>,
     /// When its client sent it, in Unix milliseconds.
     pub sent_ms: u64,
     /// The answer: its properties and its body.
--- a/src/front/mqtt/set.rs
+++ b/src/front/mqtt/set.rs
@@ -32,7 +32,7 @@
     }
 
     /// These brokers are to be taken from, and no others.
-    pub fn want(&mut self, poll: &Poll, mut brokers: Vec<Options>) {
+    pub fn set_brokers(&mut self, poll: &Poll, mut brokers: Vec<Options>) {
         brokers.truncate(MOST);
         self.wanted = brokers;
         self.follow(poll);
@@ -78,7 +78,7 @@
     }
 
     /// Whether a front has this number.
-    pub fn has(&self, number: u8) -> bool {
+    pub fn owns(&self, number: u8) -> bool {
         number >= self.first
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Takes leave of all brokers.
-    pub fn leave(&mut self, poll: &Poll) {
+    pub fn disconnect(&mut self, poll: &Poll) {
         self.slots.iter_mut().flatten().for_each(|f| f.leave(poll));
     }
 }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -280,7 +280,7 @@
             }
             Act::Serve { number, sketch, body, again } => {
                 let ticket = Ticket { front: self.id, conn: 0, seq: number };
-                self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again });
+                self.intake.push(Intake::Submit { ticket, sketch, body, age_us: 0, again });
             }
         }
     }
--- a/src/front/stations/sessions.rs
+++ b/src/front/stations/sessions.rs
@@ -9,7 +9,7 @@
 use super::policy::{Policy, User};
 use super::quota::Bucket;
 use crate::core::FinalAnswer;
-use crate::front::{Fields, Invalid, Sketch};
+use crate::front::{Fields, Invalid, ParsedRequest};
 use ochreward_mqtt::delivery::{Inbound, Outbound, Taken};
 use ochreward_mqtt::packet::{Closing, Connack, Connect, Packet, Publish, Suback, Subscribe, Version, Will};
 use ochreward_mqtt::topic::Filter;
@@ -67,7 +67,7 @@
         /// Its number.
         number: i64,
         /// Its figures.
-        sketch: Sketch,
+        sketch: ParsedRequest,
         /// Its body.
         body: Vec<u8>,
         /// It may have run before.
@@ -567,7 +567,7 @@
             told: vec![pair("status", "failed"), pair("why", why)],
             body: Vec::new(),
         };
-        let sketch = match Sketch::read(&fields) {
+        let sketch = match ParsedRequest::read(&fields) {
             Ok(sketch) => sketch,
             Err(invalid) => {
                 let mut outcome = refuse(Reason::PayloadFormatInvalid, invalid.why);
--- a/src/front/stations/sessions/tests.rs
+++ b/src/front/stations/sessions/tests.rs
@@ -7,7 +7,7 @@
     now: u64,
     sent: BTreeMap<Conn, Vec<Packet>>,
     closed: BTreeSet<Conn>,
-    serves: Vec<(i64, Sketch, bool)>,
+    serves: Vec<(i64, ParsedRequest, bool)>,
 }
 
 fn bench(more: &str) -> Bench {
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -3,7 +3,7 @@
 use super::wire::{self, Call};
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
-use crate::front::{Intake, Invalid, Sketch};
+use crate::front::{Intake, Invalid, ParsedRequest};
 use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
 use slab::Slab;
 use std::collections::BTreeSet;
@@ -193,7 +193,7 @@
     }
 
     /// New bounds; idle connections beyond them are closed.
-    pub fn bound(&mut self, now: u64, limits: Limits) {
+    pub fn set_limits(&mut self, now: u64, limits: Limits) {
         self.limits = limits;
         while self.links.len() > self.limits.connections && self.evict(now) {}
     }
@@ -201,25 +201,25 @@
     /// Accepts no more, once all that wait have been accepted. Danger: those in the system's queue have asked already,
     /// and a listener that closes resets them.
     pub fn stop_listening(&mut self, poll: &mut Poll, now: u64) {
-        if self.listens() && self.accept(poll, now) {
-            self.shut(poll);
+        if self.is_listening() && self.accept(poll, now) {
+            self.close_listener(poll);
         }
     }
 
     /// Accepts no more, whoever waits: another process takes those, or there is no time left for them.
-    pub fn shut(&mut self, poll: &Poll) {
+    pub fn close_listener(&mut self, poll: &Poll) {
         if let Some(listener) = self.listener.take() {
             listener.close(poll);
         }
     }
 
     /// Whether it still accepts.
-    pub fn listens(&self) -> bool {
+    pub fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
     /// Ends each connection as soon as nothing is open on it, so that its client goes elsewhere.
-    pub fn leave(&mut self, now: u64, last_calls: u64) {
+    pub fn close_idle_connections(&mut self, now: u64, last_calls: u64) {
         self.leaving.get_or_insert(last_calls);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
         slots.into_iter().for_each(|slot| self.finish(now, slot));
@@ -245,7 +245,7 @@
     }
 
     /// Whether answers wait to be taken.
-    pub fn unsent(&self) -> bool {
+    pub fn has_unsent_answers(&self) -> bool {
         self.links.iter().any(|(_, l)| l.io.unsent() > 0)
     }
 
@@ -319,7 +319,7 @@
         let open: Vec<i32> = link.peer.open.iter().copied().collect();
         for seq in open {
             let ticket = self.ticket(slot, seq);
-            self.intake.push(Intake::HungUp(ticket));
+            self.intake.push(Intake::ClientClosed(ticket));
         }
     }
 
@@ -440,7 +440,7 @@
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
                 }
-                match Sketch::read(&fields) {
+                match ParsedRequest::read(&fields) {
                     // Danger: it waited here, in the system or in its queue of connections, and its client has gone.
                     Ok(_) if link.io.ended => {
                         count(&self.counters.requests_deserted);
@@ -449,7 +449,7 @@
                     Ok(sketch) => {
                         link.peer.open.insert(seq);
                         let ticket = self.ticket(slot, seq);
-                        self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again: false });
+                        self.intake.push(Intake::Submit { ticket, sketch, body, age_us: 0, again: false });
                     }
                     Err(invalid) => {
                         let text = invalid.to_string();
@@ -487,13 +487,13 @@
     /// Nothing is owed under the ticket any more. Danger: hundreds of requests that are taken back in the same
     /// breath would all go out to executors first; what has not been handed on yet never is.
     fn forget(&mut self, ticket: Ticket) {
-        let same = |i: &Intake| matches!(i, Intake::Serve { ticket: t, .. } if *t == ticket);
+        let same = |i: &Intake| matches!(i, Intake::Submit { ticket: t, .. } if *t == ticket);
         match self.intake.iter().rposition(same) {
             Some(place) => {
                 self.intake.remove(place);
                 count(&self.counters.requests_unread);
             }
-            None => self.intake.push(Intake::Forget(ticket)),
+            None => self.intake.push(Intake::Abandon(ticket)),
         }
     }
 
@@ -606,7 +606,7 @@
         }
         self.next_sweep = now + SWEEP;
         if let Some(last) = self.leaving {
-            self.leave(now, last);
+            self.close_idle_connections(now, last);
         }
         let mut over = Vec::new();
         for (slot, link) in &self.links {
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -56,7 +56,7 @@
     client.serve(seq, &fields("flow-read", &format!("{seq:016x}"), 20_000), b"");
     bed.until(0, |b| !b.front.intake.is_empty());
     match bed.front.intake.pop() {
-        Some(Intake::Serve { ticket, .. }) => ticket,
+        Some(Intake::Submit { ticket, .. }) => ticket,
         _ => panic!("a request"),
     }
 }
@@ -80,7 +80,7 @@
     for (second, ticket) in (1..).zip(&open) {
         client.forget(seq + second as i32, ticket.seq as i32);
         bed.until(second * SECOND, |b| !b.front.intake.is_empty());
-        assert!(matches!(bed.front.intake.pop(), Some(Intake::Forget(t)) if t == *ticket));
+        assert!(matches!(bed.front.intake.pop(), Some(Intake::Abandon(t)) if t == *ticket));
         bed.front.advance(&mut bed.poll, second * SECOND);
         assert_eq!(bed.front.connections(), 1, "its time is not over");
     }
@@ -111,5 +111,5 @@
     }
     assert_eq!((bed.counters.clients_evicted.get(), bed.front.connections()), (1, 2));
     bed.until(SECOND, |b| !b.front.intake.is_empty());
-    assert!(matches!(bed.front.intake[..], [Intake::Serve { .. }]));
+    assert!(matches!(bed.front.intake[..], [Intake::Submit { .. }]));
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -385,8 +385,11 @@
         self.shutdown_started.get_or_insert(self.now);
         if self.handover.has_successor() {
             // The successor accepts new connections from here on.
-            self.thrift.shut(&self.poll);
-            self.thrift.leave(self.now, self.now + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
+            self.thrift.close_listener(&self.poll);
+            self.thrift.close_idle_connections(
+                self.now,
+                self.now + self.longest_deadline().saturating_sub(LAST_REQUESTS_US),
+            );
         }
     }
 
@@ -400,7 +403,7 @@
     fn connect_brokers(&mut self) {
         if !self.handover.other_process_runs() {
             let brokers = self.version_brokers.as_ref().unwrap_or(&self.file_brokers).clone();
-            self.mqtt.want(&self.poll, brokers);
+            self.mqtt.set_brokers(&self.poll, brokers);
         }
     }
 
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -24,15 +24,15 @@
             // Disconnects first, then ended attempts, then new requests, so that a decision on each takes account of the
             // earlier ones: no resend for a client that has gone, and no new request planned on an outdated executor state.
             intake.retain(|item| match item {
-                Intake::Forget(ticket) => {
+                Intake::Abandon(ticket) => {
                     self.engine.abandon(self.now, *ticket);
                     false
                 }
-                Intake::HungUp(ticket) => {
+                Intake::ClientClosed(ticket) => {
                     self.engine.client_closed(*ticket);
                     false
                 }
-                Intake::Serve { .. } => true,
+                Intake::Submit { .. } => true,
             });
             for report in reports {
                 match report {
@@ -43,7 +43,7 @@
                 }
             }
             for item in intake {
-                let Intake::Serve { ticket, sketch, body, age_us, again } = item else { continue };
+                let Intake::Submit { ticket, sketch, body, age_us, again } = item else { continue };
                 let class_removed = self.settings.past.contains(&sketch.class);
                 match build_job(&self.settings, sketch, body, age_us.max(self.stalled_us), again) {
                     Ok(job) => self.engine.submit(self.now, ticket, job),
@@ -83,7 +83,7 @@
                 self.pool.load(poll, now, order, &worker, &function, replicas)
             }
             Command::Answer { ticket, answer } => {
-                if self.mqtt.has(ticket.front) {
+                if self.mqtt.owns(ticket.front) {
                     self.mqtt.answer(poll, now, ticket, answer);
                 } else if let Some(front) = self.stations.as_mut().filter(|_| ticket.front == STATIONS) {
                     front.answer(poll, now, ticket, answer);
@@ -97,7 +97,7 @@
     /// Refuses an invalid request at the front that it came from. `class_removed`: its class was removed from the settings,
     /// which its client may not have learned yet, so this does not count as an offence.
     fn refuse_invalid(&mut self, ticket: Ticket, invalid: &Invalid, class_removed: bool) {
-        if self.mqtt.has(ticket.front) {
+        if self.mqtt.owns(ticket.front) {
             self.mqtt.invalid(&self.poll, self.now, ticket, invalid);
         } else if let Some(front) = self.stations.as_mut().filter(|_| ticket.front == STATIONS) {
             front.invalid(&mut self.poll, self.now, ticket, invalid);
--- a/src/node/jobs.rs
+++ b/src/node/jobs.rs
@@ -6,7 +6,7 @@
 use crate::api::Effect;
 use crate::config::Settings;
 use crate::core::RequestSpec;
-use crate::front::{Invalid, Sketch};
+use crate::front::{Invalid, ParsedRequest};
 
 /// Subtracted from a request's time-out, in microseconds: covers the network between client and dispatcher in both
 /// directions and a late turn of the loop, since the client's time runs from when it sent the request.
@@ -18,7 +18,7 @@
 /// the request, as far as known; `again` marks a request that may have been delivered before.
 pub(super) fn build_job(
     settings: &Settings,
-    sketch: Sketch,
+    sketch: ParsedRequest,
     body: Vec<u8>,
     age_us: u64,
     again: bool,
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -114,6 +114,6 @@
             !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
         self.engine.configure(&module, new_places, bounds);
         self.pool.set_limits(pool_limits);
-        self.thrift.bound(self.now, front_limits);
+        self.thrift.set_limits(self.now, front_limits);
     }
 }
--- a/src/node/shutdown.rs
+++ b/src/node/shutdown.rs
@@ -40,9 +40,12 @@
             return false;
         }
         self.thrift.stop_listening(&mut self.poll, self.now);
-        self.thrift.leave(self.now, since + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
+        self.thrift.close_idle_connections(
+            self.now,
+            since + self.longest_deadline().saturating_sub(LAST_REQUESTS_US),
+        );
         if self.now >= since + self.longest_deadline() + FAIL_OPEN_AFTER_US {
-            self.thrift.shut(&self.poll);
+            self.thrift.close_listener(&self.poll);
             self.engine.fail_open_requests(self.now);
             self.deliver_messages();
         }
@@ -51,15 +54,15 @@
             front.stop(&self.poll);
         }
         let all_settled = self.engine.open_requests() == 0
-            && !self.thrift.listens()
-            && !self.thrift.unsent()
+            && !self.thrift.is_listening()
+            && !self.thrift.has_unsent_answers()
             && self.thrift.left(self.now)
             && self.mqtt.settled()
             && self.stations.as_ref().is_none_or(stations::Front::settled);
         let over = all_settled || self.now >= since + MAX_SHUTDOWN_US;
         if over {
             self.leave_peers();
-            self.mqtt.leave(&self.poll);
+            self.mqtt.disconnect(&self.poll);
             if let Some(front) = &mut self.stations {
                 front.leave(&mut self.poll, self.now);
             }
