--- a/src/agent/instance.rs
+++ b/src/agent/instance.rs
@@ -2,7 +2,7 @@
 
 use super::probe::Prober;
 use crate::config::{Agent, Instance};
-use crate::counters::say;
+use crate::counters::print_line;
 use crate::front::thrift;
 use crate::net::{Closed, Link, Poll, Ready};
 use rustix::process::{Pid, Signal, kill_process};
@@ -134,7 +134,7 @@
         (self.started, self.starts) = (now, self.starts + 1);
         match command.spawn() {
             Ok(child) => {
-                say(format_args!("agent: {} started as process {}", self.told.name, child.id()));
+                print_line(format_args!("agent: {} started as process {}", self.told.name, child.id()));
                 self.child = Some(child);
             }
             Err(e) => {
@@ -172,7 +172,7 @@
         if let Some(child) = &mut self.child
             && let Ok(Some(status)) = child.try_wait()
         {
-            say(format_args!("agent: {} ended: {status}", self.told.name));
+            print_line(format_args!("agent: {} ended: {status}", self.told.name));
             (self.child, self.probe, self.well_at) = (None, None, None);
             (self.term_at, self.kill_at) = (None, None);
             if self.wanted == Wanted::Restarted {
--- a/src/agent/supervisor.rs
+++ b/src/agent/supervisor.rs
@@ -2,7 +2,7 @@
 
 use super::instance::{Managed, Wanted};
 use crate::config::{Agent, Operator};
-use crate::counters::say;
+use crate::counters::print_line;
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
 use crate::net::{Accepted, Callbacks, Clock, Link, Listener, Malformed, Poll, Ready, Ring, Signals, Wish};
 use slab::Slab;
@@ -105,7 +105,7 @@
                     self.stopping = true;
                     self.instances.iter_mut().for_each(|i| i.end_now(now));
                 }
-                Wish::Print => say(self.status()),
+                Wish::Print => print_line(self.status()),
                 // The instances read their own configuration again; the agent's own stays.
                 Wish::Reload => self.instances.iter().for_each(Managed::reload),
             }
--- a/src/cli/agent.rs
+++ b/src/cli/agent.rs
@@ -2,7 +2,7 @@
 
 use super::{Error, io_error, load};
 use crate::agent::Supervisor;
-use crate::counters::say;
+use crate::counters::print_line;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
     let operator = load(&file)?;
     let mut supervisor = Supervisor::new(operator, file).map_err(io_error("the agent can't start"))?;
     let address = supervisor.address().map_or_else(String::new, |a| a.to_string());
-    say(format_args!("ochreward agent answers on {address}"));
+    print_line(format_args!("ochreward agent answers on {address}"));
     supervisor.run().map_err(io_error("the agent's loop ended"))
 }
 
@@ -23,7 +23,7 @@
     let method = if verb == "status" || verb == "health" { "GET" } else { "POST" };
     let path = name.map_or_else(|| format!("/{verb}"), |name| format!("/{verb}/{name}"));
     let (status, body) = ask(agent, method, &path).map_err(io_error(format!("the agent at {agent}")))?;
-    say(body.trim_end());
+    print_line(body.trim_end());
     if status == 200 { Ok(()) } else { Err(Error::Agent(status)) }
 }
 
@@ -37,20 +37,20 @@
     };
     let (status, body) = ask(door, "GET", path).map_err(io_error(at()))?;
     if status != 200 {
-        say(body.trim_end());
+        print_line(body.trim_end());
         return Err(Error::Door(status));
     }
     let report: serde_json::Value =
         serde_json::from_str(body.trim_end()).map_err(|e| io_error(at())(std::io::Error::other(e)))?;
     if json {
-        say(format_args!("{report:#}"));
+        print_line(format_args!("{report:#}"));
     } else {
         let lines = match what {
             "budgets" => crate::overload::lines(&report),
             "zones" => crate::zones::lines(&report),
             _ => crate::peers::lines(&report),
         };
-        lines.iter().for_each(say);
+        lines.iter().for_each(print_line);
     }
     if path != "/_peers" || report["agreed"] == true { Ok(()) } else { Err(Error::Disagree) }
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -2,7 +2,7 @@
 
 use super::{Error, io_error};
 use crate::config::{Config, Faults, Operator, features, version};
-use crate::counters::say;
+use crate::counters::print_line;
 use crate::front::stations;
 use clap::ValueEnum;
 use std::path::Path;
@@ -45,9 +45,9 @@
     }
     // What the settings make of each part, so that a choice can be told from an oversight.
     if let Some(Ok(config)) = read {
-        features::features(&config.parts.settings).iter().for_each(say);
+        features::features(&config.parts.settings).iter().for_each(print_line);
     }
-    say(format_args!("the configuration is good"));
+    print_line(format_args!("the configuration is good"));
     Ok(())
 }
 
@@ -57,7 +57,7 @@
         Kind::Operator => Operator::schema(),
         Kind::Version => version::schema(),
     };
-    say(format_args!("{schema:#}"));
+    print_line(format_args!("{schema:#}"));
 }
 
 /// Prints the hash of the password that standard input holds, without its line end.
@@ -72,6 +72,6 @@
     let random = std::fs::File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut salt));
     random.map_err(io_error("/dev/urandom"))?;
     let unfit = || Error::Io("the password".to_string(), std::io::ErrorKind::InvalidInput.into());
-    say(stations::hash(&password, &salt).ok_or_else(unfit)?);
+    print_line(stations::hash(&password, &salt).ok_or_else(unfit)?);
     Ok(())
 }
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -2,7 +2,7 @@
 
 use super::{Error, io_error, load};
 use crate::config::version;
-use crate::counters::say;
+use crate::counters::print_line;
 use clap::Subcommand;
 use ochreward_control::{Options, Server, cli};
 use ochreward_stream::wire::Fault;
@@ -48,7 +48,7 @@
         Words::Validate { file } => {
             let text = std::fs::read_to_string(&file).map_err(io_error(file.display().to_string()))?;
             version::read(&text)?;
-            say(format_args!("the version is good"));
+            print_line(format_args!("the version is good"));
             Ok(())
         }
         Words::Ask(words) => cli::run(words).map_err(Error::Control),
@@ -74,6 +74,6 @@
     };
     let mut server = Server::new(options).map_err(broken)?;
     let address = server.address().map_err(io_error("the control service"))?;
-    say(format_args!("ochreward control, epoch {}, listens on {address}", server.epoch()));
+    print_line(format_args!("ochreward control, epoch {}, listens on {address}", server.epoch()));
     server.run().map_err(broken)
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -5,7 +5,7 @@
 mod control;
 
 use crate::config::{self, Config, Operator};
-use crate::counters::say;
+use crate::counters::print_line;
 use crate::logs::{self, Format};
 use crate::node::Node;
 use clap::{Args, CommandFactory, Parser, Subcommand};
@@ -245,17 +245,17 @@
     .map_err(io_error("can't start"))?;
     let address = node.address().map_or_else(String::new, |a| a.to_string());
     if let Some(door) = node.admin_address() {
-        say(format_args!("ochreward {name} answers operators on {door}"));
+        print_line(format_args!("ochreward {name} answers operators on {door}"));
     }
     if let Some(stations) = node.station_address() {
-        say(format_args!("ochreward {name} takes stations on {stations}"));
+        print_line(format_args!("ochreward {name} takes stations on {stations}"));
     }
     if let Some(peers) = node.peer_address() {
-        say(format_args!("ochreward {name} meets others on {peers}"));
+        print_line(format_args!("ochreward {name} meets others on {peers}"));
     }
-    say(format_args!("ochreward {name} serves on {address}"));
+    print_line(format_args!("ochreward {name} serves on {address}"));
     node.run().map_err(io_error("the loop ended"))?;
-    say(node.counters_line());
+    print_line(node.counters_line());
     Ok(())
 }
 
--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -169,11 +169,11 @@
 }
 
 /// Keeps the larger.
-pub fn most(cell: &Cell<u64>, value: u64) {
+pub fn record_max(cell: &Cell<u64>, value: u64) {
     cell.set(cell.get().max(value));
 }
 
 /// Writes a line to standard output. Danger: where nobody reads it any more, `println` would panic.
-pub fn say(line: impl fmt::Display) {
+pub fn print_line(line: impl fmt::Display) {
     let _ = writeln!(std::io::stdout().lock(), "{line}");
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -9,7 +9,7 @@
 use crate::bans::Bans;
 use crate::config::{Config, Settings};
 use crate::core::Engine;
-use crate::counters::{Counters, most, say};
+use crate::counters::{Counters, print_line, record_max};
 use crate::door::AdminEndpoint;
 use crate::executor::Pool;
 use crate::front::{mqtt, stations, thrift};
@@ -260,7 +260,7 @@
         loop {
             let (last_read, wait_began) = (self.now, self.clock.read());
             let wait = self.next_deadline().saturating_sub(wait_began);
-            most(&self.counters.loop_lag_most_us, wait_began - self.now);
+            record_max(&self.counters.loop_lag_most_us, wait_began - self.now);
             self.poll.wait(wait, &mut events)?;
             self.now = self.clock.read();
             // After a stall a client may have disconnected, and a timer that is now due would still send its request on:
@@ -371,7 +371,7 @@
         for request in self.signals.asked() {
             match request {
                 Wish::Stop => self.start_shutdown(),
-                Wish::Print => say(self.counters_line()),
+                Wish::Print => print_line(self.counters_line()),
                 Wish::Reload => self.reload(),
             }
         }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -6,7 +6,7 @@
 use super::Node;
 use super::limits::derive_limits;
 use crate::config::{Config, Faults};
-use crate::counters::{count, say};
+use crate::counters::{count, print_line};
 use ochreward_stream::wire::Fault;
 use std::fs::File;
 use std::io;
@@ -61,7 +61,7 @@
         match outcome {
             Ok(()) => {
                 count(&self.counters.reloads);
-                say("ochreward: the new configuration is in use");
+                print_line("ochreward: the new configuration is in use");
             }
             Err(why) => {
                 count(&self.counters.reloads_refused);
