--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -9,4 +9,4 @@
 pub use crate::keys::{Error, Faults, Key};
 pub use control::{Control, Service, Stream};
 pub use operator::{Agent, Instance, Operator};
-pub use settings::{Config, DRAIN_GRACE, Parts, Resources, SERVICE, Settings};
+pub use settings::{Config, MAX_DRAIN_GRACE_US, Resources, SERVICE, Settings, VersionedConfig};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -12,7 +12,7 @@
 pub const SERVICE: &str = "_back._tcp.pool.lan";
 
 /// Nothing new goes to an executor later than this after it was told to drain, in microseconds.
-pub const DRAIN_GRACE: u64 = 250_000;
+pub const MAX_DRAIN_GRACE_US: u64 = 250_000;
 
 /// Names of classes remembered after they were taken out.
 const MOST_PAST: usize = 256;
@@ -36,9 +36,9 @@
     /// Whether the class in that place was taken out of the settings: it takes nothing new.
     pub retired: Vec<bool>,
     /// Names of classes that were taken out: whoever still asks for one has not heard yet.
-    pub past: BTreeSet<String>,
+    pub removed_classes: BTreeSet<String>,
     /// The longest time that a class has had.
-    pub longest: u64,
+    pub longest_deadline_us: u64,
     /// The tenants' names.
     pub tenants: Vec<String>,
     /// The names of zones and kinds.
@@ -73,7 +73,7 @@
     /// The descriptor of a socket that listens there already.
     pub inherited: Option<i32>,
     /// Where operators call.
-    pub ops: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Where files are kept that outlive the process.
     pub folder: Option<PathBuf>,
     /// For random numbers.
@@ -81,18 +81,18 @@
     /// The name service.
     pub names: SocketAddr,
     /// The list of executors at the start, and the number of the last event in it.
-    pub known: (u64, Vec<Executor>),
+    pub initial_list: (u64, Vec<Executor>),
     /// What a control service may change as well.
-    pub parts: Parts,
+    pub parts: VersionedConfig,
     /// The file has no settings: they come from a control service, and nothing is served before.
-    pub bare: bool,
+    pub has_no_settings: bool,
     /// The file as it was written, but for the list.
     told: Value,
 }
 
 /// What the file says and a streamed version may change.
 #[derive(Clone, Debug)]
-pub struct Parts {
+pub struct VersionedConfig {
     /// What it may use.
     pub resources: Resources,
     /// The settings.
@@ -105,7 +105,7 @@
     /// from now on.
     pub fn follow(&mut self, (names, classes): (&[String], &[Class]), used: &BTreeSet<usize>) -> Vec<usize> {
         let gone = names.iter().filter(|n| !self.classes.contains(n));
-        self.past.extend(gone.take(MOST_PAST).cloned());
+        self.removed_classes.extend(gone.take(MOST_PAST).cloned());
         let (mut places, mut rules) = (names.to_vec(), classes.to_vec());
         let mut retired = vec![true; places.len()];
         let mut fresh = Vec::new();
@@ -158,7 +158,7 @@
         }
         if let Some(ops) = var("ROUTER_OPS") {
             let ops = ops.parse();
-            config.ops =
+            config.admin_address =
                 Some(ops.map_err(|_| fault("ROUTER_OPS", "an address and port is wanted".to_string()))?);
         }
         if let Some(number) = var("ROUTER_INHERITED_FD") {
@@ -206,46 +206,46 @@
             name: top.get("name").text_or("dispatcher"),
             listen: top.get("listen").address(),
             inherited: None,
-            ops: top.get("ops").optional(Key::address),
+            admin_address: top.get("ops").optional(Key::address),
             folder: None,
             seed: number.unwrap_or_default(),
             names: top.get("names").address(),
-            known: known(&top.get("known")),
-            parts: if bare { Parts::none(&top.get("limits")) } else { Parts::of(top) },
-            bare,
+            initial_list: known(&top.get("known")),
+            parts: if bare { VersionedConfig::none(&top.get("limits")) } else { VersionedConfig::of(top) },
+            has_no_settings: bare,
             told: Value::Null,
         }
     }
 
     /// Checks that a file that is to replace the one of `old` leaves nothing out.
-    pub fn replaces(&self, old: &Config) -> Result<(), Faults> {
+    pub fn check_replacement(&self, old: &Config) -> Result<(), Faults> {
         let top = Key::top(&self.told);
         top.keeps(&old.told);
         top.finish(())
     }
 
     /// The file as it was written, but for the list.
-    pub fn told(&self) -> &Value {
+    pub fn source(&self) -> &Value {
         &self.told
     }
 }
 
-impl Parts {
+impl VersionedConfig {
     /// Reads what a version may change out of a whole configuration.
-    pub fn read(value: &Value) -> Result<Parts, Faults> {
+    pub fn read(value: &Value) -> Result<VersionedConfig, Faults> {
         let top = Key::top(value);
-        let parts = Parts::of(&top);
+        let parts = VersionedConfig::of(&top);
         top.finish(parts)
     }
 
-    pub(super) fn of(top: &Key) -> Parts {
-        Parts { resources: resources(&top.get("limits")), settings: settings(&top.get("settings")) }
+    pub(super) fn of(top: &Key) -> VersionedConfig {
+        VersionedConfig { resources: resources(&top.get("limits")), settings: settings(&top.get("settings")) }
     }
 
     /// Limits, and no settings yet.
-    fn none(limits: &Key) -> Parts {
+    fn none(limits: &Key) -> VersionedConfig {
         let empty = serde_json::json!({"lanes": []});
-        Parts { resources: resources(limits), settings: settings(&Key::top(&empty)) }
+        VersionedConfig { resources: resources(limits), settings: settings(&Key::top(&empty)) }
     }
 }
 
@@ -344,13 +344,13 @@
         tenants: orgs.iter().map(|o| o.get("name").text().to_string()).collect(),
         retired: lanes.iter().map(|l| l.get("retired").flag_or(false)).collect(),
         // Who still asks for a retired class has not heard yet.
-        past: lanes
+        removed_classes: lanes
             .iter()
             .filter(|l| l.get("retired").flag_or(false))
             .map(|l| l.get("name").text().to_string())
             .collect(),
-        drain_grace: rules.get("stop_sending_within_us").whole_or(DRAIN_GRACE),
-        longest: module.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
+        drain_grace: rules.get("stop_sending_within_us").whole_or(MAX_DRAIN_GRACE_US),
+        longest_deadline_us: module.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
         vocabulary: ZoneAndKindNames { zones: names(&key.get("zones")), kinds: names(&key.get("kinds")) },
         streams_per_conn: limits.get("streams_per_conn").between(1, 1 << 16, 32) as usize,
         connect_timeout: limits.get("connect_timeout_us").between(1_000, 60_000_000, 250_000),
--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -4,7 +4,7 @@
 //! over the platform's file key by key), `bans` and `fronts`. The readers are those of the files themselves.
 
 use super::operator;
-use super::settings::Parts;
+use super::settings::VersionedConfig;
 use crate::front::mqtt;
 use crate::keys::{Faults, Key};
 use ochreward_stream::Kind;
@@ -45,7 +45,7 @@
 
 fn layer(key: &Key) {
     key.only(&Kind::ALL.map(Kind::name));
-    drop(Parts::of(key));
+    drop(VersionedConfig::of(key));
     bans(&key.get("bans"));
     fronts(&key.get("fronts"));
 }
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Effective {
     /// Settings and limits.
-    pub parts: Parts,
+    pub parts: VersionedConfig,
     /// Executors left out.
     pub bans: Vec<String>,
     /// Brokers; `None` where the version says nothing of them.
@@ -101,7 +101,7 @@
         }
         faults.extend(top.finish(()).err().map_or_else(Vec::new, |f| f.0));
     }
-    let parts = Parts::read(&whole);
+    let parts = VersionedConfig::read(&whole);
     faults.extend(parts.as_ref().err().map_or_else(Vec::new, |f| f.0.clone()));
     match parts {
         Ok(parts) if faults.is_empty() => Ok(Effective { parts, bans: banned, fronts: brokers }),
--- a/src/node.rs
+++ b/src/node.rs
@@ -172,12 +172,12 @@
         ));
         let pool = Pool::new(EXECUTORS, pool_limits, counters.clone());
         let service = crate::config::SERVICE;
-        let (serial, executors) = std::mem::take(&mut config.known);
+        let (serial, executors) = std::mem::take(&mut config.initial_list);
         let start = names::InitialList { serial, executors, seed: config.seed, now };
         let resolver = Resolver::new(&mut poll, NAMES, config.names, service, start, counters.clone())?;
         let thrift = thrift::Front::new(THRIFT, listener, front_limits, counters.clone());
         let door = |ops| AdminEndpoint::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
-        let door = config.ops.map(door).transpose()?;
+        let door = config.admin_address.map(door).transpose()?;
         let bans = Bans::open(config.folder.as_ref().map(|f| f.join("bans")));
         let executors = resolver.executors().to_vec();
         let mut node = Node {
@@ -194,7 +194,8 @@
             station_options,
             stations: None,
             version_brokers: started.brokers,
-            unconfigured: config.bare && started.stream.as_ref().is_some_and(|s| s.version().is_none()),
+            unconfigured: config.has_no_settings
+                && started.stream.as_ref().is_some_and(|s| s.version().is_none()),
             stream: started.stream,
             version_bans: started.bans,
             peer_options,
--- a/src/node/jobs.rs
+++ b/src/node/jobs.rs
@@ -36,7 +36,7 @@
     }
     // A client waits no longer than its class's deadline, so a far longer time-out is a client error. Deadlines can change
     // while requests are under way, so the longest of any class so far is the bound.
-    if sketch.ttl_us > settings.longest.saturating_mul(2) {
+    if sketch.ttl_us > settings.longest_deadline_us.saturating_mul(2) {
         return Err(Invalid { field: "ttl", why: "is far longer than the class's time" });
     }
     let tenant = match &sketch.tenant {
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -43,7 +43,7 @@
     // top. Without room beyond the third, new connections wait in the accept queue while their clients' time runs. So
     // executors get a quarter, many times what they need, and clients get the rest.
     let executors = (sockets / 4).max(8);
-    let operators = if config.ops.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
+    let operators = if config.admin_address.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
     let clients =
         sockets.saturating_sub(executors + RESERVED_DESCRIPTORS + operators + station_connections).max(8);
     let bounds = EngineLimits {
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -73,10 +73,10 @@
 
     /// Takes a new configuration into use; requests, counters and everything learned are kept.
     pub(super) fn adopt_config(&mut self, mut config: Config) -> Result<(), ReloadError> {
-        config.replaces(&self.config)?;
+        config.check_replacement(&self.config)?;
         self.overlay_running_version(&mut config)?;
         self.resolver.set_server(&mut self.poll, config.names).map_err(ReloadError::Names)?;
-        let (serial, executors) = std::mem::take(&mut config.known);
+        let (serial, executors) = std::mem::take(&mut config.initial_list);
         self.config = config;
         self.adopt_settings();
         self.update_own_file();
@@ -93,7 +93,8 @@
         let old_settings = std::mem::replace(&mut self.settings, self.config.parts.settings.clone());
         let in_use = self.engine.classes_in_use();
         let new_places = self.settings.follow((&old_settings.classes, &old_settings.module.classes), &in_use);
-        self.settings.longest = self.settings.longest.max(old_settings.longest);
+        self.settings.longest_deadline_us =
+            self.settings.longest_deadline_us.max(old_settings.longest_deadline_us);
         self.apply_settings(&new_places);
     }
 
--- a/src/node/versions.rs
+++ b/src/node/versions.rs
@@ -8,7 +8,7 @@
 use super::{Node, STREAM, VERSION_THREAD};
 use crate::api::WorkerId;
 use crate::config::version::Effective;
-use crate::config::{Config, Parts, Stream as StreamConfig};
+use crate::config::{Config, Stream as StreamConfig, VersionedConfig};
 use crate::counters::Counters;
 use crate::front::mqtt;
 use crate::net::{Poll, Ready};
@@ -45,7 +45,7 @@
         name: &config.name,
         folder: config.folder.clone(),
         memory_bytes: config.parts.resources.memory,
-        has_base: !config.bare,
+        has_base: !config.has_no_settings,
         seed: config.seed ^ u64::from(std::process::id()) << 32,
         standby,
     };
@@ -64,7 +64,7 @@
             warn!(instance = config.name, %version, fault, "the last good version is invalid over the instance's own file and is not used");
             stream.discard_stored_version(now);
         }
-        None if config.bare => {
+        None if config.has_no_settings => {
             warn!(
                 instance = config.name,
                 "no settings in the file or in a stored version: not ready until a version arrives"
@@ -83,7 +83,7 @@
 impl Node {
     /// Returns the content of the instance's own file, which versions are applied over.
     pub(super) fn own_file(config: &Config) -> Arc<Value> {
-        Arc::new(config.told().clone())
+        Arc::new(config.source().clone())
     }
 
     /// Returns what a version is checked against: the platform's file, the running settings and what is in use now.
@@ -98,7 +98,8 @@
                 + self.stations.as_ref().map_or(0, crate::front::stations::Front::connections),
             held_bytes: self.engine.held_bytes(),
         };
-        let platform = if self.config.bare { None } else { Parts::read(self.config.told()).ok() };
+        let platform =
+            if self.config.has_no_settings { None } else { VersionedConfig::read(self.config.source()).ok() };
         CheckContext { platform, running: (!self.unconfigured).then(|| self.settings.clone()), usage }
     }
 
@@ -171,9 +172,9 @@
     pub(super) fn overlay_running_version(&self, config: &mut Config) -> Result<(), ReloadError> {
         let Some(stream) = &self.stream else { return Ok(()) };
         if stream.running().is_some() {
-            let effective = read(stream.running(), config.told()).map_err(ReloadError::Overlaid)?;
+            let effective = read(stream.running(), config.source()).map_err(ReloadError::Overlaid)?;
             config.parts = effective.parts;
-        } else if config.bare && !self.unconfigured {
+        } else if config.has_no_settings && !self.unconfigured {
             return Err(ReloadError::Bare);
         }
         Ok(())
@@ -183,7 +184,7 @@
     pub(super) fn update_own_file(&mut self) {
         let Some(stream) = &mut self.stream else { return };
         stream.set_own_file(Node::own_file(&self.config));
-        if !self.config.bare {
+        if !self.config.has_no_settings {
             self.unconfigured = false;
             self.update_accepting();
         }
--- a/src/versions/rules.rs
+++ b/src/versions/rules.rs
@@ -4,7 +4,7 @@
 //! Does no I/O.
 
 use crate::api::Effect;
-use crate::config::{DRAIN_GRACE, Parts, Settings};
+use crate::config::{MAX_DRAIN_GRACE_US, Settings, VersionedConfig};
 use crate::names::ZoneAndKindNames;
 use ochreward_stream::wire::Fault;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct CheckContext {
     /// The content of the platform's file; `None` if it leaves the settings to versions.
-    pub platform: Option<Parts>,
+    pub platform: Option<VersionedConfig>,
     /// The running settings; `None` before there are any.
     pub running: Option<Settings>,
     /// The resources in use.
@@ -53,7 +53,7 @@
 }
 
 /// Returns the rules that the version would violate; none if it may run.
-pub fn violations(context: &CheckContext, new: &Parts) -> Vec<Fault> {
+pub fn violations(context: &CheckContext, new: &VersionedConfig) -> Vec<Fault> {
     let mut faults = Faults(Vec::new());
     check_load_ration(&mut faults, context.platform.as_ref(), &new.settings);
     check_drain(&mut faults, context.platform.as_ref(), &new.settings);
@@ -66,7 +66,7 @@
 }
 
 /// Checks that the load ration and the budget of cold workers stay within the platform's.
-fn check_load_ration(faults: &mut Faults, platform: Option<&Parts>, new: &Settings) {
+fn check_load_ration(faults: &mut Faults, platform: Option<&VersionedConfig>, new: &Settings) {
     let (module, key) = (&new.module, |name: &str| format!("settings.family_info.{name}"));
     let given = platform.map(|p| &p.settings.module);
     if let Some(given) = given {
@@ -113,14 +113,14 @@
 }
 
 /// Checks that draining executors get no requests for longer than the platform allows.
-fn check_drain(faults: &mut Faults, platform: Option<&Parts>, new: &Settings) {
-    let max_us = platform.map_or(DRAIN_GRACE, |p| p.settings.drain_grace);
+fn check_drain(faults: &mut Faults, platform: Option<&VersionedConfig>, new: &Settings) {
+    let max_us = platform.map_or(MAX_DRAIN_GRACE_US, |p| p.settings.drain_grace);
     let why = format!("is over {max_us}: the drain rule would be broken");
     faults.require(new.drain_grace <= max_us, "settings.rules.stop_sending_within_us", why);
 }
 
 /// Checks the limits against the platform's and against what is in use.
-fn check_limits(faults: &mut Faults, context: &CheckContext, new: &Parts) {
+fn check_limits(faults: &mut Faults, context: &CheckContext, new: &VersionedConfig) {
     let (usage, limits) = (&context.usage, new.resources);
     if let Some(platform) = &context.platform {
         let given = platform.resources;
--- a/src/versions/rules/tests.rs
+++ b/src/versions/rules/tests.rs
@@ -19,8 +19,8 @@
                     "loads_per_request": 0.3}}})
 }
 
-fn parse(value: &Value) -> Parts {
-    Parts::read(value).expect("a good file")
+fn parse(value: &Value) -> VersionedConfig {
+    VersionedConfig::read(value).expect("a good file")
 }
 
 fn check_context() -> CheckContext {
