--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -8,7 +8,8 @@
 use crate::rollout::Plan;
 use crate::service::{Act, Conn, Now, Outcome, Service};
 use ochreward_net::{
-    Accepted, Callbacks, Clock, Closed, Link, Listener, Malformed, Poll, Ready, Ring, Signals, Wish,
+    Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Signals,
+    Wish,
 };
 use ochreward_stream::wire::{self, Entry, Fault, FromService, MOST_FRAME, ToService};
 use ochreward_stream::{Kind, Snapshot};
@@ -79,10 +80,10 @@
     Ask(Ask),
 }
 
-impl Callbacks for Frames {
+impl ProtocolHandler for Frames {
     type Out = Vec<Said>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Said>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Said>) -> Result<(), Malformed> {
         if self.spoilt {
             input.consume(input.len());
             return Ok(());
@@ -108,7 +109,7 @@
 }
 
 struct Peer {
-    link: Link<Frames>,
+    link: Connection<Frames>,
     since: u64,
     heard: u64,
     outgoing: Option<Outgoing>,
@@ -224,7 +225,7 @@
     fn accept(&mut self, time: Now) {
         for _ in 0..ACCEPTS {
             let fd = match self.listener.accept() {
-                Accepted::One(fd) => fd,
+                Accepted::Connection(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => return warn!("no descriptors are left for streams"),
             };
@@ -234,7 +235,8 @@
             }
             let entry = self.peers.vacant_entry();
             let token = self.poll.token(PEERS, entry.key());
-            if let Ok(link) = Link::accepted(&self.poll, fd, token, Frames { spoilt: false }, (IN, OUT)) {
+            if let Ok(link) = Connection::accepted(&self.poll, fd, token, Frames { spoilt: false }, (IN, OUT))
+            {
                 entry.insert(Peer {
                     link,
                     since: time.us,
@@ -254,7 +256,7 @@
             return;
         };
         let mut said = std::mem::take(&mut self.said);
-        let result = peer.link.ready(&mut self.poll, ready, &mut said);
+        let result = peer.link.handle_event(&mut self.poll, ready, &mut said);
         if !said.is_empty() {
             peer.heard = time.us;
         }
@@ -281,7 +283,7 @@
             }
             Ok(()) => self.pump(slot),
         }
-        if self.peers.get(slot).is_some_and(|p| p.link.io.ended) {
+        if self.peers.get(slot).is_some_and(|p| p.link.io.read_closed) {
             self.close(slot);
         }
     }
@@ -292,7 +294,7 @@
         self.service.lost(slot);
         if let Some(peer) = self.peers.get_mut(slot) {
             let _ = peer.link.io.queue(&wire::frame(&FromService::Refused { why }));
-            (peer.ending, peer.outgoing, peer.link.peer.spoilt) = (true, None, true);
+            (peer.ending, peer.outgoing, peer.link.handler.spoilt) = (true, None, true);
         }
     }
 
@@ -381,7 +383,7 @@
     fn pump(&mut self, slot: usize) {
         let Some(peer) = self.peers.get_mut(slot) else { return };
         for _ in 0..FRAMES {
-            if peer.link.io.unsent() + MOST_FRAME + 4 > OUT {
+            if peer.link.io.unsent_bytes() + MOST_FRAME + 4 > OUT {
                 break;
             }
             let Some(outgoing) = &mut peer.outgoing else { break };
@@ -399,12 +401,12 @@
         if peer.link.flush(&self.poll).is_err() {
             return self.close(slot);
         }
-        if peer.outgoing.is_some() && peer.link.io.unsent() == 0 {
+        if peer.outgoing.is_some() && peer.link.io.unsent_bytes() == 0 {
             self.hungry.push(slot);
         }
-        if peer.ending && peer.link.io.unsent() == 0 {
+        if peer.ending && peer.link.io.unsent_bytes() == 0 {
             // Only our side ends: a close with something unread could cost the last words.
-            peer.link.io.finish();
+            peer.link.io.shutdown_write();
         }
     }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -16,7 +16,7 @@
 mod worker;
 
 pub use clock::Clock;
-pub use link::{Callbacks, Closed, Io, Link, Malformed};
+pub use link::{BufferedSocket, Closed, Connection, Malformed, ProtocolHandler};
 pub use listener::{Accepted, Listener};
 pub use poll::{Interest, Poll, Ready, Token};
 pub use reader::Reader;
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -29,11 +29,11 @@
 }
 
 /// The protocol handler of a connection.
-pub trait Callbacks {
+pub trait ProtocolHandler {
     /// Where the handler puts the messages that it has parsed.
     type Out;
     /// Consumes the complete messages in `input`, which has received bytes.
-    fn received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed>;
+    fn on_received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed>;
     /// Returns whether to continue reading while the ring has space for `_room` more bytes; otherwise the peer is subject to
     /// backpressure.
     fn wants_more(&self, _room: usize) -> bool {
@@ -42,7 +42,7 @@
 }
 
 /// The socket of a connection with its buffers.
-pub struct Io {
+pub struct BufferedSocket {
     fd: OwnedFd,
     token: Token,
     interest: Interest,
@@ -51,7 +51,7 @@
     input: Ring,
     output: Ring,
     /// Whether the peer has closed its sending side.
-    pub ended: bool,
+    pub read_closed: bool,
     /// Bytes queued since the start, less those that were taken back. It is the stream position of the next byte queued.
     pub queued: u64,
     /// Bytes passed to the kernel since the start.
@@ -61,27 +61,27 @@
 }
 
 /// A connection and its protocol handler.
-pub struct Link<C> {
+pub struct Connection<C> {
     /// The socket and its buffers.
-    pub io: Io,
+    pub io: BufferedSocket,
     /// The protocol handler.
-    pub peer: C,
+    pub handler: C,
 }
 
-impl Io {
+impl BufferedSocket {
     /// Returns whether the connection is still being established.
     pub fn connecting(&self) -> bool {
         self.connecting
     }
 
-    /// Holds back writes, or releases them. Held bytes are written by a later [`Link::flush`], or once the descriptor is
+    /// Holds back writes, or releases them. Held bytes are written by a later [`Connection::flush`], or once the descriptor is
     /// ready.
-    pub fn hold(&mut self, held: bool) {
+    pub fn hold_writes(&mut self, held: bool) {
         self.writes_held = held;
     }
 
     /// Returns whether writes are held back.
-    pub fn is_held(&self) -> bool {
+    pub fn writes_held(&self) -> bool {
         self.writes_held
     }
 
@@ -91,12 +91,12 @@
     }
 
     /// Returns the number of queued bytes that are not written yet.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len()
     }
 
     /// Returns the number of received bytes that are not yet consumed as part of a message.
-    pub fn unread(&self) -> usize {
+    pub fn unparsed_bytes(&self) -> usize {
         self.input.len()
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Takes back all queued bytes from stream position `keep` on that are not written yet.
-    pub fn unqueue_after(&mut self, keep: u64) {
+    pub fn truncate_queue(&mut self, keep: u64) {
         let dropped = self.queued.saturating_sub(keep.max(self.written)) as usize;
         self.output.truncate(dropped);
         self.queued -= dropped as u64;
@@ -118,7 +118,7 @@
     /// Takes back the queued bytes from stream position `begins` to `ends`. Returns false, and changes nothing, if some of
     /// them were written already or are not queued.
     #[must_use]
-    pub fn unqueue(&mut self, begins: u64, ends: u64) -> bool {
+    pub fn remove_queued(&mut self, begins: u64, ends: u64) -> bool {
         let unsent = begins >= self.written && begins <= ends && ends <= self.queued;
         if unsent {
             self.output.cut((begins - self.written) as usize, (ends - begins) as usize);
@@ -136,12 +136,12 @@
     }
 
     /// Returns whether the socket has something to report that was not read yet: data, the end of the stream or an error.
-    pub fn pending(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         !matches!(rustix::net::recv(&self.fd, &mut [0u8; 1], RecvFlags::PEEK), Err(rustix::io::Errno::AGAIN))
     }
 
     /// Shuts down the sending side.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         let _ = rustix::net::shutdown(&self.fd, rustix::net::Shutdown::Write);
     }
 
@@ -161,7 +161,7 @@
     }
 }
 
-impl<C: Callbacks> Link<C> {
+impl<C: ProtocolHandler> Connection<C> {
     /// Creates a link of an accepted connection. `limits` are the sizes of the input and output ring, in bytes.
     pub fn accepted(
         poll: &Poll,
@@ -173,7 +173,7 @@
         let _ = sockopt::set_tcp_nodelay(&fd, true);
         let interest = Interest { read: true, write: false };
         poll.add(&fd, token, interest)?;
-        Ok(Link { io: Io::new(fd, token, interest, false, limits), peer })
+        Ok(Connection { io: BufferedSocket::new(fd, token, interest, false, limits), handler: peer })
     }
 
     /// Starts to connect. `limits` are the sizes of the input and output ring, in bytes.
@@ -196,11 +196,11 @@
         }
         let interest = Interest { read: true, write: true };
         poll.add(&fd, token, interest)?;
-        Ok(Link { io: Io::new(fd, token, interest, true, limits), peer })
+        Ok(Connection { io: BufferedSocket::new(fd, token, interest, true, limits), handler: peer })
     }
 
     /// Handles an event on the descriptor. After an error the owner must drop the connection.
-    pub fn ready(&mut self, poll: &mut Poll, ready: Ready, out: &mut C::Out) -> Result<(), Closed> {
+    pub fn handle_event(&mut self, poll: &mut Poll, ready: Ready, out: &mut C::Out) -> Result<(), Closed> {
         if self.io.connecting {
             if !ready.write && !ready.hung {
                 return Ok(());
@@ -211,26 +211,26 @@
             }
         }
         let mut broken = None;
-        if (ready.read || ready.hung) && !self.io.ended {
+        if (ready.read || ready.hung) && !self.io.read_closed {
             broken = self.read(poll, out)?;
         }
         if let Some(why) = broken {
             return Err(why);
         }
         // A reset of a connection that is not being read would otherwise wake the loop in every turn without being read.
-        if ready.hung && (self.io.ended || !self.wants_more()) {
+        if ready.hung && (self.io.read_closed || !self.wants_more()) {
             return Err(Closed::Broken);
         }
         self.flush(poll)
     }
 
     /// Passes the bytes that the handler left in the ring to it again.
-    pub fn resume(&mut self, out: &mut C::Out) -> Result<(), Closed> {
+    pub fn parse_buffered(&mut self, out: &mut C::Out) -> Result<(), Closed> {
         self.parse(out)
     }
 
     fn wants_more(&self) -> bool {
-        self.peer.wants_more(self.io.input.room())
+        self.handler.wants_more(self.io.input.room())
     }
 
     /// Reads and parses all pending data, up to the limit of a turn. A failure of the connection is returned only after the
@@ -248,7 +248,7 @@
             }
             match rustix::net::recv(&self.io.fd, &mut poll.scratch[..read_limit], RecvFlags::empty()) {
                 Ok((0, _)) => {
-                    self.io.ended = true;
+                    self.io.read_closed = true;
                     break;
                 }
                 Ok((count, _)) => {
@@ -267,14 +267,14 @@
     }
 
     fn parse(&mut self, out: &mut C::Out) -> Result<(), Closed> {
-        self.peer.received(&mut self.io.input, out).map_err(|m| Closed::Malformed(m.0))
+        self.handler.on_received(&mut self.io.input, out).map_err(|m| Closed::Malformed(m.0))
     }
 
     /// Writes as much as possible, and registers for write readiness if bytes are left.
     pub fn flush(&mut self, poll: &Poll) -> Result<(), Closed> {
         self.io.flush()?;
         let write = self.io.connecting || !self.io.output.is_empty();
-        let interest = Interest { read: !self.io.ended && self.wants_more(), write };
+        let interest = Interest { read: !self.io.read_closed && self.wants_more(), write };
         if interest != self.io.interest {
             self.io.interest = interest;
             poll.change(&self.io.fd, self.io.token, interest).map_err(|_| Closed::Broken)?;
@@ -283,10 +283,16 @@
     }
 }
 
-impl Io {
-    fn new(fd: OwnedFd, token: Token, interest: Interest, connecting: bool, limits: (usize, usize)) -> Io {
+impl BufferedSocket {
+    fn new(
+        fd: OwnedFd,
+        token: Token,
+        interest: Interest,
+        connecting: bool,
+        limits: (usize, usize),
+    ) -> BufferedSocket {
         let (input, output) = (Ring::new(limits.0), Ring::new(limits.1));
-        Io {
+        BufferedSocket {
             fd,
             token,
             interest,
@@ -294,7 +300,7 @@
             writes_held: false,
             input,
             output,
-            ended: false,
+            read_closed: false,
             queued: 0,
             written: 0,
             received: 0,
--- a/crates/net/src/link/tests.rs
+++ b/crates/net/src/link/tests.rs
@@ -6,10 +6,10 @@
 /// A handler that consumes all bytes and counts them.
 struct Sink;
 
-impl Callbacks for Sink {
+impl ProtocolHandler for Sink {
     type Out = usize;
 
-    fn received(&mut self, input: &mut Ring, out: &mut usize) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut usize) -> Result<(), Malformed> {
         *out += input.len();
         input.consume(input.len());
         Ok(())
@@ -32,10 +32,10 @@
     let mut poll = Poll::new().expect("an epoll instance");
     let token = poll.token(1, 0);
     let mut link =
-        Link::accepted(&poll, stream.into(), token, Sink, (RING_BYTES, RING_BYTES)).expect("a link");
+        Connection::accepted(&poll, stream.into(), token, Sink, (RING_BYTES, RING_BYTES)).expect("a link");
     let mut events = Vec::new();
     poll.wait(1_000_000, &mut events).expect("a turn");
     let mut received = 0;
-    let _ = link.ready(&mut poll, events[0], &mut received);
-    assert_eq!((received, link.io.ended), (SENT_BYTES, true));
+    let _ = link.handle_event(&mut poll, events[0], &mut received);
+    assert_eq!((received, link.io.read_closed), (SENT_BYTES, true));
 }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -12,7 +12,7 @@
 /// The result of one attempt to accept a connection.
 pub enum Accepted {
     /// A connection.
-    One(OwnedFd),
+    Connection(OwnedFd),
     /// No connection is pending.
     None,
     /// No descriptor or memory is left; the connection stays pending.
@@ -77,7 +77,7 @@
     pub fn accept(&self) -> Accepted {
         loop {
             match rustix::net::accept_with(&self.fd, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC) {
-                Ok(fd) => return Accepted::One(fd),
+                Ok(fd) => return Accepted::Connection(fd),
                 Err(Errno::INTR | Errno::CONNABORTED) => {}
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     return Accepted::OutOfDescriptors;
--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -1,7 +1,7 @@
 //! Subscribers of a control service without a dispatcher around them: the program's own state machine on real sockets,
 //! many of them on one thread. They say yes to every check and apply every version at once.
 
-use ochreward_net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
+use ochreward_net::{Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use ochreward_stream::subscriber::Options;
 use ochreward_stream::trial::Rules;
 use ochreward_stream::wire::{self, FromService, Health, ToService};
@@ -34,10 +34,10 @@
 
 struct Frames;
 
-impl Callbacks for Frames {
+impl ProtocolHandler for Frames {
     type Out = Vec<FromService>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
         while let Some(body) = wire::body(input.contiguous()).map_err(|e| Malformed(e.0))? {
             let size = body.len() + 4;
             out.push(wire::parse(body).map_err(|e| Malformed(e.0))?);
@@ -49,7 +49,7 @@
 
 struct One {
     subscriber: Subscriber,
-    link: Option<Link<Frames>>,
+    link: Option<Connection<Frames>>,
 }
 
 /// All of them, on one thread.
@@ -94,7 +94,8 @@
                 let Some(link) = one.link.as_mut().filter(|l| l.io.token() == ready.token) else { continue };
                 let rising = link.io.connecting();
                 let mut said = Vec::new();
-                let ended = link.ready(&mut self.poll, ready, &mut said).is_err() || link.io.ended;
+                let ended =
+                    link.handle_event(&mut self.poll, ready, &mut said).is_err() || link.io.read_closed;
                 if rising && !ended && !link.io.connecting() {
                     one.subscriber.connected_now(now);
                     let _ = tell.send(Event::Up(Instant::now()));
@@ -121,7 +122,7 @@
         match step {
             Step::Connect(to) => {
                 let token = poll.token(0, slot);
-                match Link::connect(poll, to, token, Frames, (1 << 19, 1 << 19)) {
+                match Connection::connect(poll, to, token, Frames, (1 << 19, 1 << 19)) {
                     Ok(link) => one.link = Some(link),
                     Err(_) => one.subscriber.lost(now),
                 }
--- a/src/agent/instance.rs
+++ b/src/agent/instance.rs
@@ -4,7 +4,7 @@
 use crate::config::{Agent, Instance};
 use crate::counters::print_line;
 use crate::front::thrift;
-use crate::net::{Closed, Link, Poll, Ready};
+use crate::net::{Closed, Connection, Poll, Ready};
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -44,7 +44,7 @@
     /// When SIGTERM is due, and SIGKILL; 0 once sent.
     term_at: Option<u64>,
     kill_at: Option<u64>,
-    probe: Option<Link<Prober>>,
+    probe: Option<Connection<Prober>>,
     asked: u64,
     /// When it last said that it is well.
     well_at: Option<u64>,
@@ -208,7 +208,7 @@
     fn ask(&mut self, poll: &mut Poll, (owner, slot): (u8, usize)) {
         if self.probe.is_none() {
             let token = poll.token(owner, slot);
-            self.probe = Link::connect(poll, self.told.listen, token, Prober, (4096, 4096)).ok();
+            self.probe = Connection::connect(poll, self.told.listen, token, Prober, (4096, 4096)).ok();
         }
         let Some(link) = &mut self.probe else { return };
         // What does not fit, or can't be sent, has not been answered for long: a new connection is tried.
@@ -221,8 +221,8 @@
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
         let Some(link) = self.probe.as_mut().filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = Vec::new();
-        let result = link.ready(poll, ready, &mut answers);
-        let result = if link.io.ended { Err(Closed::Broken) } else { result };
+        let result = link.handle_event(poll, ready, &mut answers);
+        let result = if link.io.read_closed { Err(Closed::Broken) } else { result };
         if let Some(well) = answers.last() {
             self.well_at = well.then_some(now);
         }
--- a/src/agent/probe.rs
+++ b/src/agent/probe.rs
@@ -1,15 +1,15 @@
 //! Asks an instance whether it is well, over its clients' protocol.
 
 use crate::front::thrift;
-use crate::net::{Callbacks, Malformed, Ring};
+use crate::net::{Malformed, ProtocolHandler, Ring};
 
 /// The speaker on the connection to an instance.
 pub struct Prober;
 
-impl Callbacks for Prober {
+impl ProtocolHandler for Prober {
     type Out = Vec<bool>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<bool>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<bool>) -> Result<(), Malformed> {
         while let Some((size, well)) = thrift::read_well(input.contiguous())? {
             out.push(well);
             input.consume(size);
--- a/src/agent/supervisor.rs
+++ b/src/agent/supervisor.rs
@@ -4,7 +4,9 @@
 use crate::config::{Agent, Operator};
 use crate::counters::print_line;
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
-use crate::net::{Accepted, Callbacks, Clock, Link, Listener, Malformed, Poll, Ready, Ring, Signals, Wish};
+use crate::net::{
+    Accepted, Clock, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Signals, Wish,
+};
 use slab::Slab;
 use std::fmt::Write;
 use std::io;
@@ -27,10 +29,10 @@
 /// Who asks for an agent-check line; what it sends does not matter.
 struct Checker;
 
-impl Callbacks for Checker {
+impl ProtocolHandler for Checker {
     type Out = ();
 
-    fn received(&mut self, input: &mut Ring, _: &mut ()) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, _: &mut ()) -> Result<(), Malformed> {
         input.consume(input.len());
         Ok(())
     }
@@ -44,8 +46,8 @@
     instances: Vec<Managed>,
     /// The first answers HTTP; the others are the agent-checks of these instances.
     listeners: Vec<(Listener, Option<usize>)>,
-    checks: Slab<(Link<Checker>, u64)>,
-    asking: Slab<(Link<Http>, u64)>,
+    checks: Slab<(Connection<Checker>, u64)>,
+    asking: Slab<(Connection<Http>, u64)>,
     signals: Signals,
     stopping: bool,
 }
@@ -89,8 +91,9 @@
             for (slot, instance) in self.instances.iter_mut().enumerate() {
                 instance.advance(&mut self.poll, now, &self.agent, (PROBES, slot));
             }
-            self.checks
-                .retain(|_, (link, since)| now < *since + IDLE && !(link.io.unsent() == 0 && link.io.ended));
+            self.checks.retain(|_, (link, since)| {
+                now < *since + IDLE && !(link.io.unsent_bytes() == 0 && link.io.read_closed)
+            });
             self.asking.retain(|_, (_, since)| now < *since + IDLE);
             if self.stopping && self.instances.iter().all(|i| !i.runs()) {
                 return Ok(());
@@ -123,8 +126,8 @@
             }
             CHECKS => {
                 let Some((link, _)) = self.checks.get_mut(slot) else { return };
-                let result = link.ready(&mut self.poll, ready, &mut ());
-                if result.is_err() || link.io.ended {
+                let result = link.handle_event(&mut self.poll, ready, &mut ());
+                if result.is_err() || link.io.read_closed {
                     self.checks.try_remove(slot);
                 }
             }
@@ -135,25 +138,26 @@
 
     fn accept(&mut self, now: u64, ready: Ready) {
         let found = self.listeners.iter().find(|(l, _)| l.is(ready.token)).map(|(l, i)| (l.accept(), *i));
-        let Some((Accepted::One(fd), instance)) = found else { return };
+        let Some((Accepted::Connection(fd), instance)) = found else { return };
         match instance {
             Some(instance) if self.checks.len() < MOST => {
                 let line = self.line(instance);
                 let entry = self.checks.vacant_entry();
                 let token = self.poll.token(CHECKS, entry.key());
-                if let Ok(mut link) = Link::accepted(&self.poll, fd, token, Checker, (1024, 1024)) {
+                if let Ok(mut link) = Connection::accepted(&self.poll, fd, token, Checker, (1024, 1024)) {
                     let _ = link.io.queue(line.as_bytes());
                     let _ = link.flush(&self.poll);
                     // Danger: a close while something the balancer sent is unread resets the connection, and
                     // the line may be lost. So only our side ends; the connection goes when the other does.
-                    link.io.finish();
+                    link.io.shutdown_write();
                     entry.insert((link, now));
                 }
             }
             None if self.asking.len() < MOST => {
                 let entry = self.asking.vacant_entry();
                 let token = self.poll.token(HTTP, entry.key());
-                if let Ok(link) = Link::accepted(&self.poll, fd, token, Http::default(), (MOST_CALL, 1 << 20))
+                if let Ok(link) =
+                    Connection::accepted(&self.poll, fd, token, Http::default(), (MOST_CALL, 1 << 20))
                 {
                     entry.insert((link, now));
                 }
@@ -173,7 +177,7 @@
     fn asked(&mut self, now: u64, slot: usize, ready: Ready) {
         let Some((link, _)) = self.asking.get_mut(slot) else { return };
         let mut asked = Vec::new();
-        let mut result = link.ready(&mut self.poll, ready, &mut asked);
+        let mut result = link.handle_event(&mut self.poll, ready, &mut asked);
         for request in asked {
             let (status, body) = match request {
                 Ok(request) => self.answer(now, &request),
@@ -185,8 +189,8 @@
             }
         }
         let Some((link, _)) = self.asking.get(slot) else { return };
-        let answered = link.io.queued > 0 && link.io.unsent() == 0;
-        if result.is_err() || answered || (link.io.ended && link.io.queued == 0) {
+        let answered = link.io.queued > 0 && link.io.unsent_bytes() == 0;
+        if result.is_err() || answered || (link.io.read_closed && link.io.queued == 0) {
             self.asking.try_remove(slot);
         }
     }
--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::WorkerId;
 use crate::counters::{Counters, count};
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
-use crate::net::{Accepted, Closed, Link, Listener, Poll, Ready, Token};
+use crate::net::{Accepted, Closed, Connection, Listener, Poll, Ready, Token};
 use crate::zones;
 use slab::Slab;
 use std::io;
@@ -46,7 +46,7 @@
 }
 
 struct Caller {
-    link: Link<Http>,
+    link: Connection<Http>,
     since: u64,
     /// When it was answered.
     answered: Option<u64>,
@@ -115,9 +115,9 @@
             return;
         };
         let mut calls = Vec::new();
-        let result = caller.link.ready(poll, ready, &mut calls);
-        let unasked = !caller.link.peer.asked();
-        let ended = caller.link.io.ended;
+        let result = caller.link.handle_event(poll, ready, &mut calls);
+        let unasked = !caller.link.handler.asked();
+        let ended = caller.link.io.read_closed;
         match (result, calls.pop()) {
             (_, Some(Ok(asked))) => self.call(poll, now, ready.token, &asked),
             (_, Some(Err(Bad(status)))) => self.bad(poll, now, ready.token, status),
@@ -128,7 +128,8 @@
             (Ok(()), None) => {}
         }
         // Nothing more comes, and all that was owed has gone.
-        let over = |c: &Caller| c.link.io.ended && c.answered.is_some() && c.link.io.unsent() == 0;
+        let over =
+            |c: &Caller| c.link.io.read_closed && c.answered.is_some() && c.link.io.unsent_bytes() == 0;
         if self.callers.get(slot).is_some_and(over) {
             self.close(slot);
         }
@@ -140,11 +141,11 @@
                 return self.pause(poll, now);
             }
             match self.listener.accept() {
-                Accepted::One(fd) => {
+                Accepted::Connection(fd) => {
                     let entry = self.callers.vacant_entry();
                     let token = poll.token(self.owner, entry.key());
                     let limits = (MOST_CALL, MOST_ANSWER);
-                    if let Ok(link) = Link::accepted(poll, fd, token, Http::default(), limits) {
+                    if let Ok(link) = Connection::accepted(poll, fd, token, Http::default(), limits) {
                         count(&self.counters.door_accepted);
                         entry.insert(Caller { link, since: now, answered: None });
                     }
@@ -165,8 +166,8 @@
     /// Makes room: answered callers go first, then those that have said nothing, the oldest first. Danger: idle
     /// callers must not keep the door shut for others; nor may one go whose call has come and was not read yet.
     fn evict(&mut self, now: u64) -> bool {
-        let spare = |c: &Caller| c.answered.is_some() || (!c.link.peer.asked() && now >= c.since + STAY);
-        let worth = |c: &Caller| (c.answered.is_none(), c.link.io.unread() > 0, c.since);
+        let spare = |c: &Caller| c.answered.is_some() || (!c.link.handler.asked() && now >= c.since + STAY);
+        let worth = |c: &Caller| (c.answered.is_none(), c.link.io.unparsed_bytes() > 0, c.since);
         let spare = self.callers.iter().filter(|(_, c)| spare(c));
         let Some((slot, _)) = spare.min_by_key(|(_, c)| worth(c)) else { return false };
         count(&self.counters.door_evicted);
@@ -198,7 +199,7 @@
             return self.close(slot);
         }
         // Only our side ends: a close with something unread would reset the connection, and cost the answer.
-        caller.link.io.finish();
+        caller.link.io.shutdown_write();
     }
 
     fn close(&mut self, slot: usize) {
--- a/src/executor/peer.rs
+++ b/src/executor/peer.rs
@@ -4,7 +4,7 @@
 use super::line::{self, Answer};
 use crate::api::WorkerId;
 use crate::core::AttemptId;
-use crate::net::{Callbacks, Malformed, Ring};
+use crate::net::{Malformed, ProtocolHandler, Ring};
 use std::collections::BTreeMap;
 
 /// Maximum length of an answer line: a body of 230,000 bytes in base64, its attributes, and a margin.
@@ -91,10 +91,10 @@
     }
 }
 
-impl Callbacks for ExecutorConnection {
+impl ProtocolHandler for ExecutorConnection {
     type Out = Vec<Answer>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Answer>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Answer>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
         let mut consumed = 0;
         let mut search_from = self.scanned.min(bytes.len());
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -12,7 +12,7 @@
 use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
 use crate::names::{Executor, ExecutorState};
-use crate::net::{Closed, Link, Poll, Ready};
+use crate::net::{Closed, Connection, Poll, Ready};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
     owner: u8,
     limits: PoolSettings,
     listed: BTreeMap<WorkerId, (SocketAddr, ExecutorState)>,
-    links: Slab<Link<ExecutorConnection>>,
+    links: Slab<Connection<ExecutorConnection>>,
     /// The connection and request id of each attempt that awaits an answer.
     attempts: BTreeMap<AttemptId, (usize, String)>,
     /// Scratch buffer for parsed answers.
@@ -161,8 +161,8 @@
     /// Closes the least recently used connection on which no answer is awaited; returns false if there is
     /// none.
     fn evict_idle(&mut self) -> bool {
-        let idle = self.links.iter().filter(|(_, l)| l.peer.awaiting() == 0);
-        let Some(slot) = idle.min_by_key(|(_, l)| l.peer.last_used_at).map(|(slot, _)| slot) else {
+        let idle = self.links.iter().filter(|(_, l)| l.handler.awaiting() == 0);
+        let Some(slot) = idle.min_by_key(|(_, l)| l.handler.last_used_at).map(|(slot, _)| slot) else {
             return false;
         };
         self.close(slot, Closed::Broken);
@@ -190,7 +190,7 @@
     pub fn release_writes(&mut self, poll: &Poll, now: u64) {
         (self.writes_on_hold, self.has_held_lines) = (false, false);
         let held: Vec<usize> =
-            self.links.iter().filter(|(_, link)| link.io.is_held()).map(|(slot, _)| slot).collect();
+            self.links.iter().filter(|(_, link)| link.io.writes_held()).map(|(slot, _)| slot).collect();
         for slot in held {
             self.flush(poll, now, slot);
         }
@@ -203,12 +203,12 @@
     }
 
     /// Sets whether the queued lines of a connection are held back; returns whether there are any that are.
-    fn set_hold(link: &mut Link<ExecutorConnection>, hold: bool, counters: &Counters) -> bool {
-        let hold = hold && link.io.unsent() > 0;
+    fn set_hold(link: &mut Connection<ExecutorConnection>, hold: bool, counters: &Counters) -> bool {
+        let hold = hold && link.io.unsent_bytes() > 0;
         if hold {
             count(&counters.writes_held);
         }
-        link.io.hold(hold);
+        link.io.hold_writes(hold);
         hold
     }
 
@@ -219,7 +219,7 @@
         let old = std::mem::replace(&mut self.listed, new);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            let worker = self.links[slot].peer.worker.clone();
+            let worker = self.links[slot].handler.worker.clone();
             match self.listed.get(&worker) {
                 Some((address, ExecutorState::Ready))
                     if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
@@ -233,16 +233,16 @@
     /// Stops using a connection for new lines and withdraws the queued lines of which nothing has been sent.
     fn withdraw_unsent(&mut self, slot: usize) {
         let link = &mut self.links[slot];
-        link.peer.closing = true;
+        link.handler.closing = true;
         let written = if link.io.connecting() { 0 } else { link.io.written };
         let started = |e: &PendingLine| e.start < written;
         // A partially sent line is sent to its end: a truncated line would corrupt the connection's framing.
-        let keep = link.peer.open.values().filter(|e| started(e)).map(|e| e.end).max().unwrap_or(0);
-        link.io.unqueue_after(keep);
+        let keep = link.handler.open.values().filter(|e| started(e)).map(|e| e.end).max().unwrap_or(0);
+        link.io.truncate_queue(keep);
         let unsent: Vec<(String, PendingLine)> =
-            link.peer.open.iter().filter(|(_, e)| !started(e)).map(|(rid, e)| (rid.clone(), *e)).collect();
+            link.handler.open.iter().filter(|(_, e)| !started(e)).map(|(rid, e)| (rid.clone(), *e)).collect();
         for (rid, pending_line) in unsent {
-            self.links[slot].peer.open.remove(&rid);
+            self.links[slot].handler.open.remove(&rid);
             count(&self.counters.attempts_withdrawn);
             self.end_unanswered(pending_line.purpose, Outcome::NotSent);
         }
@@ -275,7 +275,7 @@
             TimeoutField { offset: timeout.start as u64, width: timeout.len(), deadline, written_at: now };
         match self.queue_line(poll, now, worker, &job.client_request_id, Purpose::Attempt(id), &line) {
             Ok(slot) => {
-                let pending_line = self.links[slot].peer.open.get_mut(&*job.client_request_id);
+                let pending_line = self.links[slot].handler.open.get_mut(&*job.client_request_id);
                 pending_line.into_iter().for_each(|e| e.timeout = Some(timeout));
                 self.attempts.insert(id, (slot, job.client_request_id.to_string()));
                 self.flush(poll, now, slot);
@@ -309,7 +309,7 @@
     /// the executor is not ready or already connected, or the limit on connections is reached.
     pub fn probe(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
         let Some((address, ExecutorState::Ready)) = self.listed.get(worker).copied() else { return false };
-        let connected = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
+        let connected = self.links.iter().any(|(_, l)| l.handler.worker == *worker && !l.handler.closing);
         // A probe must not take up a connection that a request may need.
         if connected || self.links.len() >= self.limits.max_connections {
             return false;
@@ -338,7 +338,7 @@
         }
         let Some((slot, rid)) = self.attempts.remove(&id) else { return };
         let Some(link) = self.links.get_mut(slot) else { return };
-        let Some(pending_line) = link.peer.open.get_mut(&rid) else { return };
+        let Some(pending_line) = link.handler.open.get_mut(&rid) else { return };
         count(&self.counters.attempts_cancelled);
         pending_line.purpose = Purpose::Tombstone;
         pending_line.expires_at = now + self.limits.idle_timeout();
@@ -358,14 +358,14 @@
     fn unqueue_attempt(&mut self, id: AttemptId) -> bool {
         let Some((slot, rid)) = self.attempts.get(&id) else { return false };
         let Some(link) = self.links.get_mut(*slot) else { return false };
-        let Some(PendingLine { start, end, .. }) = link.peer.open.get(rid).copied() else { return false };
-        if !link.io.unqueue(start, end) {
+        let Some(PendingLine { start, end, .. }) = link.handler.open.get(rid).copied() else { return false };
+        if !link.io.remove_queued(start, end) {
             return false;
         }
         count(&self.counters.attempts_withdrawn);
-        link.peer.open.remove(rid);
+        link.handler.open.remove(rid);
         self.attempts.remove(&id);
-        for later in link.peer.open.values_mut().filter(|e| e.start >= end) {
+        for later in link.handler.open.values_mut().filter(|e| e.start >= end) {
             later.start -= end - start;
             later.end -= end - start;
         }
@@ -386,19 +386,19 @@
             return Err(Outcome::NotSent);
         };
         let limits = &self.limits;
-        let usable = |link: &Link<ExecutorConnection>| {
-            let peer = &link.peer;
+        let usable = |link: &Connection<ExecutorConnection>| {
+            let peer = &link.handler;
             !peer.closing
                 && peer.awaiting() < limits.max_requests_per_connection
                 && !peer.open.contains_key(rid)
                 && (peer.awaiting() > 0 || now < peer.last_used_at + limits.idle_timeout())
                 && peer.unanswered_since.is_none_or(|since| now < since + UNRESPONSIVE_AFTER_US)
                 && peer.partial_line_since.is_none_or(|since| now < since + PARTIAL_LINE_GRACE_US)
-                && link.io.unsent() + line.len() <= MAX_UNSENT_BYTES
+                && link.io.unsent_bytes() + line.len() <= MAX_UNSENT_BYTES
         };
         let found = (self.links.iter())
-            .filter(|(_, link)| link.peer.worker == *worker && usable(link))
-            .min_by_key(|(_, link)| (link.io.connecting(), link.io.unsent()))
+            .filter(|(_, link)| link.handler.worker == *worker && usable(link))
+            .min_by_key(|(_, link)| (link.io.connecting(), link.io.unsent_bytes()))
             .map(|(slot, _)| slot);
         let slot = match found {
             Some(slot) => slot,
@@ -411,8 +411,8 @@
         }
         let pending_line =
             PendingLine { purpose, start, end: link.io.queued, expires_at: u64::MAX, timeout: None };
-        link.peer.open.insert(rid.to_string(), pending_line);
-        link.peer.unanswered_since.get_or_insert(now);
+        link.handler.open.insert(rid.to_string(), pending_line);
+        link.handler.unanswered_since.get_or_insert(now);
         Ok(slot)
     }
 
@@ -433,7 +433,7 @@
         let entry = self.links.vacant_entry();
         let token = poll.token(self.owner, entry.key());
         let peer = ExecutorConnection::new(worker.clone(), now);
-        match Link::connect(poll, address, token, peer, (MAX_LINE_BYTES, MAX_UNSENT_BYTES)) {
+        match Connection::connect(poll, address, token, peer, (MAX_LINE_BYTES, MAX_UNSENT_BYTES)) {
             Ok(link) => Ok(entry.insert(link).io.token().slot as usize),
             Err(_) => {
                 count(&self.counters.executor_connects_failed);
@@ -447,24 +447,24 @@
     fn flush(&mut self, poll: &Poll, now: u64, slot: usize) {
         let hold = self.must_hold_writes();
         let Some(link) = self.links.get_mut(slot) else { return };
-        link.peer.last_used_at = now;
+        link.handler.last_used_at = now;
         Self::refresh_timeouts(link, now);
         self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
         if link.flush(poll).is_err() {
             // An answer may have arrived before the reset that broke the send, and not have been read yet.
             // The connection therefore only stops taking new lines; the event for its end reads the remaining
             // input first.
-            link.peer.closing = true;
+            link.handler.closing = true;
         }
     }
 
     /// Rewrites the time-outs in lines that have waited for their connection. An executor given more time
     /// than the client has left would work for a client that has gone.
-    fn refresh_timeouts(link: &mut Link<ExecutorConnection>, now: u64) {
-        if link.io.unsent() == 0 {
+    fn refresh_timeouts(link: &mut Connection<ExecutorConnection>, now: u64) {
+        if link.io.unsent_bytes() == 0 {
             return;
         }
-        for pending_line in link.peer.open.values_mut() {
+        for pending_line in link.handler.open.values_mut() {
             let stale = |t: &&mut TimeoutField| now > t.written_at + TIMEOUT_REFRESH_AFTER_US;
             let Some(timeout) = pending_line.timeout.as_mut().filter(stale) else { continue };
             let number = line::format_timeout(timeout.deadline.saturating_sub(now), timeout.width);
@@ -481,17 +481,17 @@
         let (slot, hold) = (ready.token.slot as usize, self.must_hold_writes());
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = std::mem::take(&mut self.answers);
-        let unread_before = link.io.unread();
+        let unread_before = link.io.unparsed_bytes();
         Self::refresh_timeouts(link, now);
         self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
-        let result = link.ready(poll, ready, &mut answers);
-        self.unread_bytes = self.unread_bytes + link.io.unread() - unread_before;
+        let result = link.handle_event(poll, ready, &mut answers);
+        self.unread_bytes = self.unread_bytes + link.io.unparsed_bytes() - unread_before;
         if ready.read {
-            link.peer.unanswered_since = None;
+            link.handler.unanswered_since = None;
             // The time runs from the line's first bytes, or from the last complete line before it.
-            let since = link.peer.partial_line_since.filter(|_| answers.is_empty()).unwrap_or(now);
-            link.peer.partial_line_since = (link.io.unread() > 0).then_some(since);
-            link.peer.last_read_at = now;
+            let since = link.handler.partial_line_since.filter(|_| answers.is_empty()).unwrap_or(now);
+            link.handler.partial_line_since = (link.io.unparsed_bytes() > 0).then_some(since);
+            link.handler.last_read_at = now;
         }
         for answer in answers.drain(..) {
             self.handle_answer(now, slot, answer);
@@ -499,13 +499,13 @@
         self.answers = answers;
         match result {
             Err(reason) => self.close(slot, reason),
-            Ok(()) if self.links[slot].io.ended => self.close(slot, Closed::Broken),
+            Ok(()) if self.links[slot].io.read_closed => self.close(slot, Closed::Broken),
             Ok(()) => self.close_if_idle(slot),
         }
         // Long answers on many connections at once must not exhaust the memory: closes the connection that
         // holds most.
         while self.unread_bytes > self.limits.max_unread_bytes {
-            let longest = self.links.iter().max_by_key(|(_, l)| l.io.unread()).map(|(slot, _)| slot);
+            let longest = self.links.iter().max_by_key(|(_, l)| l.io.unparsed_bytes()).map(|(slot, _)| slot);
             let Some(longest) = longest else { return };
             self.close(longest, Closed::Malformed("partially received answers exceed the memory limit"));
         }
@@ -513,7 +513,7 @@
 
     /// Matches an answer to its attempt or load order and reports the result.
     fn handle_answer(&mut self, now: u64, slot: usize, answer: Answer) {
-        let peer = &mut self.links[slot].peer;
+        let peer = &mut self.links[slot].handler;
         peer.last_used_at = now;
         let Some(pending_line) = peer.open.remove(&answer.rid) else {
             return count(&self.counters.late_answers);
@@ -568,22 +568,26 @@
     /// Closes a connection and ends the attempts and load orders open on it.
     fn close(&mut self, slot: usize, reason: Closed) {
         let Some(link) = self.links.try_remove(slot) else { return };
-        self.unread_bytes -= link.io.unread();
+        self.unread_bytes -= link.io.unparsed_bytes();
         match reason {
             Closed::NoConnect => count(&self.counters.executor_connects_failed),
             Closed::Malformed(_) => count(&self.counters.executors_malformed),
             Closed::Broken => {}
         }
         let refused = reason == Closed::NoConnect;
-        if refused || (reason == Closed::Broken && link.peer.awaiting() > 0 && !link.peer.closing) {
-            self.record_connection_failure(&link.peer.worker, refused, refused && link.peer.open.is_empty());
+        if refused || (reason == Closed::Broken && link.handler.awaiting() > 0 && !link.handler.closing) {
+            self.record_connection_failure(
+                &link.handler.worker,
+                refused,
+                refused && link.handler.open.is_empty(),
+            );
         }
         let written = if link.io.connecting() { 0 } else { link.io.written };
         // A malformed or truncated answer ends the connection for everything on it, but does not show that
         // the executor's process died. Reported as a reset, it would make the router assume that all replicas
         // there are lost.
-        let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unread() > 0;
-        for pending_line in link.peer.open.into_values() {
+        let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unparsed_bytes() > 0;
+        for pending_line in link.handler.open.into_values() {
             // A line that was not sent completely cannot have run; one that was sent completely may have.
             let outcome = match pending_line.end > written {
                 true => Outcome::ConnectFailed,
@@ -596,8 +600,9 @@
 
     /// Closes a connection marked as closing once no answer is awaited on it and nothing is left to send.
     fn close_if_idle(&mut self, slot: usize) {
-        let finished =
-            |l: &Link<ExecutorConnection>| l.peer.closing && l.peer.awaiting() == 0 && l.io.unsent() == 0;
+        let finished = |l: &Connection<ExecutorConnection>| {
+            l.handler.closing && l.handler.awaiting() == 0 && l.io.unsent_bytes() == 0
+        };
         if self.links.get(slot).is_some_and(finished) {
             self.close(slot, Closed::Broken);
         }
@@ -610,7 +615,7 @@
         let connect_timeout = self.limits.connect_timeout;
         let mut expired = Vec::new();
         for (slot, link) in &mut self.links {
-            let peer = &mut link.peer;
+            let peer = &mut link.handler;
             peer.open.retain(|_, e| e.purpose != Purpose::Tombstone || now < e.expires_at);
             if link.io.connecting() && now >= peer.connect_started_at + connect_timeout {
                 expired.push((slot, Closed::NoConnect));
@@ -629,14 +634,14 @@
     /// Returns when `advance` is next due.
     pub fn due(&self) -> Option<u64> {
         let idle_timeout = self.limits.idle_timeout();
-        let link_due = |(_, l): (usize, &Link<ExecutorConnection>)| match (
+        let link_due = |(_, l): (usize, &Connection<ExecutorConnection>)| match (
             l.io.connecting(),
-            l.peer.partial_line_since,
-            l.peer.awaiting(),
+            l.handler.partial_line_since,
+            l.handler.awaiting(),
         ) {
-            (true, ..) => l.peer.connect_started_at + self.limits.connect_timeout,
-            (false, Some(_), _) => l.peer.last_read_at + LINE_STALL_TIMEOUT_US,
-            (false, None, 0) => l.peer.last_used_at + idle_timeout,
+            (true, ..) => l.handler.connect_started_at + self.limits.connect_timeout,
+            (false, Some(_), _) => l.handler.last_read_at + LINE_STALL_TIMEOUT_US,
+            (false, None, 0) => l.handler.last_used_at + idle_timeout,
             (false, None, _) => u64::MAX,
         };
         self.links.iter().map(link_due).min()
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -6,7 +6,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Fields, Intake, Invalid, ParsedRequest};
-use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
+use crate::net::{Closed, Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use ochreward_mqtt::packet::{Connack, Packet, Publish, Unwritable};
 use ochreward_mqtt::{Properties, Qos, Reason, Version, Violation, decode};
 use std::collections::{BTreeSet, VecDeque};
@@ -27,10 +27,10 @@
     violation: Option<Violation>,
 }
 
-impl Callbacks for Speaker {
+impl ProtocolHandler for Speaker {
     type Out = Vec<Packet>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
         let mut done = 0;
         loop {
@@ -73,7 +73,7 @@
 
 /// What hangs on the connection that stands.
 struct Session {
-    link: Link<Speaker>,
+    link: Connection<Speaker>,
     /// What the broker said at connect; none before.
     broker: Option<Broker>,
     /// When something was last asked that must be answered.
@@ -157,9 +157,13 @@
         self.backoff = (self.backoff * 2).min(BACKOFF_LAST);
         let token = poll.token(self.id, 0);
         let limits = (o.maximum_packet * 2, 4 << 20);
-        let Ok(mut link) =
-            Link::connect(poll, o.broker, token, Speaker { most: o.maximum_packet, violation: None }, limits)
-        else {
+        let Ok(mut link) = Connection::connect(
+            poll,
+            o.broker,
+            token,
+            Speaker { most: o.maximum_packet, violation: None },
+            limits,
+        ) else {
             return;
         };
         let hello = packets::connect(o);
@@ -193,8 +197,8 @@
             return;
         };
         let mut packets = std::mem::take(&mut self.packets);
-        let mut result = session.link.ready(poll, ready, &mut packets);
-        if session.link.io.ended {
+        let mut result = session.link.handle_event(poll, ready, &mut packets);
+        if session.link.io.read_closed {
             result = result.and(Err(Closed::Broken));
         }
         for packet in packets.drain(..) {
@@ -209,7 +213,7 @@
             Ok(()) => self.flush(poll, now),
             Err(why) => {
                 if let Some(session) = &mut self.session
-                    && let Some(violation) = session.link.peer.violation
+                    && let Some(violation) = session.link.handler.violation
                 {
                     let _ = session.link.io.queue(&packets::disconnect(violation.reason));
                     let _ = session.link.flush(poll);
@@ -252,7 +256,7 @@
             }
             Packet::Disconnect(_) => return Err(Malformed("an MQTT broker that closes")),
             _ => {
-                session.link.peer.violation =
+                session.link.handler.violation =
                     Some(Violation::protocol("MQTT 4.13", "an MQTT packet that nothing asked for"));
                 return Err(Malformed("an MQTT packet that nothing asked for"));
             }
@@ -301,7 +305,7 @@
         let Some(session) = &mut self.session else { return Ok(()) };
         if p.qos == Qos::ExactlyOnce {
             // The subscription is of QoS 1, and a broker never sends more [MQTT-3.8.4-8].
-            session.link.peer.violation = Some(Violation {
+            session.link.handler.violation = Some(Violation {
                 reason: Reason::QosNotSupported,
                 statement: "MQTT-3.8.4-8",
                 what: "a message of QoS 2",
@@ -311,7 +315,7 @@
         if p.id > 0 {
             session.unacknowledged.insert(p.id);
             if session.unacknowledged.len() > usize::from(self.options.receive_maximum) {
-                session.link.peer.violation = Some(Violation {
+                session.link.handler.violation = Some(Violation {
                     reason: Reason::ReceiveMaximumExceeded,
                     statement: "MQTT-3.3.4-9",
                     what: "more messages than may be unacknowledged",
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
 use crate::keys::Faults;
-use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use ochreward_mqtt::packet::Packet;
 use ochreward_mqtt::{Version, Violation, decode};
 use slab::Slab;
@@ -50,10 +50,10 @@
     ending: bool,
 }
 
-impl Callbacks for Speaker {
+impl ProtocolHandler for Speaker {
     type Out = Vec<Packet>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
         if self.ending {
             input.consume(input.len());
             return Ok(());
@@ -85,7 +85,7 @@
 }
 
 struct Station {
-    link: Link<Speaker>,
+    link: Connection<Speaker>,
     /// When it was told to go.
     ended: Option<u64>,
 }
@@ -176,8 +176,8 @@
             return;
         };
         let mut packets = std::mem::take(&mut self.packets);
-        let result = station.link.ready(poll, ready, &mut packets);
-        let (violation, ended) = (station.link.peer.violation.take(), station.link.io.ended);
+        let result = station.link.handle_event(poll, ready, &mut packets);
+        let (violation, ended) = (station.link.handler.violation.take(), station.link.io.read_closed);
         for packet in packets.drain(..) {
             self.sessions.received(now, conn, packet);
         }
@@ -206,7 +206,7 @@
                 return listener.listen(poll, false);
             }
             let fd = match listener.accept() {
-                Accepted::One(fd) => fd,
+                Accepted::Connection(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => {
                     self.paused_until = Some(now + PAUSE);
@@ -218,7 +218,7 @@
             let token = poll.token(self.id, FIRST + conn);
             let most = self.options.rules.maximum_packet as usize;
             let speaker = Speaker { most, version: Version::V5, violation: None, ending: false };
-            if let Ok(link) = Link::accepted(poll, fd, token, speaker, (most + 5, OUT)) {
+            if let Ok(link) = Connection::accepted(poll, fd, token, speaker, (most + 5, OUT)) {
                 entry.insert(Station { link, ended: None });
                 self.sessions.accepted(now, conn);
             }
@@ -268,8 +268,8 @@
                 let Some(station) = self.stations.get_mut(conn) else { return };
                 // Only our side ends: a close with something unread could cost the station the last packet.
                 let _ = station.link.flush(poll);
-                station.link.io.finish();
-                station.link.peer.ending = true;
+                station.link.io.shutdown_write();
+                station.link.handler.ending = true;
                 station.ended.get_or_insert(now);
             }
             Act::Verify(conn, password, hash) => {
@@ -334,7 +334,7 @@
 
     /// Whether nothing is owed to a station.
     pub fn settled(&self) -> bool {
-        self.sessions.owed() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent() == 0)
+        self.sessions.owed() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent_bytes() == 0)
     }
 
     /// Tells every station that the server goes.
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -4,7 +4,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Intake, Invalid, ParsedRequest};
-use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use slab::Slab;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -84,10 +84,10 @@
     }
 }
 
-impl Callbacks for Client {
+impl ProtocolHandler for Client {
     type Out = Vec<Call>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
         if self.expelled.is_some() {
             input.consume(input.len());
             return Ok(());
@@ -142,7 +142,7 @@
     id: u8,
     listener: Option<Listener>,
     limits: Limits,
-    links: Slab<Link<Client>>,
+    links: Slab<Connection<Client>>,
     unsent: usize,
     paused_until: Option<u64>,
     next_sweep: u64,
@@ -229,24 +229,25 @@
     /// unread would reset the connection and could cost the client its last answer; so it closes first.
     fn finish(&mut self, now: u64, slot: usize) {
         let leaving = self.leaving.is_some();
-        let Some(link) = self.links.get_mut(slot).filter(|l| leaving || l.peer.expelled.is_some()) else {
+        let Some(link) = self.links.get_mut(slot).filter(|l| leaving || l.handler.expelled.is_some()) else {
             return;
         };
-        let idle = link.peer.open.is_empty() && link.io.unsent() == 0 && link.io.unread() == 0;
-        if idle && link.peer.finished.is_none() && !link.io.pending() {
-            link.io.finish();
-            link.peer.finished = Some(now);
+        let idle =
+            link.handler.open.is_empty() && link.io.unsent_bytes() == 0 && link.io.unparsed_bytes() == 0;
+        if idle && link.handler.finished.is_none() && !link.io.has_unread_input() {
+            link.io.shutdown_write();
+            link.handler.finished = Some(now);
         }
     }
 
     /// Whether all connections have ended, or could have.
     pub fn left(&self, now: u64) -> bool {
-        self.links.iter().all(|(_, l)| l.peer.finished.is_some_and(|at| now >= at + LINGER))
+        self.links.iter().all(|(_, l)| l.handler.finished.is_some_and(|at| now >= at + LINGER))
     }
 
     /// Whether answers wait to be taken.
     pub fn has_unsent_answers(&self) -> bool {
-        self.links.iter().any(|(_, l)| l.io.unsent() > 0)
+        self.links.iter().any(|(_, l)| l.io.unsent_bytes() > 0)
     }
 
     fn ticket(&self, slot: usize, seq: i32) -> Ticket {
@@ -262,17 +263,17 @@
         }
         let slot = ready.token.slot as usize;
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
-        let before = link.io.unsent();
+        let before = link.io.unsent_bytes();
         let mut calls = std::mem::take(&mut self.calls);
-        let mut result = link.ready(poll, ready, &mut calls);
+        let mut result = link.handle_event(poll, ready, &mut calls);
         if ready.read {
-            link.peer.heard = now;
+            link.handler.heard = now;
         }
         // Answers leave while the client reads: only so is it known to be alive.
-        if link.io.unsent() < before {
-            link.peer.used = now;
+        if link.io.unsent_bytes() < before {
+            link.handler.used = now;
         }
-        self.unsent = self.unsent + link.io.unsent() - before;
+        self.unsent = self.unsent + link.io.unsent_bytes() - before;
         for call in calls.drain(..) {
             if let Err(m) = self.call(now, slot, call) {
                 result = Err(Closed::Malformed(m.0));
@@ -281,9 +282,10 @@
         self.calls = calls;
         self.hung_up(slot);
         if let Some(link) = self.links.get_mut(slot) {
-            let since = link.peer.partial.unwrap_or(now);
-            link.peer.partial = (link.peer.messages == 0 || link.io.unread() > 0).then_some(since);
-            if link.peer.offences >= MOST_OFFENCES && link.peer.expelled.is_none() {
+            let since = link.handler.partial.unwrap_or(now);
+            link.handler.partial =
+                (link.handler.messages == 0 || link.io.unparsed_bytes() > 0).then_some(since);
+            if link.handler.offences >= MOST_OFFENCES && link.handler.expelled.is_none() {
                 result = result.and(Err(Closed::Malformed("one offence after another")));
             }
         }
@@ -298,11 +300,11 @@
     /// first: a connection that ends without one loses the request, whatever else its client has sent.
     fn expel(&mut self, poll: &Poll, now: u64, slot: usize) {
         let Some(link) = self.links.get_mut(slot) else { return };
-        if link.peer.expelled.is_none() {
+        if link.handler.expelled.is_none() {
             count(&self.counters.clients_malformed);
         }
-        link.peer.expelled.get_or_insert(now);
-        let open = std::mem::take(&mut link.peer.open);
+        link.handler.expelled.get_or_insert(now);
+        let open = std::mem::take(&mut link.handler.open);
         for seq in open {
             let ticket = self.ticket(slot, seq);
             self.forget(ticket);
@@ -314,9 +316,11 @@
     /// Whether it has closed its end for the first time: nothing more is begun for what it has asked, but what runs may
     /// still be answered, since a client that only says that it sends no more looks the same.
     fn hung_up(&mut self, slot: usize) {
-        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.ended && !l.peer.hung_up) else { return };
-        link.peer.hung_up = true;
-        let open: Vec<i32> = link.peer.open.iter().copied().collect();
+        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.read_closed && !l.handler.hung_up) else {
+            return;
+        };
+        link.handler.hung_up = true;
+        let open: Vec<i32> = link.handler.open.iter().copied().collect();
         for seq in open {
             let ticket = self.ticket(slot, seq);
             self.intake.push(Intake::ClientClosed(ticket));
@@ -332,7 +336,7 @@
             }
             let Some(listener) = &self.listener else { return true };
             match listener.accept() {
-                Accepted::One(fd) => {
+                Accepted::Connection(fd) => {
                     let entry = self.links.vacant_entry();
                     let token = poll.token(self.id, entry.key());
                     let client = Client {
@@ -351,7 +355,7 @@
                         expelled: None,
                     };
                     let limits = (wire::MOST_FRAME * 2, MOST_UNSENT);
-                    if let Ok(link) = Link::accepted(poll, fd, token, client, limits) {
+                    if let Ok(link) = Connection::accepted(poll, fd, token, client, limits) {
                         count(&self.counters.clients_accepted);
                         entry.insert(link);
                     }
@@ -378,21 +382,21 @@
     /// Closes the connection that has been idle longest, if one has nothing open.
     fn evict(&mut self, now: u64) -> bool {
         // Danger: a request may be on its way on a connection that has just been accepted or used.
-        let rank = |l: &Link<Client>| match (l.io.unread() > 0, l.peer.messages > 0) {
+        let rank = |l: &Connection<Client>| match (l.io.unparsed_bytes() > 0, l.handler.messages > 0) {
             (false, false) => (0, EVICTABLE),
             (false, true) => (1, ANSWERED),
             (true, _) => (2, STUCK),
         };
-        let idle = |l: &Link<Client>| {
-            let quiet = l.peer.open.is_empty() && l.io.unsent() == 0;
-            quiet && now >= l.peer.used.max(l.peer.heard) + rank(l).1
+        let idle = |l: &Connection<Client>| {
+            let quiet = l.handler.open.is_empty() && l.io.unsent_bytes() == 0;
+            quiet && now >= l.handler.used.max(l.handler.heard) + rank(l).1
         };
-        let first = |l: &Link<Client>| (rank(l).0, l.peer.used.max(l.peer.heard));
+        let first = |l: &Connection<Client>| (rank(l).0, l.handler.used.max(l.handler.heard));
         let idle = self.links.iter().filter(|(_, l)| idle(l));
         let mut oldest: Vec<_> = idle.map(|(slot, l)| (first(l), slot)).collect();
         oldest.sort_unstable();
         // Danger: a request may have come and not been read, in this turn or while the process stood still.
-        let unread = |slot: usize| self.links.get(slot).is_some_and(|l| l.io.pending());
+        let unread = |slot: usize| self.links.get(slot).is_some_and(|l| l.io.has_unread_input());
         let Some(slot) = oldest.into_iter().map(|(_, slot)| slot).find(|slot| !unread(*slot)) else {
             return false;
         };
@@ -404,28 +408,28 @@
     fn call(&mut self, now: u64, slot: usize, call: Call) -> Result<(), Malformed> {
         let Some(link) = self.links.get_mut(slot) else { return Ok(()) };
         // It crossed the end of the connection; its client sends it again.
-        if link.peer.finished.is_some() {
+        if link.handler.finished.is_some() {
             count(&self.counters.requests_crossed);
             return Ok(());
         }
         // Danger: one that takes no answers is not kept alive by what it asks.
-        if !link.peer.blocked {
-            link.peer.used = now;
+        if !link.handler.blocked {
+            link.handler.used = now;
         }
-        link.peer.partial = None;
-        link.peer.messages += 1;
+        link.handler.partial = None;
+        link.handler.messages += 1;
         match call {
             Call::Serve { seq, fields, body } => {
                 // Danger: two answers under one number could not be told apart.
-                if link.peer.open.contains(&seq) {
+                if link.handler.open.contains(&seq) {
                     return Err(Malformed("a sequence number that is still open"));
                 }
-                if !link.peer.in_order(seq) {
+                if !link.handler.in_order(seq) {
                     let text = "sequence numbers start at 1 and go up";
                     self.offence(slot, &wire::exception("serve", seq, wire::BAD_SEQUENCE_ID, text));
                     return Ok(());
                 }
-                if link.peer.open.len() >= MOST_OPEN {
+                if link.handler.open.len() >= MOST_OPEN {
                     let text = "too many requests open on this connection";
                     self.offence(slot, &wire::exception("serve", seq, wire::INTERNAL_ERROR, text));
                     return Ok(());
@@ -435,19 +439,19 @@
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
                 }
-                if link.peer.blocked {
+                if link.handler.blocked {
                     count(&self.counters.requests_unkept);
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
                 }
                 match ParsedRequest::read(&fields) {
                     // Danger: it waited here, in the system or in its queue of connections, and its client has gone.
-                    Ok(_) if link.io.ended => {
+                    Ok(_) if link.io.read_closed => {
                         count(&self.counters.requests_deserted);
                         self.queue(slot, &wire::refused(seq, Some(0)));
                     }
                     Ok(sketch) => {
-                        link.peer.open.insert(seq);
+                        link.handler.open.insert(seq);
                         let ticket = self.ticket(slot, seq);
                         self.intake.push(Intake::Submit { ticket, sketch, body, age_us: 0, again: false });
                     }
@@ -458,7 +462,7 @@
                 }
             }
             Call::Forget { seq } => {
-                if link.peer.open.remove(&seq) {
+                if link.handler.open.remove(&seq) {
                     let ticket = self.ticket(slot, seq);
                     self.forget(ticket);
                 }
@@ -479,7 +483,7 @@
     fn offence(&mut self, slot: usize, message: &[u8]) {
         count(&self.counters.requests_invalid);
         if let Some(link) = self.links.get_mut(slot) {
-            link.peer.offences += 1;
+            link.handler.offences += 1;
             self.queue(slot, message);
         }
     }
@@ -502,7 +506,7 @@
     pub fn invalid(&mut self, poll: &Poll, now: u64, ticket: Ticket, invalid: &Invalid, offence: bool) {
         let here = self.ticket((ticket.conn >> 32) as usize, ticket.seq as i32) == ticket;
         if let Some(link) = self.links.get_mut((ticket.conn >> 32) as usize).filter(|_| here && offence) {
-            link.peer.offences += 1;
+            link.handler.offences += 1;
         }
         count(&self.counters.requests_invalid);
         self.reply(poll, now, ticket, |seq| {
@@ -522,11 +526,11 @@
     fn reply(&mut self, poll: &Poll, now: u64, ticket: Ticket, message: impl FnOnce(i32) -> Vec<u8>) {
         let (slot, seq) = ((ticket.conn >> 32) as usize, ticket.seq as i32);
         let here = self.ticket(slot, seq) == ticket;
-        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.peer.open.contains(&seq)) else {
+        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.handler.open.contains(&seq)) else {
             return count(&self.counters.answers_lost);
         };
-        link.peer.open.remove(&seq);
-        link.peer.used = now;
+        link.handler.open.remove(&seq);
+        link.handler.used = now;
         self.queue(slot, &message(seq));
         self.flush(poll, now, slot);
     }
@@ -541,7 +545,7 @@
         }
         if self.unsent > self.limits.unsent {
             // Danger: clients that take no answers fill the memory. The one that holds most goes.
-            let worst = self.links.iter().max_by_key(|(_, l)| l.io.unsent()).map(|(slot, _)| slot);
+            let worst = self.links.iter().max_by_key(|(_, l)| l.io.unsent_bytes()).map(|(slot, _)| slot);
             if let Some(worst) = worst {
                 self.close(worst);
             }
@@ -557,23 +561,23 @@
                 result = result.and(self.call(now, slot, call).map_err(|m| Closed::Malformed(m.0)));
             }
             let Some(link) = self.links.get_mut(slot) else { return };
-            let before = link.io.unsent();
-            let was = std::mem::replace(&mut link.peer.blocked, before > MUCH_UNSENT);
+            let before = link.io.unsent_bytes();
+            let was = std::mem::replace(&mut link.handler.blocked, before > MUCH_UNSENT);
             result = result.and_then(|()| link.flush(poll));
-            let left = link.io.unsent();
+            let left = link.io.unsent_bytes();
             self.unsent = self.unsent + left - before;
-            let freed = (was || link.peer.blocked) && left <= MUCH_UNSENT;
+            let freed = (was || link.handler.blocked) && left <= MUCH_UNSENT;
             if result.is_err() || !freed {
-                if link.peer.blocked && !was {
+                if link.handler.blocked && !was {
                     count(&self.counters.clients_blocked);
                 }
                 break link;
             }
             // It takes answers again: what it asked meanwhile has waited on the ring.
-            link.peer.blocked = false;
-            result = link.resume(&mut calls);
+            link.handler.blocked = false;
+            result = link.parse_buffered(&mut calls);
         };
-        let over = link.io.ended && link.peer.open.is_empty() && link.io.unsent() == 0;
+        let over = link.io.read_closed && link.handler.open.is_empty() && link.io.unsent_bytes() == 0;
         match result {
             Err(Closed::Malformed(_)) => self.expel(poll, now, slot),
             Err(_) => self.close(slot),
@@ -587,8 +591,8 @@
         let serial = self.ticket(slot, 0);
         let Some(link) = self.links.try_remove(slot) else { return };
         count(&self.counters.clients_closed);
-        self.unsent -= link.io.unsent();
-        for seq in link.peer.open {
+        self.unsent -= link.io.unsent_bytes();
+        for seq in link.handler.open {
             self.forget(Ticket { seq: i64::from(seq), ..serial });
         }
     }
@@ -611,15 +615,16 @@
         let mut over = Vec::new();
         for (slot, link) in &self.links {
             // One that goes on sending what nobody reads is not waited for longer.
-            let ended = link.peer.expelled.filter(|_| link.io.unsent() == 0).or(link.peer.finished);
+            let ended =
+                link.handler.expelled.filter(|_| link.io.unsent_bytes() == 0).or(link.handler.finished);
             if ended.is_some_and(|at| now >= at + LINGER) {
                 over.push(slot);
                 continue;
             }
-            let silent = link.peer.partial.is_some_and(|since| now >= since + SILENT);
-            let stalled = link.io.unsent() > 0 && now >= link.peer.used + STALLED;
-            let idle = silent || now >= link.peer.used + IDLE;
-            if stalled || (link.peer.open.is_empty() && link.io.unsent() == 0 && idle) {
+            let silent = link.handler.partial.is_some_and(|since| now >= since + SILENT);
+            let stalled = link.io.unsent_bytes() > 0 && now >= link.handler.used + STALLED;
+            let idle = silent || now >= link.handler.used + IDLE;
+            if stalled || (link.handler.open.is_empty() && link.io.unsent_bytes() == 0 && idle) {
                 over.push(slot);
             }
         }
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -68,7 +68,7 @@
     let open: Vec<Ticket> = (1..=9).map(|seq| asked(&mut bed, &mut client, seq)).collect();
     let mut seq = 9;
     // The system takes what it can hold for a client that reads nothing, and then no more.
-    while !bed.front.links.iter().all(|(_, link)| link.peer.blocked) {
+    while !bed.front.links.iter().all(|(_, link)| link.handler.blocked) {
         seq += 1;
         let ticket = asked(&mut bed, &mut client, seq);
         bed.front.answer(&bed.poll, 0, ticket, &FinalAnswer::Served(vec![7; 600_000]));
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! As much HTTP/1.1 as health checks, operators and the command line need: one call a connection, its head read by httparse. The agent and the
 //! operators' door share it.
 
-use crate::net::{Callbacks, Malformed, Ring};
+use crate::net::{Malformed, ProtocolHandler, Ring};
 
 /// The longest head of a request.
 pub const MOST_HEAD: usize = 8 * 1024;
@@ -38,10 +38,10 @@
     }
 }
 
-impl Callbacks for Http {
+impl ProtocolHandler for Http {
     type Out = Vec<Result<Asked, Bad>>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed> {
         if !self.asked
             && let Some(call) = read(input.contiguous())
         {
--- a/src/names/stream.rs
+++ b/src/names/stream.rs
@@ -1,7 +1,7 @@
 //! One query over TCP (RFC 7766), sent after an answer over UDP had its truncation flag set.
 
 use super::dns::{self, MAX_MESSAGE_BYTES};
-use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
+use crate::net::{Closed, Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use std::io;
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 /// A reader of length-prefixed messages.
 struct MessageReader;
 
-impl Callbacks for MessageReader {
+impl ProtocolHandler for MessageReader {
     type Out = Vec<Vec<u8>>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
         let Some((size, rest)) = bytes.split_first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(()) };
         let size = usize::from(u16::from_be_bytes(*size));
@@ -31,7 +31,7 @@
 
 /// An outstanding query over TCP, on a connection of its own.
 pub struct TcpExchange {
-    link: Link<MessageReader>,
+    link: Connection<MessageReader>,
     id: u16,
     started_at: u64,
 }
@@ -47,7 +47,7 @@
     ) -> io::Result<TcpExchange> {
         let token = poll.token(owner, slot);
         let limits = (LENGTH_PREFIX_BYTES + MAX_MESSAGE_BYTES, MAX_QUERY_BYTES);
-        let mut link = Link::connect(poll, server, token, MessageReader, limits)?;
+        let mut link = Connection::connect(poll, server, token, MessageReader, limits)?;
         let query = dns::encode_query(id, service);
         let mut message = (query.len() as u16).to_be_bytes().to_vec();
         message.extend(query);
@@ -75,12 +75,12 @@
     /// Handles an event on the connection. Returns the answer once it has arrived whole.
     pub fn ready(&mut self, poll: &mut Poll, ready: Ready) -> Result<Option<Vec<u8>>, Closed> {
         let mut messages = Vec::new();
-        let handled = self.link.ready(poll, ready, &mut messages);
+        let handled = self.link.handle_event(poll, ready, &mut messages);
         let answer = messages.into_iter().find(|m| dns::message_id(m) == Some(self.id));
         match (answer, handled) {
             (Some(answer), _) => Ok(Some(answer)),
             (None, Err(why)) => Err(why),
-            (None, Ok(())) if self.link.io.ended => Err(Closed::Broken),
+            (None, Ok(())) if self.link.io.read_closed => Err(Closed::Broken),
             (None, Ok(())) => Ok(None),
         }
     }
--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -3,7 +3,7 @@
 //! One line each way, then the connection ends. Few connections, each bounded in bytes and time; what is asked for is made
 //! once a second at the most, whoever asks, so that no peer can take the loop's time.
 
-use crate::net::{Accepted, Callbacks, Link, Listener, Malformed, Poll, Ready, Ring, Token};
+use crate::net::{Accepted, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Token};
 use slab::Slab;
 use std::io;
 use std::net::SocketAddr;
@@ -29,10 +29,10 @@
     scanned: usize,
 }
 
-impl Callbacks for Line {
+impl ProtocolHandler for Line {
     type Out = Vec<Vec<u8>>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
         if self.done {
             input.consume(input.len());
             return Ok(());
@@ -58,7 +58,7 @@
 }
 
 struct Connection {
-    link: Link<Line>,
+    link: Connection<Line>,
     role: Role,
     since: u64,
 }
@@ -93,7 +93,7 @@
         let entry = self.connections.vacant_entry();
         let token = poll.token(self.owner, entry.key());
         let question = format!("{GREETING} {} {own}\n", self.group);
-        let link = Link::connect(poll, to, token, Line::default(), (MOST_WORD, MOST_QUESTION));
+        let link = Connection::connect(poll, to, token, Line::default(), (MOST_WORD, MOST_QUESTION));
         let asked = link.ok().and_then(|mut link| link.io.queue(question.as_bytes()).then_some(link));
         if let Some(link) = asked {
             entry.insert(Connection { link, role: Role::Asked(member.clone()), since: now });
@@ -112,9 +112,9 @@
             return;
         };
         let mut lines = Vec::new();
-        let result = c.link.ready(poll, ready, &mut lines);
+        let result = c.link.handle_event(poll, ready, &mut lines);
         let line = lines.pop();
-        let (ended, sent) = (c.link.io.ended, c.link.io.unsent() == 0);
+        let (ended, sent) = (c.link.io.read_closed, c.link.io.unsent_bytes() == 0);
         match c.role {
             Role::Asked(_) => {
                 if line.is_some() || result.is_err() || ended {
@@ -142,7 +142,7 @@
     }
 
     fn accept(&mut self, poll: &mut Poll, now: u64) {
-        while let Accepted::One(fd) = self.listener.accept() {
+        while let Accepted::Connection(fd) = self.listener.accept() {
             let callers =
                 self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Caller { .. })).count();
             // One too many is closed at once, and asks another.
@@ -151,7 +151,9 @@
             }
             let entry = self.connections.vacant_entry();
             let token = poll.token(self.owner, entry.key());
-            if let Ok(link) = Link::accepted(poll, fd, token, Line::default(), (MOST_QUESTION, MOST_WORD)) {
+            if let Ok(link) =
+                Connection::accepted(poll, fd, token, Line::default(), (MOST_QUESTION, MOST_WORD))
+            {
                 entry.insert(Connection { link, role: Role::Caller { answered: false }, since: now });
             }
         }
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -8,7 +8,7 @@
 use super::rules::CheckContext;
 use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
-use crate::net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
+use crate::net::{Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
 use ochreward_stream::last_good::LastGood;
 use ochreward_stream::subscriber::{Memory, Options, Step, Subscriber, Ticket};
 use ochreward_stream::trial::{Rules, Verdict};
@@ -34,10 +34,10 @@
 /// Parses the messages of the connection.
 struct FrameParser;
 
-impl Callbacks for FrameParser {
+impl ProtocolHandler for FrameParser {
     type Out = Vec<FromService>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
         loop {
             let Some(body) = wire::body(input.contiguous()).map_err(|e| Malformed(e.0))? else {
                 return Ok(());
@@ -83,7 +83,7 @@
 pub struct ConfigStream {
     options: Options,
     subscriber: Subscriber,
-    link: Option<Link<FrameParser>>,
+    link: Option<Connection<FrameParser>>,
     owner: u8,
     thread: VersionThread,
     files: Option<LastGood>,
@@ -233,12 +233,12 @@
             let was_connecting = link.io.connecting();
             let mut received = std::mem::take(&mut self.received);
             let before = link.io.received;
-            let mut result = link.ready(poll, ready, &mut received);
+            let mut result = link.handle_event(poll, ready, &mut received);
             add(&self.counters.stream_received_bytes, (link.io.received - before) as usize);
             if was_connecting && result.is_ok() && !link.io.connecting() {
                 self.subscriber.connected_now(now);
             }
-            if link.io.ended && result.is_ok() {
+            if link.io.read_closed && result.is_ok() {
                 result = Err(crate::net::Closed::Broken);
             }
             for message in received.drain(..) {
@@ -333,7 +333,7 @@
                 Step::Connect(to) => {
                     count(&self.counters.stream_connects);
                     let token = poll.token(self.owner, 0);
-                    match Link::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
+                    match Connection::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
                         Ok(link) => self.link = Some(link),
                         Err(_) => self.subscriber.lost(now),
                     }
