--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -11,7 +11,7 @@
 use ochreward::overload::{self, Overload};
 use ochreward::zones::{self, Zones};
 use ochreward_membership::{Claim, Event, Membership, Own, Record, Serving, State, wire};
-use ochreward_net::{Interest, Poll, Ready};
+use ochreward_net::{Interest, Poll, PollEvent};
 use ochreward_rig::subscribers::{self, Subscribers};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -212,7 +212,7 @@
         3_600_000_000 + self.started.elapsed().as_micros() as u64
     }
 
-    fn turn(&mut self, happened: &mut Vec<Ready>) {
+    fn turn(&mut self, happened: &mut Vec<PollEvent>) {
         self.poll.wait(TURN_US, happened).expect("a wait");
         let now = self.now();
         for ready in happened.drain(..) {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -8,8 +8,8 @@
 use crate::rollout::Plan;
 use crate::service::{Act, Conn, Now, Outcome, Service};
 use ochreward_net::{
-    Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Signals,
-    Wish,
+    Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring,
+    SignalRequest, Signals,
 };
 use ochreward_stream::wire::{self, Entry, Fault, FromService, MOST_FRAME, ToService};
 use ochreward_stream::{Kind, Snapshot};
@@ -196,7 +196,7 @@
             std::mem::take(&mut self.hungry).into_iter().for_each(|slot| self.pump(slot));
             for ready in happened.drain(..) {
                 match ready.token.owner {
-                    SIGNALS => self.signals.ready(ready.token),
+                    SIGNALS => self.signals.drain_wakeup(ready.token),
                     LISTENER => self.accept(time),
                     _ => self.ready(time, ready),
                 }
@@ -205,7 +205,7 @@
                 }
                 self.carry()?;
             }
-            if self.signals.asked().contains(&Wish::Stop) {
+            if self.signals.take_requests().contains(&SignalRequest::Stop) {
                 return Ok(());
             }
             if time.us >= self.beat_at {
@@ -250,7 +250,7 @@
         }
     }
 
-    fn ready(&mut self, time: Now, ready: Ready) {
+    fn ready(&mut self, time: Now, ready: PollEvent) {
         let slot = ready.token.slot as usize;
         let Some(peer) = self.peers.get_mut(slot).filter(|p| p.link.io.token() == ready.token) else {
             return;
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,6 +1,6 @@
 //! A TCP connection with a bounded ring for each direction, and a protocol handler that consumes the received bytes.
 
-use super::{Interest, Poll, Ready, Ring, Token};
+use super::{Interest, Poll, PollEvent, Ring, Token};
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType, sockopt};
 use std::io;
 use std::net::SocketAddr;
@@ -200,25 +200,30 @@
     }
 
     /// Handles an event on the descriptor. After an error the owner must drop the connection.
-    pub fn handle_event(&mut self, poll: &mut Poll, ready: Ready, out: &mut C::Out) -> Result<(), Closed> {
+    pub fn handle_event(
+        &mut self,
+        poll: &mut Poll,
+        ready: PollEvent,
+        out: &mut C::Out,
+    ) -> Result<(), Closed> {
         if self.io.connecting {
-            if !ready.write && !ready.hung {
+            if !ready.write && !ready.hung_up {
                 return Ok(());
             }
             match sockopt::socket_error(&self.io.fd) {
-                Ok(Ok(())) if !ready.hung => self.io.connecting = false,
+                Ok(Ok(())) if !ready.hung_up => self.io.connecting = false,
                 _ => return Err(Closed::NoConnect),
             }
         }
         let mut broken = None;
-        if (ready.read || ready.hung) && !self.io.read_closed {
+        if (ready.read || ready.hung_up) && !self.io.read_closed {
             broken = self.read(poll, out)?;
         }
         if let Some(why) = broken {
             return Err(why);
         }
         // A reset of a connection that is not being read would otherwise wake the loop in every turn without being read.
-        if ready.hung && (self.io.read_closed || !self.wants_more()) {
+        if ready.hung_up && (self.io.read_closed || !self.wants_more()) {
             return Err(Closed::Broken);
         }
         self.flush(poll)
@@ -239,21 +244,21 @@
     fn read(&mut self, poll: &mut Poll, out: &mut C::Out) -> Result<Option<Closed>, Closed> {
         let mut read = 0;
         while read < MAX_READ_BYTES_PER_TURN {
-            let read_limit = poll.scratch.len().min(self.io.input.room());
+            let read_limit = poll.read_buffer.len().min(self.io.input.room());
             if !self.wants_more() {
                 break;
             }
             if read_limit == 0 {
                 return Err(Closed::Malformed("a message larger than allowed"));
             }
-            match rustix::net::recv(&self.io.fd, &mut poll.scratch[..read_limit], RecvFlags::empty()) {
+            match rustix::net::recv(&self.io.fd, &mut poll.read_buffer[..read_limit], RecvFlags::empty()) {
                 Ok((0, _)) => {
                     self.io.read_closed = true;
                     break;
                 }
                 Ok((count, _)) => {
                     // Always fits: the read is limited to the space in the ring.
-                    let _ = self.io.input.push(&poll.scratch[..count]);
+                    let _ = self.io.input.push(&poll.read_buffer[..count]);
                     self.io.received += count as u64;
                     read += count;
                     self.parse(out)?;
@@ -277,7 +282,7 @@
         let interest = Interest { read: !self.io.read_closed && self.wants_more(), write };
         if interest != self.io.interest {
             self.io.interest = interest;
-            poll.change(&self.io.fd, self.io.token, interest).map_err(|_| Closed::Broken)?;
+            poll.modify(&self.io.fd, self.io.token, interest).map_err(|_| Closed::Broken)?;
         }
         Ok(())
     }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -97,7 +97,7 @@
     pub fn listen(&mut self, poll: &Poll, accepting: bool) {
         if self.accepting != accepting {
             self.accepting = accepting;
-            let _ = poll.change(&self.fd, self.token, Interest { read: accepting, write: false });
+            let _ = poll.modify(&self.fd, self.token, Interest { read: accepting, write: false });
         }
     }
 }
--- a/crates/net/src/poll.rs
+++ b/crates/net/src/poll.rs
@@ -53,7 +53,7 @@
 
 /// An event on a descriptor.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct PollEvent {
     /// The token of the descriptor.
     pub token: Token,
     /// Data or the end of the stream is ready to be read.
@@ -61,7 +61,7 @@
     /// Space to write.
     pub write: bool,
     /// The connection failed or was closed in both directions (`EPOLLERR` or `EPOLLHUP`).
-    pub hung: bool,
+    pub hung_up: bool,
 }
 
 /// The epoll instance of the event loop.
@@ -69,7 +69,7 @@
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
     /// The buffer that all connections read into before the data is copied to their rings.
-    pub scratch: Vec<u8>,
+    pub read_buffer: Vec<u8>,
     last_serial: u32,
 }
 
@@ -80,7 +80,7 @@
         Ok(Poll {
             epoll,
             events: Vec::with_capacity(MAX_EVENTS),
-            scratch: vec![0; SCRATCH_BYTES],
+            read_buffer: vec![0; SCRATCH_BYTES],
             last_serial: 0,
         })
     }
@@ -97,7 +97,7 @@
     }
 
     /// Changes the events that a descriptor waits for.
-    pub fn change(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
+    pub fn modify(&self, fd: impl AsFd, token: Token, interest: Interest) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, fd, EventData::new_u64(token.pack()), interest.flags())?)
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Waits for events, at most `max_wait_us` microseconds, and appends them to `out`.
-    pub fn wait(&mut self, max_wait_us: u64, out: &mut Vec<Ready>) -> io::Result<()> {
+    pub fn wait(&mut self, max_wait_us: u64, out: &mut Vec<PollEvent>) -> io::Result<()> {
         // Whole milliseconds, rounded up: waking before a deadline would only cost another turn.
         let ms = max_wait_us.div_ceil(1000).min(60_000);
         let limit = Timespec { tv_sec: (ms / 1000) as i64, tv_nsec: (ms % 1000 * 1_000_000) as i64 };
@@ -124,11 +124,11 @@
         out.extend(self.events.iter().map(|event| {
             let flags = event.flags;
             let hung = flags.intersects(EventFlags::HUP | EventFlags::ERR);
-            Ready {
+            PollEvent {
                 token: Token::unpack(event.data.u64()),
                 read: flags.contains(EventFlags::IN),
                 write: flags.contains(EventFlags::OUT),
-                hung,
+                hung_up: hung,
             }
         }));
         Ok(())
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -13,11 +13,11 @@
 
 /// The request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum SignalRequest {
     /// Finish the work in progress and exit.
     Stop,
     /// Print the counters.
-    Print,
+    PrintCounters,
     /// Reload the configuration.
     Reload,
 }
@@ -29,7 +29,7 @@
     wake_receiver: UnixStream,
     /// Set by the signal handler.
     raised: Arc<AtomicBool>,
-    wish: Wish,
+    wish: SignalRequest,
 }
 
 /// All handled signals.
@@ -42,8 +42,12 @@
     pub fn new(poll: &mut Poll, owner: u8) -> io::Result<Signals> {
         let mut signals = Vec::new();
         // The default action of each of these, SIGHUP included, would end the process.
-        let wishes =
-            [(SIGTERM, Wish::Stop), (SIGINT, Wish::Stop), (SIGUSR1, Wish::Print), (SIGHUP, Wish::Reload)];
+        let wishes = [
+            (SIGTERM, SignalRequest::Stop),
+            (SIGINT, SignalRequest::Stop),
+            (SIGUSR1, SignalRequest::PrintCounters),
+            (SIGHUP, SignalRequest::Reload),
+        ];
         for (slot, (signal, wish)) in wishes.into_iter().enumerate() {
             let (wake_receiver, wake_sender) = UnixStream::pair()?;
             wake_receiver.set_nonblocking(true)?;
@@ -59,7 +63,7 @@
     }
 
     /// Reads the bytes that woke the loop under this token.
-    pub fn ready(&self, token: Token) {
+    pub fn drain_wakeup(&self, token: Token) {
         let mut bytes = [0; 64];
         for signal in self.signals.iter().filter(|s| s.token == token) {
             while let Ok((1.., _)) = rustix::net::recv(&signal.wake_receiver, &mut bytes, RecvFlags::empty())
@@ -69,7 +73,7 @@
     }
 
     /// Returns the requests since the last call, at most one for each signal.
-    pub fn asked(&self) -> Vec<Wish> {
+    pub fn take_requests(&self) -> Vec<SignalRequest> {
         let raised = self.signals.iter().filter(|s| s.raised.swap(false, Ordering::SeqCst));
         raised.map(|s| s.wish).collect()
     }
--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -1,7 +1,7 @@
 //! Subscribers of a control service without a dispatcher around them: the program's own state machine on real sockets,
 //! many of them on one thread. They say yes to every check and apply every version at once.
 
-use ochreward_net::{Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use ochreward_net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_stream::subscriber::Options;
 use ochreward_stream::trial::Rules;
 use ochreward_stream::wire::{self, FromService, Health, ToService};
@@ -85,7 +85,7 @@
 
     /// Streams until it is told to stop.
     pub fn run(&mut self, tell: &Sender<Event>, stop: &AtomicBool) {
-        let mut happened: Vec<Ready> = Vec::new();
+        let mut happened: Vec<PollEvent> = Vec::new();
         while !stop.load(Ordering::SeqCst) {
             self.poll.wait(5_000, &mut happened).expect("a wait");
             let now = self.start.elapsed().as_micros() as u64;
--- a/src/agent/instance.rs
+++ b/src/agent/instance.rs
@@ -4,7 +4,7 @@
 use crate::config::{Agent, Instance};
 use crate::counters::print_line;
 use crate::front::thrift;
-use crate::net::{Closed, Connection, Poll, Ready};
+use crate::net::{Closed, Connection, Poll, PollEvent};
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -218,7 +218,7 @@
     }
 
     /// Handles what happened to the connection that asks.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         let Some(link) = self.probe.as_mut().filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = Vec::new();
         let result = link.handle_event(poll, ready, &mut answers);
--- a/src/agent/supervisor.rs
+++ b/src/agent/supervisor.rs
@@ -5,7 +5,8 @@
 use crate::counters::print_line;
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
 use crate::net::{
-    Accepted, Clock, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Signals, Wish,
+    Accepted, Clock, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring, SignalRequest,
+    Signals,
 };
 use slab::Slab;
 use std::fmt::Write;
@@ -102,23 +103,23 @@
     }
 
     fn obey_signals(&mut self, now: u64) {
-        for wish in self.signals.asked() {
+        for wish in self.signals.take_requests() {
             match wish {
-                Wish::Stop => {
+                SignalRequest::Stop => {
                     self.stopping = true;
                     self.instances.iter_mut().for_each(|i| i.end_now(now));
                 }
-                Wish::Print => print_line(self.status()),
+                SignalRequest::PrintCounters => print_line(self.status()),
                 // The instances read their own configuration again; the agent's own stays.
-                Wish::Reload => self.instances.iter().for_each(Managed::reload),
+                SignalRequest::Reload => self.instances.iter().for_each(Managed::reload),
             }
         }
     }
 
-    fn ready(&mut self, now: u64, ready: Ready) {
+    fn ready(&mut self, now: u64, ready: PollEvent) {
         let slot = ready.token.slot as usize;
         match ready.token.owner {
-            SIGNALS => self.signals.ready(ready.token),
+            SIGNALS => self.signals.drain_wakeup(ready.token),
             PROBES => {
                 if let Some(instance) = self.instances.get_mut(slot) {
                     instance.ready(&mut self.poll, now, ready);
@@ -136,7 +137,7 @@
         }
     }
 
-    fn accept(&mut self, now: u64, ready: Ready) {
+    fn accept(&mut self, now: u64, ready: PollEvent) {
         let found = self.listeners.iter().find(|(l, _)| l.is(ready.token)).map(|(l, i)| (l.accept(), *i));
         let Some((Accepted::Connection(fd), instance)) = found else { return };
         match instance {
@@ -174,7 +175,7 @@
         }
     }
 
-    fn asked(&mut self, now: u64, slot: usize, ready: Ready) {
+    fn asked(&mut self, now: u64, slot: usize, ready: PollEvent) {
         let Some((link, _)) = self.asking.get_mut(slot) else { return };
         let mut asked = Vec::new();
         let mut result = link.handle_event(&mut self.poll, ready, &mut asked);
--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::WorkerId;
 use crate::counters::{Counters, count};
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
-use crate::net::{Accepted, Closed, Connection, Listener, Poll, Ready, Token};
+use crate::net::{Accepted, Closed, Connection, Listener, Poll, PollEvent, Token};
 use crate::zones;
 use slab::Slab;
 use std::io;
@@ -106,7 +106,7 @@
     }
 
     /// Handles what happened to a descriptor of the door.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.listener.is(ready.token) {
             return self.accept(poll, now);
         }
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -12,7 +12,7 @@
 use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
 use crate::names::{Executor, ExecutorState};
-use crate::net::{Closed, Connection, Poll, Ready};
+use crate::net::{Closed, Connection, Poll, PollEvent};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -477,7 +477,7 @@
     }
 
     /// Handles an I/O event on a connection.
-    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         let (slot, hold) = (ready.token.slot as usize, self.must_hold_writes());
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = std::mem::take(&mut self.answers);
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -6,7 +6,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Fields, Intake, Invalid, ParsedRequest};
-use crate::net::{Closed, Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use crate::net::{Closed, Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_mqtt::packet::{Connack, Packet, Publish, Unwritable};
 use ochreward_mqtt::{Properties, Qos, Reason, Version, Violation, decode};
 use std::collections::{BTreeSet, VecDeque};
@@ -192,7 +192,7 @@
     }
 
     /// Handles what happened to the connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: PollEvent) {
         let Some(session) = self.session.as_mut().filter(|s| s.link.io.token() == ready.token) else {
             return;
         };
--- a/src/front/mqtt/set.rs
+++ b/src/front/mqtt/set.rs
@@ -9,7 +9,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
-use crate::net::{Poll, Ready};
+use crate::net::{Poll, PollEvent};
 use std::rc::Rc;
 
 /// Brokers at a time.
@@ -88,7 +88,7 @@
     }
 
     /// Handles what happened to a connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: PollEvent) {
         if let Some(front) = self.of(ready.token.owner) {
             front.ready(poll, now, unix_ms, ready);
         }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -7,7 +7,7 @@
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
 use crate::keys::Faults;
-use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_mqtt::packet::Packet;
 use ochreward_mqtt::{Version, Violation, decode};
 use slab::Slab;
@@ -158,7 +158,7 @@
     }
 
     /// Handles what happened to a descriptor.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
             return self.accept(poll, now);
         }
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -4,7 +4,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
 use crate::front::{Intake, Invalid, ParsedRequest};
-use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use slab::Slab;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -256,7 +256,7 @@
     }
 
     /// Handles what happened to a descriptor of this front.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
             self.accept(poll, now);
             return;
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::Intake;
-use crate::net::{Listener, Poll, Ready};
+use crate::net::{Listener, Poll, PollEvent};
 use ochreward_rig::stand::{Client, fields};
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
     }
 
     /// What is ready now: at least one thing, waited for.
-    fn happened(&mut self) -> Vec<Ready> {
+    fn happened(&mut self) -> Vec<PollEvent> {
         let mut happened = Vec::new();
         while happened.is_empty() {
             self.poll.wait(SECOND, &mut happened).expect("events");
--- a/src/names/resolver.rs
+++ b/src/names/resolver.rs
@@ -11,7 +11,7 @@
 use super::tracker::{Decision, ListTracker, ReceivedList};
 use super::{Executor, ExecutorState};
 use crate::counters::{Counters, add, count};
-use crate::net::{Poll, Ready};
+use crate::net::{Poll, PollEvent};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -169,7 +169,7 @@
     }
 
     /// Handles an event on one of the sockets. Returns whether a newer list was accepted or the list in use has changed.
-    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
+    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) -> bool {
         let changes = self.tracker.change_count();
         let updated = self.read_tcp(poll, now, ready);
         if self.tracker.change_count() > changes {
@@ -300,7 +300,7 @@
         }
     }
 
-    fn read_tcp(&mut self, poll: &mut Poll, now: u64, ready: Ready) -> bool {
+    fn read_tcp(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) -> bool {
         let Some(mut exchange) = self.tcp_exchange.take_if(|exchange| exchange.owns(ready)) else {
             return false;
         };
--- a/src/names/stream.rs
+++ b/src/names/stream.rs
@@ -1,7 +1,7 @@
 //! One query over TCP (RFC 7766), sent after an answer over UDP had its truncation flag set.
 
 use super::dns::{self, MAX_MESSAGE_BYTES};
-use crate::net::{Closed, Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use crate::net::{Closed, Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use std::io;
 use std::net::SocketAddr;
 
@@ -58,7 +58,7 @@
     }
 
     /// Returns whether an event belongs to this connection.
-    pub fn owns(&self, ready: Ready) -> bool {
+    pub fn owns(&self, ready: PollEvent) -> bool {
         self.link.io.token() == ready.token
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Handles an event on the connection. Returns the answer once it has arrived whole.
-    pub fn ready(&mut self, poll: &mut Poll, ready: Ready) -> Result<Option<Vec<u8>>, Closed> {
+    pub fn ready(&mut self, poll: &mut Poll, ready: PollEvent) -> Result<Option<Vec<u8>>, Closed> {
         let mut messages = Vec::new();
         let handled = self.link.handle_event(poll, ready, &mut messages);
         let answer = messages.into_iter().find(|m| dns::message_id(m) == Some(self.id));
--- a/src/node.rs
+++ b/src/node.rs
@@ -15,7 +15,7 @@
 use crate::front::{mqtt, stations, thrift};
 use crate::handover::Handover;
 use crate::names::{self, Executor, Resolver};
-use crate::net::{Clock, Listener, Poll, Ready, Signals, Wish};
+use crate::net::{Clock, Listener, Poll, PollEvent, SignalRequest, Signals};
 use crate::overload::{self as load, Overload};
 use crate::peers::{self, Peers};
 use crate::versions::ConfigStream;
@@ -257,7 +257,7 @@
 
     /// Serves until SIGTERM has been received and the shutdown that it starts is finished.
     pub fn run(&mut self) -> io::Result<()> {
-        let mut events: Vec<Ready> = Vec::new();
+        let mut events: Vec<PollEvent> = Vec::new();
         loop {
             let (last_read, wait_began) = (self.now, self.clock.read());
             let wait = self.next_deadline().saturating_sub(wait_began);
@@ -340,7 +340,7 @@
     }
 
     /// Passes a ready descriptor to the part that owns it.
-    fn handle_ready(&mut self, ready: Ready) {
+    fn handle_ready(&mut self, ready: PollEvent) {
         match ready.token.owner {
             NAMES => {
                 if self.resolver.handle_event(&mut self.poll, self.now, ready) {
@@ -363,17 +363,17 @@
                 let unix_ms = self.clock.unix_ms(self.now);
                 self.mqtt.ready(&mut self.poll, self.now, unix_ms, ready);
             }
-            _ => self.signals.ready(ready.token),
+            _ => self.signals.drain_wakeup(ready.token),
         }
     }
 
     /// Carries out the signals that were received.
     fn handle_signals(&mut self) {
-        for request in self.signals.asked() {
+        for request in self.signals.take_requests() {
             match request {
-                Wish::Stop => self.start_shutdown(),
-                Wish::Print => print_line(self.counters_line()),
-                Wish::Reload => self.reload(),
+                SignalRequest::Stop => self.start_shutdown(),
+                SignalRequest::PrintCounters => print_line(self.counters_line()),
+                SignalRequest::Reload => self.reload(),
             }
         }
     }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -7,7 +7,7 @@
 use crate::api::WorkerId;
 use crate::counters::count;
 use crate::door::AdminCommand;
-use crate::net::{Ready, Token};
+use crate::net::{PollEvent, Token};
 use tracing::info;
 
 /// After this long without a list from elsewhere, a process counts as ready with the list in its configuration.
@@ -22,7 +22,7 @@
     }
 
     /// Handles a ready descriptor of the operators' interface.
-    pub(super) fn handle_operators_ready(&mut self, ready: Ready) {
+    pub(super) fn handle_operators_ready(&mut self, ready: PollEvent) {
         if let Some(door) = &mut self.admin {
             door.ready(&mut self.poll, self.now, ready);
             self.answer_operators();
--- a/src/node/versions.rs
+++ b/src/node/versions.rs
@@ -11,7 +11,7 @@
 use crate::config::{Config, Stream as StreamConfig, VersionedConfig};
 use crate::counters::Counters;
 use crate::front::mqtt;
-use crate::net::{Poll, Ready};
+use crate::net::{Poll, PollEvent};
 use crate::versions::rules::{self, CheckContext, Usage};
 use crate::versions::{ConfigStream, StartOptions, StreamEvent, read};
 use ochreward_stream::wire::Code;
@@ -112,7 +112,7 @@
     }
 
     /// Handles a ready descriptor of the stream, and its events.
-    pub(super) fn handle_stream_ready(&mut self, ready: Ready) {
+    pub(super) fn handle_stream_ready(&mut self, ready: PollEvent) {
         if let Some(stream) = &mut self.stream {
             stream.ready(&mut self.poll, self.now, ready);
             self.handle_stream_events();
--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -3,7 +3,7 @@
 //! One line each way, then the connection ends. Few connections, each bounded in bytes and time; what is asked for is made
 //! once a second at the most, whoever asks, so that no peer can take the loop's time.
 
-use crate::net::{Accepted, Connection, Listener, Malformed, Poll, ProtocolHandler, Ready, Ring, Token};
+use crate::net::{Accepted, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring, Token};
 use slab::Slab;
 use std::io;
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
     }
 
     /// Handles what happened to a descriptor.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.listener.is(ready.token) {
             return self.accept(poll, now);
         }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -16,7 +16,7 @@
 use crate::api::WorkerId;
 use crate::counters::{Counters, add, count};
 use crate::handover::HandoverState;
-use crate::net::{Interest, Poll, Ready, Token};
+use crate::net::{Interest, Poll, PollEvent, Token};
 use exchange::Exchange;
 use hints::Hints;
 use ochreward_membership::{Event, Membership, Own, Record, Serving, draw};
@@ -155,7 +155,7 @@
     }
 
     /// Handles what happened to a descriptor.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if ready.token == self.token {
             self.read(now);
         } else {
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -8,7 +8,7 @@
 use super::rules::CheckContext;
 use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
-use crate::net::{Connection, Malformed, Poll, ProtocolHandler, Ready, Ring};
+use crate::net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_stream::last_good::LastGood;
 use ochreward_stream::subscriber::{Memory, Options, Step, Subscriber, Ticket};
 use ochreward_stream::trial::{Rules, Verdict};
@@ -226,7 +226,7 @@
     }
 
     /// Handles a ready descriptor of the stream or of the version thread.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.thread.is(ready.token) {
             self.handle_results();
         } else if let Some(link) = self.link.as_mut().filter(|l| l.io.token() == ready.token) {
