--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -25,7 +25,7 @@
 
     /// Advances the clock to `reading` if it is behind it. Readings taken over from another process must not lie in the
     /// future.
-    pub fn catch_up(&mut self, reading: u64) {
+    pub fn advance_to(&mut self, reading: u64) {
         self.ahead_us += reading.saturating_sub(self.read());
     }
 
--- a/crates/net/src/clock/tests.rs
+++ b/crates/net/src/clock/tests.rs
@@ -4,10 +4,10 @@
 fn clock_catches_up_and_never_goes_back() {
     let mut clock = Clock::start();
     let unix = clock.unix_ms(clock.read());
-    clock.catch_up(clock.read() + 7_000_000);
+    clock.advance_to(clock.read() + 7_000_000);
     let now = clock.read();
     assert!(clock.unix_ms(now) - unix < 5_000, "{now}");
-    clock.catch_up(now - 9_000_000);
+    clock.advance_to(now - 9_000_000);
     assert!((now..now + 5_000_000).contains(&clock.read()));
 }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -22,4 +22,4 @@
 pub use reader::Reader;
 pub use ring::Ring;
 pub use signals::{SignalRequest, Signals};
-pub use worker::Worker;
+pub use worker::BackgroundThread;
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -121,7 +121,7 @@
     pub fn remove_queued(&mut self, begins: u64, ends: u64) -> bool {
         let unsent = begins >= self.written && begins <= ends && ends <= self.queued;
         if unsent {
-            self.output.cut((begins - self.written) as usize, (ends - begins) as usize);
+            self.output.remove_range((begins - self.written) as usize, (ends - begins) as usize);
             self.queued -= ends - begins;
         }
         unsent
@@ -235,7 +235,7 @@
     }
 
     fn wants_more(&self) -> bool {
-        self.handler.wants_more(self.io.input.room())
+        self.handler.wants_more(self.io.input.free_space())
     }
 
     /// Reads and parses all pending data, up to the limit of a turn. A failure of the connection is returned only after the
@@ -244,7 +244,7 @@
     fn read(&mut self, poll: &mut Poll, out: &mut C::Out) -> Result<Option<Closed>, Closed> {
         let mut read = 0;
         while read < MAX_READ_BYTES_PER_TURN {
-            let read_limit = poll.read_buffer.len().min(self.io.input.room());
+            let read_limit = poll.read_buffer.len().min(self.io.input.free_space());
             if !self.wants_more() {
                 break;
             }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -40,7 +40,7 @@
 
     /// Takes over a listening socket that the process was started with. The descriptor is duplicated through the process's
     /// own pidfd, which makes an owned descriptor of a bare number without unsafe code.
-    pub fn inherit(poll: &mut Poll, owner: u8, number: i32) -> io::Result<Listener> {
+    pub fn from_inherited(poll: &mut Poll, owner: u8, number: i32) -> io::Result<Listener> {
         let own_process = rustix::process::pidfd_open(rustix::process::getpid(), PidfdFlags::empty())?;
         let fd = rustix::process::pidfd_getfd(own_process, number, PidfdGetfdFlags::empty())?;
         if !sockopt::socket_acceptconn(&fd)? {
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether the token belongs to this socket.
-    pub fn is(&self, token: Token) -> bool {
+    pub fn owns_token(&self, token: Token) -> bool {
         self.token == token
     }
 
@@ -89,12 +89,12 @@
 
     /// Returns a duplicate descriptor that only reserves an entry of the descriptor table: closing it makes room to accept
     /// a connection when no descriptors are left.
-    pub fn spare(&self) -> io::Result<OwnedFd> {
+    pub fn reserve_descriptor(&self) -> io::Result<OwnedFd> {
         Ok(rustix::io::fcntl_dupfd_cloexec(&self.fd, 0)?)
     }
 
     /// Pauses or resumes events for pending connections.
-    pub fn listen(&mut self, poll: &Poll, accepting: bool) {
+    pub fn set_accepting(&mut self, poll: &Poll, accepting: bool) {
         if self.accepting != accepting {
             self.accepting = accepting;
             let _ = poll.modify(&self.fd, self.token, Interest { read: accepting, write: false });
--- a/crates/net/src/ring.rs
+++ b/crates/net/src/ring.rs
@@ -28,14 +28,14 @@
     }
 
     /// Returns the number of bytes that still fit.
-    pub fn room(&self) -> usize {
+    pub fn free_space(&self) -> usize {
         self.limit.saturating_sub(self.bytes.len())
     }
 
     /// Appends all of `data`, or nothing if it does not fit. Returns whether it was appended.
     #[must_use]
     pub fn push(&mut self, data: &[u8]) -> bool {
-        if data.len() > self.room() {
+        if data.len() > self.free_space() {
             return false;
         }
         self.bytes.extend(data);
@@ -58,7 +58,7 @@
     }
 
     /// Removes `count` bytes starting at `at`.
-    pub fn cut(&mut self, at: usize, count: usize) {
+    pub fn remove_range(&mut self, at: usize, count: usize) {
         let end = at.saturating_add(count).min(self.bytes.len());
         self.bytes.drain(at.min(end)..end);
     }
--- a/crates/net/src/ring/tests.rs
+++ b/crates/net/src/ring/tests.rs
@@ -7,7 +7,7 @@
     assert!(ring.push(&[7; 90_000]));
     assert!(!ring.push(&[7; 10_001]));
     assert_eq!(ring.len(), 90_000);
-    ring.cut(1, 89_998);
+    ring.remove_range(1, 89_998);
     assert_eq!(ring.contiguous(), [7, 7]);
     assert!(ring.push(&[8; 89_998]));
     ring.consume(90_000);
--- a/crates/net/src/worker.rs
+++ b/crates/net/src/worker.rs
@@ -1,5 +1,5 @@
 //! A background thread for jobs that would block the event loop. It runs one job after the other, and wakes the loop after
-//! each one that has a result. The queue of jobs is unbounded; [`Worker::waiting`] tells its length.
+//! each one that has a result. The queue of jobs is unbounded; [`BackgroundThread::queued_jobs`] tells its length.
 
 use super::{Interest, Poll, Token};
 use std::io::{self, Read, Write};
@@ -9,7 +9,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 
 /// The loop's handle of the thread, which ends after the handle is dropped.
-pub struct Worker<J, D> {
+pub struct BackgroundThread<J, D> {
     jobs: Sender<J>,
     /// The number of jobs that the thread has not started.
     waiting: Arc<AtomicUsize>,
@@ -18,14 +18,14 @@
     token: Token,
 }
 
-impl<J: Send + 'static, D: Send + 'static> Worker<J, D> {
+impl<J: Send + 'static, D: Send + 'static> BackgroundThread<J, D> {
     /// Starts the thread, which wakes the loop under this owner and slot. `work` returns `None` for a job without a result.
     pub fn start(
         poll: &mut Poll,
         (owner, slot): (u8, usize),
         name: &str,
         mut work: impl FnMut(J) -> Option<D> + Send + 'static,
-    ) -> io::Result<Worker<J, D>> {
+    ) -> io::Result<BackgroundThread<J, D>> {
         let (wake_receiver, wake_sender) = UnixStream::pair()?;
         wake_receiver.set_nonblocking(true)?;
         wake_sender.set_nonblocking(true)?;
@@ -47,28 +47,28 @@
                 }
             }
         })?;
-        Ok(Worker { jobs, waiting, results, wake_receiver, token })
+        Ok(BackgroundThread { jobs, waiting, results, wake_receiver, token })
     }
 
     /// Returns whether the token belongs to this thread.
-    pub fn is(&self, token: Token) -> bool {
+    pub fn owns_token(&self, token: Token) -> bool {
         self.token == token
     }
 
     /// Returns the number of jobs that are not started.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_jobs(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
     /// Queues a job.
-    pub fn ask(&self, job: J) {
+    pub fn submit(&self, job: J) {
         self.waiting.fetch_add(1, Ordering::Relaxed);
         // Sending fails only once the thread has ended, which is after this handle is dropped.
         let _ = self.jobs.send(job);
     }
 
     /// Returns the results that are available.
-    pub fn take(&mut self) -> Vec<D> {
+    pub fn take_results(&mut self) -> Vec<D> {
         let mut bytes = [0; 64];
         while matches!(self.wake_receiver.read(&mut bytes), Ok(1..)) {}
         self.results.try_iter().collect()
--- a/src/agent/supervisor.rs
+++ b/src/agent/supervisor.rs
@@ -138,7 +138,8 @@
     }
 
     fn accept(&mut self, now: u64, ready: PollEvent) {
-        let found = self.listeners.iter().find(|(l, _)| l.is(ready.token)).map(|(l, i)| (l.accept(), *i));
+        let found =
+            self.listeners.iter().find(|(l, _)| l.owns_token(ready.token)).map(|(l, i)| (l.accept(), *i));
         let Some((Accepted::Connection(fd), instance)) = found else { return };
         match instance {
             Some(instance) if self.checks.len() < MOST => {
--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -95,7 +95,7 @@
     /// configuration says, and an operator would not get in.
     fn refill(&mut self) {
         while self.spares.len() < SPARES {
-            let Ok(spare) = self.listener.spare() else { return };
+            let Ok(spare) = self.listener.reserve_descriptor() else { return };
             self.spares.push(spare);
         }
     }
@@ -107,7 +107,7 @@
 
     /// Handles what happened to a descriptor of the door.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
-        if self.listener.is(ready.token) {
+        if self.listener.owns_token(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
@@ -160,7 +160,7 @@
     /// Danger: with no place left, the listener stays readable and the loop would spin on it.
     fn pause(&mut self, poll: &Poll, now: u64) {
         self.paused_until = Some(now + PAUSE);
-        self.listener.listen(poll, false);
+        self.listener.set_accepting(poll, false);
     }
 
     /// Makes room: answered callers go first, then those that have said nothing, the oldest first. Danger: idle
@@ -211,7 +211,7 @@
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
-            self.listener.listen(poll, true);
+            self.listener.set_accepting(poll, true);
             self.accept(poll, now);
         }
         let mut over = Vec::new();
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -159,7 +159,7 @@
 
     /// Handles what happened to a descriptor.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
-        if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
+        if self.listener.as_ref().is_some_and(|l| l.owns_token(ready.token)) {
             return self.accept(poll, now);
         }
         if self.verifier.is(ready.token) {
@@ -203,14 +203,14 @@
             let Some(listener) = &mut self.listener else { return };
             if self.stations.len() >= self.options.connections {
                 self.paused_until = Some(now + PAUSE);
-                return listener.listen(poll, false);
+                return listener.set_accepting(poll, false);
             }
             let fd = match listener.accept() {
                 Accepted::Connection(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => {
                     self.paused_until = Some(now + PAUSE);
-                    return listener.listen(poll, false);
+                    return listener.set_accepting(poll, false);
                 }
             };
             let entry = self.stations.vacant_entry();
@@ -302,7 +302,7 @@
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
             if let Some(listener) = &mut self.listener {
-                listener.listen(poll, true);
+                listener.set_accepting(poll, true);
             }
             self.accept(poll, now);
         }
--- a/src/front/stations/verifier.rs
+++ b/src/front/stations/verifier.rs
@@ -2,7 +2,7 @@
 //! is woken when one is done.
 
 use super::sessions::Conn;
-use crate::net::{Poll, Token, Worker};
+use crate::net::{BackgroundThread, Poll, Token};
 use argon2::{Argon2, PasswordHash, PasswordVerifier};
 use std::io;
 
@@ -18,32 +18,32 @@
 }
 
 /// The loop's side of the thread.
-pub struct Verifier(Worker<Job, (Conn, u32, bool)>);
+pub struct Verifier(BackgroundThread<Job, (Conn, u32, bool)>);
 
 impl Verifier {
     /// Starts the thread.
     pub fn start(poll: &mut Poll, owner: u8, slot: usize) -> io::Result<Verifier> {
         let work = |job: Job| Some((job.conn, job.serial, verify(&job.password, &job.hash)));
-        Worker::start(poll, (owner, slot), "passwords", work).map(Verifier)
+        BackgroundThread::start(poll, (owner, slot), "passwords", work).map(Verifier)
     }
 
     /// Whether the token is its own.
     pub fn is(&self, token: Token) -> bool {
-        self.0.is(token)
+        self.0.owns_token(token)
     }
 
     /// Hands a password over; false if too many wait.
     pub fn ask(&self, conn: Conn, serial: u32, password: Vec<u8>, hash: String) -> bool {
-        let room = self.0.waiting() < MOST_WAITING;
+        let room = self.0.queued_jobs() < MOST_WAITING;
         if room {
-            self.0.ask(Job { conn, serial, password, hash });
+            self.0.submit(Job { conn, serial, password, hash });
         }
         room
     }
 
     /// What is done by now.
     pub fn take(&mut self) -> Vec<(Conn, u32, bool)> {
-        self.0.take()
+        self.0.take_results()
     }
 }
 
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -121,13 +121,13 @@
     /// on, to be refused: as many as may be open at a time, so that one that asks without end is left to wait all the same.
     fn make_room(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
         let mut at = 0;
-        while input.room() < wire::MOST_FRAME && at < self.scanned && self.unkept < MOST_OPEN {
+        while input.free_space() < wire::MOST_FRAME && at < self.scanned && self.unkept < MOST_OPEN {
             let bytes = &input.contiguous()[at..];
             let Some(size) = wire::frame(bytes)? else { break };
             let call = wire::read(&bytes[4..size])?;
             if matches!(call, Call::Serve { .. }) {
                 out.push(call);
-                input.cut(at, size);
+                input.remove_range(at, size);
                 (self.scanned, self.unkept) = (self.scanned - size, self.unkept + 1);
             } else {
                 at += size;
@@ -178,7 +178,7 @@
     /// Leaves connections to wait, or takes them.
     pub fn accepting(&mut self, poll: &Poll, open: bool) {
         if let Some(listener) = &mut self.listener {
-            listener.listen(poll, open);
+            listener.set_accepting(poll, open);
         }
     }
 
@@ -257,7 +257,7 @@
 
     /// Handles what happened to a descriptor of this front.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
-        if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
+        if self.listener.as_ref().is_some_and(|l| l.owns_token(ready.token)) {
             self.accept(poll, now);
             return;
         }
@@ -375,7 +375,7 @@
         count(&self.counters.accepts_paused);
         self.paused_until = Some(now + PAUSE);
         if let Some(listener) = &mut self.listener {
-            listener.listen(poll, false);
+            listener.set_accepting(poll, false);
         }
     }
 
@@ -602,7 +602,7 @@
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
             if let Some(listener) = &mut self.listener {
-                listener.listen(poll, true);
+                listener.set_accepting(poll, true);
             }
         }
         if now < self.next_sweep {
--- a/src/node.rs
+++ b/src/node.rs
@@ -140,7 +140,7 @@
         let signals = Signals::new(&mut poll, SIGNALS)?;
         let counters = Rc::new(Counters::default());
         let listener = match config.inherited {
-            Some(number) => Listener::inherit(&mut poll, THRIFT, number)?,
+            Some(number) => Listener::from_inherited(&mut poll, THRIFT, number)?,
             None => Listener::bind(&mut poll, THRIFT, config.listen)?,
         };
         let handover = Handover::start(config.folder.clone(), now);
--- a/src/node/beside.rs
+++ b/src/node/beside.rs
@@ -95,7 +95,7 @@
 
     /// Continues from the predecessor's state.
     fn adopt_predecessor_state(&mut self, state: HandoverState) {
-        self.clock.catch_up(state.clock_us);
+        self.clock.advance_to(state.clock_us);
         self.now = self.now.max(self.clock.read());
         let mut new_places = Vec::new();
         if self.engine.restore(self.now, state.learned) {
--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -104,7 +104,7 @@
 
     /// Handles what happened to a descriptor.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
-        if self.listener.is(ready.token) {
+        if self.listener.owns_token(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
--- a/src/versions/keeper.rs
+++ b/src/versions/keeper.rs
@@ -3,7 +3,7 @@
 
 use super::rules::{self, CheckContext};
 use crate::config::version::{Effective, effective};
-use crate::net::{Poll, Worker};
+use crate::net::{BackgroundThread, Poll};
 use ochreward_stream::last_good::LastGood;
 use ochreward_stream::subscriber::Ticket;
 use ochreward_stream::wire::{Code, Fault};
@@ -38,11 +38,11 @@
 }
 
 /// The event loop's handle of the thread.
-pub type VersionThread = Worker<Job, JobResult>;
+pub type VersionThread = BackgroundThread<Job, JobResult>;
 
 /// Starts the thread.
 pub fn start(poll: &mut Poll, owner: u8, files: Option<LastGood>) -> io::Result<VersionThread> {
-    Worker::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
+    BackgroundThread::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
 }
 
 /// Runs one job; returns its result if the loop has to act on it.
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -227,7 +227,7 @@
 
     /// Handles a ready descriptor of the stream or of the version thread.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
-        if self.thread.is(ready.token) {
+        if self.thread.owns_token(ready.token) {
             self.handle_results();
         } else if let Some(link) = self.link.as_mut().filter(|l| l.io.token() == ready.token) {
             let was_connecting = link.io.connecting();
@@ -270,7 +270,7 @@
 
     /// Handles the results of the version thread.
     fn handle_results(&mut self) {
-        for result in self.thread.take() {
+        for result in self.thread.take_results() {
             match result {
                 // A SIGHUP has changed the own file meanwhile, so the checked configuration is not the one that would run.
                 JobResult::Checked(ticket, snapshot, own_file, _)
@@ -294,7 +294,7 @@
 
     /// Has the version thread check a version against the context.
     pub fn check(&self, ticket: Ticket, snapshot: Arc<Snapshot>, context: CheckContext) {
-        self.thread.ask(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
+        self.thread.submit(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
     }
 
     /// Replaces the content of the instance's own file.
@@ -373,16 +373,16 @@
                     let untested = verdict == Verdict::Untested;
                     info!(instance = self.options.instance, %version, untested, "the version on trial is kept as the last good one");
                     count(&self.counters.versions_kept);
-                    self.thread.ask(Job::Promote(version));
+                    self.thread.submit(Job::Promote(version));
                 }
                 Step::Return(to, from, verdict) => {
                     let running = self.version().map_or_else(|| "none".to_string(), |v| v.to_string());
                     warn!(instance = self.options.instance, %from, running, ?verdict, "the version on trial is rolled back");
                     count(&self.counters.versions_returned);
                     self.update_gauges();
-                    self.thread.ask(Job::RollBack(to, self.own_file.clone()));
+                    self.thread.submit(Job::RollBack(to, self.own_file.clone()));
                 }
-                Step::Remember(memory) => self.thread.ask(Job::SaveMemory(memory)),
+                Step::Remember(memory) => self.thread.submit(Job::SaveMemory(memory)),
                 Step::TurnedDown(version, code, faults) => {
                     count(&self.counters.versions_refused);
                     let fault = faults.first().map(Fault::to_string).unwrap_or_default();
