--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -5,7 +5,7 @@
 //! `MEMBERS=4000 cargo bench --bench membership` adds a simulated group of that many.
 
 use hdrhistogram::Histogram;
-use ochreward_membership::{Claim, Event, Membership, Micros, Own, Record, Settings, State};
+use ochreward_membership::{Claim, Event, Identity, Membership, Micros, Record, Settings, State};
 use ochreward_rig::fleet::{Fleet, sees};
 use ochreward_rig::process::used;
 use ochreward_rig::stand::{Client, Program, Reply, fields};
@@ -59,7 +59,7 @@
         for n in 0..count {
             let unix = group.now / MS;
             let (name, address) = (format!("n{n}").into(), at(n));
-            let own = Own {
+            let own = Identity {
                 name,
                 address,
                 instance: unix << 16 | n as u64,
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -10,7 +10,7 @@
 use ochreward::names::{Executor, ExecutorState};
 use ochreward::overload::{self, Overload};
 use ochreward::zones::{self, Zones};
-use ochreward_membership::{Claim, Event, Membership, Own, Record, Serving, State, wire};
+use ochreward_membership::{Claim, Event, Identity, Membership, Record, Serving, State, wire};
 use ochreward_net::{Interest, Poll, PollEvent};
 use ochreward_rig::subscribers::{self, Subscribers};
 use serde::{Deserialize, Serialize};
@@ -330,7 +330,7 @@
             zone: setup.zone.clone(),
             half: setup.half,
         };
-        let own = Own {
+        let own = Identity {
             name: introduction.name.as_str().into(),
             address: introduction.address,
             instance: introduction.instance,
@@ -382,7 +382,7 @@
                 self.machine.received(now, from, &buffer[..size]);
             }
         }
-        while let Some(note) = self.machine.notes.pop_front() {
+        while let Some(note) = self.machine.messages.pop_front() {
             match note.channel {
                 overload::CHANNEL => {
                     if let Some(answer) = self.overload.heard(now, &note.from, &note.bytes) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -37,7 +37,7 @@
 pub mod wire;
 
 pub use draw::draw;
-pub use machine::{Event, Membership, Note, Own, Stats};
+pub use machine::{Event, Identity, Membership, Message, Stats};
 pub use settings::Settings;
 pub use standing::{Agreement, Part};
 pub use table::{Member, Source};
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -41,7 +41,7 @@
 
 /// The identity of a member at its start.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Identity {
     /// The name, unique among the dispatchers of a group.
     pub name: Arc<str>,
     /// The address at which others reach it.
@@ -61,20 +61,20 @@
     /// A member is new or changed state: its name, previous state, state, and the source of the information.
     Changed(Arc<str>, Option<State>, State, Source),
     /// This member refuted a claim that it is suspect, failed or has left.
-    Denied,
+    Refuted,
     /// This process stalled for this time.
     Stalled(Micros),
     /// Two processes use the same name, at these addresses.
-    Conflict(Arc<str>, SocketAddr, SocketAddr),
+    NameConflict(Arc<str>, SocketAddr, SocketAddr),
     /// A process that started earlier has this member's name; this member sends nothing until it retries.
-    Yielded,
+    NameYielded,
     /// This member's connectivity to the group changed.
-    Stands(Part),
+    ConnectivityChanged(Part),
 }
 
 /// A message of another part of the program, received from another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct Message {
     /// The sender.
     pub from: Arc<str>,
     /// The sender's process.
@@ -192,7 +192,7 @@
     /// Packets to send, with their destinations.
     pub packets: VecDeque<(SocketAddr, Vec<u8>)>,
     /// Notes received for other parts of the program.
-    pub notes: VecDeque<Note>,
+    pub messages: VecDeque<Message>,
     /// Events for the host.
     pub events: VecDeque<Event>,
 }
@@ -200,13 +200,13 @@
 impl Membership {
     /// Creates a member that has no peers yet but the addresses of its seeds.
     pub fn new(
-        own: Own,
+        own: Identity,
         settings: Settings,
         seeds: Vec<SocketAddr>,
         rng_seed: u64,
         now: Micros,
     ) -> Membership {
-        let Own { name, address, instance, incarnation, record } = own;
+        let Identity { name, address, instance, incarnation, record } = own;
         let own = Claim { name, address, instance, incarnation, state: State::Alive, record };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|s| *s != address).collect();
         Membership {
@@ -241,7 +241,7 @@
             connectivity: Part::Joining,
             stats: Stats::default(),
             packets: VecDeque::new(),
-            notes: VecDeque::new(),
+            messages: VecDeque::new(),
             events: VecDeque::new(),
             seeds,
             settings,
@@ -486,8 +486,8 @@
                 self.send_claims(from, differs);
             }
             Body::Note { channel, bytes } => {
-                if self.notes.len() < MAX_QUEUED_NOTES {
-                    self.notes.push_back(Note {
+                if self.messages.len() < MAX_QUEUED_NOTES {
+                    self.messages.push_back(Message {
                         from: sender,
                         instance: header.own.instance,
                         channel,
@@ -528,7 +528,7 @@
                 let (name, old) = (own.name.clone(), known.address);
                 if own.incarnation > known.incarnation {
                     self.stats.conflicts += 1;
-                    self.push_event(Event::Conflict(name, old, from));
+                    self.push_event(Event::NameConflict(name, old, from));
                 }
             }
         }
@@ -566,7 +566,7 @@
         let connectivity = Part::of(joined, up + failed, answering, heard);
         if connectivity != self.connectivity {
             self.connectivity = connectivity;
-            self.push_event(Event::Stands(connectivity));
+            self.push_event(Event::ConnectivityChanged(connectivity));
         }
     }
 
--- a/crates/membership/src/machine/claims.rs
+++ b/crates/membership/src/machine/claims.rs
@@ -79,11 +79,15 @@
             if times >= 2 && claim.state == State::Alive {
                 if times == 2 {
                     self.stats.conflicts += 1;
-                    self.push_event(Event::Conflict(self.own.name.clone(), self.own.address, claim.address));
+                    self.push_event(Event::NameConflict(
+                        self.own.name.clone(),
+                        self.own.address,
+                        claim.address,
+                    ));
                 }
                 if claim.instance < self.own.instance {
                     if self.yielded_at.is_none() {
-                        self.push_event(Event::Yielded);
+                        self.push_event(Event::NameYielded);
                     }
                     self.yielded_at = Some(self.now);
                     return;
@@ -94,7 +98,7 @@
         } else {
             self.stats.denials += 1;
             self.health.degrade();
-            self.push_event(Event::Denied);
+            self.push_event(Event::Refuted);
         }
         self.own.incarnation = claim.incarnation + 1;
         self.gossip.add(self.own.clone());
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -4,7 +4,7 @@
 //! replays` runs that schedule again. `SCHEDULES` sets how many seeds are run.
 
 use ochreward_membership::wire::{self, Body, Header};
-use ochreward_membership::{Claim, Event, Membership, Micros, Own, Part, Record, Settings, State};
+use ochreward_membership::{Claim, Event, Identity, Membership, Micros, Part, Record, Settings, State};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -111,7 +111,7 @@
         process.starts += 1;
         process.left = false;
         let unix = self.now / MS - if clock_back { 3_600_000 } else { 0 };
-        let own = Own {
+        let own = Identity {
             name: name(n).into(),
             address: address(n),
             instance: unix << 16 | process.starts << 8 | n as u64,
@@ -554,7 +554,7 @@
     let mut sim = group(4);
     // A fifth process takes the name of the first.
     let unix = sim.now / MS;
-    let own = Own {
+    let own = Identity {
         name: name(0).into(),
         address: address(4),
         instance: (unix + 5) << 16,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::{Interest, Poll, PollEvent, Token};
 use exchange::Exchange;
 use hints::Hints;
-use ochreward_membership::{Event, Membership, Own, Record, Serving, draw};
+use ochreward_membership::{Event, Identity, Membership, Record, Serving, draw};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
@@ -121,7 +121,7 @@
             configuration: start.configuration,
             serving: Serving::Serves,
         };
-        let own = Own {
+        let own = Identity {
             name: start.name.into(),
             address: options.advertise(start.name).unwrap_or(address),
             instance: start.unix_ms << 16 | start.seed & 0xffff,
@@ -212,7 +212,7 @@
     /// Takes the received notes: hints are handled here, the others are kept for the host.
     fn take_notes(&mut self, now: u64) {
         let others = self.membership.alive().saturating_sub(1);
-        while let Some(note) = self.membership.notes.pop_front() {
+        while let Some(note) = self.membership.messages.pop_front() {
             if note.channel == hints::CHANNEL {
                 let new_workers = self.hints.receive(now, &note.bytes, others);
                 self.counters.hints_heard.set(self.counters.hints_heard.get() + new_workers.len() as u64);
@@ -418,20 +418,22 @@
                 Event::Changed(peer, was, state, source) => {
                     info!(instance, peer = &*peer, ?was, ?state, ?source, "a peer's state changed");
                 }
-                Event::Denied => {
+                Event::Refuted => {
                     info!(instance, "refuted a report that this dispatcher is suspect or failed")
                 }
                 Event::Stalled(us) => warn!(
                     instance,
                     us, "process stalled; pending probes dropped, no peer is suspected for them"
                 ),
-                Event::Conflict(peer, one, other) => {
+                Event::NameConflict(peer, one, other) => {
                     warn!(instance, peer = &*peer, %one, %other, "two processes have one name");
                 }
-                Event::Yielded => {
+                Event::NameYielded => {
                     warn!(instance, "another process with this name started earlier; this one stays silent")
                 }
-                Event::Stands(part) => info!(instance, ?part, "reachability within the group changed"),
+                Event::ConnectivityChanged(part) => {
+                    info!(instance, ?part, "reachability within the group changed")
+                }
             }
         }
         let (stats, counters) = (self.membership.stats(), &self.counters);
