--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -39,7 +39,7 @@
 pub use draw::draw;
 pub use machine::{Event, Identity, Membership, Message, Stats};
 pub use settings::Settings;
-pub use standing::{Agreement, Part};
+pub use standing::{Connectivity, ViewSummary};
 pub use table::{Member, Source};
 pub use wire::{Claim, Record, Serving, State};
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip::Gossip;
 use crate::health::LocalHealth;
-use crate::standing::{Agreement, HeldDivisor, Part, divisor};
+use crate::standing::{Connectivity, HeldDivisor, ViewSummary, divisor};
 use crate::table::{BucketSync, Member, Source, Table};
 use crate::wire::{self, Body, Claim, DecodeError, Header, Packet, Record, State};
 use crate::{Micros, Settings};
@@ -69,7 +69,7 @@
     /// A process that started earlier has this member's name; this member sends nothing until it retries.
     NameYielded,
     /// This member's connectivity to the group changed.
-    ConnectivityChanged(Part),
+    ConnectivityChanged(Connectivity),
 }
 
 /// A message of another part of the program, received from another member.
@@ -187,7 +187,7 @@
     yielded_at: Option<Micros>,
     left: bool,
     held_divisor: HeldDivisor,
-    connectivity: Part,
+    connectivity: Connectivity,
     stats: Stats,
     /// Packets to send, with their destinations.
     pub packets: VecDeque<(SocketAddr, Vec<u8>)>,
@@ -238,7 +238,7 @@
             yielded_at: None,
             left: false,
             held_divisor: HeldDivisor::default(),
-            connectivity: Part::Joining,
+            connectivity: Connectivity::Joining,
             stats: Stats::default(),
             packets: VecDeque::new(),
             messages: VecDeque::new(),
@@ -286,11 +286,17 @@
     }
 
     /// Returns this member's connectivity, and whether the views of the group agree.
-    pub fn agreement(&self) -> Agreement {
+    pub fn agreement(&self) -> ViewSummary {
         let digest = self.digest();
         let (up, silent) = self.table.counts();
         let same = self.members().filter(|m| m.is_up() && m.heard.is_some() && m.digest == digest).count();
-        Agreement { part: self.connectivity, digest, alive: up + 1, silent, same }
+        ViewSummary {
+            connectivity: self.connectivity,
+            digest,
+            alive: up + 1,
+            failed: silent,
+            same_view: same,
+        }
     }
 
     /// Returns the divisor of a common budget for this member: rises at once, falls after the hold time
@@ -299,7 +305,7 @@
         self.now = self.now.max(now);
         self.update_connectivity();
         let (up, failed) = self.share_counts();
-        let connectivity = if self.yielded_at.is_some() { Part::Joining } else { self.connectivity };
+        let connectivity = if self.yielded_at.is_some() { Connectivity::Joining } else { self.connectivity };
         // A partitioned member takes time to mark all others as failed. Two failures among its last four probes already
         // limit it to one of `expected` shares. A member that never had a reply may have been partitioned since its
         // start.
@@ -563,7 +569,7 @@
         let heard = recent(self.last_heard_at);
         // A joining member takes no share until the hold time has passed, in which the rest of the group learns of it.
         let joined = self.joined_at.is_some_and(|at| at + window <= self.now);
-        let connectivity = Part::of(joined, up + failed, answering, heard);
+        let connectivity = Connectivity::of(joined, up + failed, answering, heard);
         if connectivity != self.connectivity {
             self.connectivity = connectivity;
             self.push_event(Event::ConnectivityChanged(connectivity));
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -21,7 +21,7 @@
 
 /// A member's connectivity to its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Connectivity {
     /// It has started, and its join is not complete yet.
     Joining,
     /// No other member is known: it is the whole group.
@@ -38,46 +38,46 @@
     Unheard,
 }
 
-impl Part {
+impl Connectivity {
     /// Derives the connectivity from the number of other members that have not left, the number of those that answer,
     /// and whether packets are received from any.
-    pub fn of(joined: bool, others: usize, answering: usize, heard: bool) -> Part {
+    pub fn of(joined: bool, others: usize, answering: usize, heard: bool) -> Connectivity {
         match (joined, others, answering) {
-            (false, _, _) => Part::Joining,
-            (_, 0, _) => Part::Only,
-            (_, others, answering) if answering >= others => Part::All,
-            (_, _, 0) if heard => Part::Unheard,
-            (_, _, 0) => Part::Alone,
-            (_, others, answering) if (answering + 1) * 2 > others + 1 => Part::Larger,
-            _ => Part::Smaller,
+            (false, _, _) => Connectivity::Joining,
+            (_, 0, _) => Connectivity::Only,
+            (_, others, answering) if answering >= others => Connectivity::All,
+            (_, _, 0) if heard => Connectivity::Unheard,
+            (_, _, 0) => Connectivity::Alone,
+            (_, others, answering) if (answering + 1) * 2 > others + 1 => Connectivity::Larger,
+            _ => Connectivity::Smaller,
         }
     }
 
     /// Returns whether the member may take over shares of members that left or never existed.
     pub fn may_grow(self) -> bool {
-        matches!(self, Part::Only | Part::All | Part::Larger)
+        matches!(self, Connectivity::Only | Connectivity::All | Connectivity::Larger)
     }
 }
 
 /// A member's connectivity, and whether its view agrees with those of others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Agreement {
+pub struct ViewSummary {
     /// The connectivity of this member.
-    pub part: Part,
+    pub connectivity: Connectivity,
     /// The digest of its view.
     pub digest: u64,
     /// The number of members that are alive or suspect in its view, itself included.
     pub alive: usize,
     /// The number of failed members.
-    pub silent: usize,
+    pub failed: usize,
     /// The number of those alive or suspect, without itself, whose last packet had the same digest.
-    pub same: usize,
+    pub same_view: usize,
 }
 
-impl Agreement {
+impl ViewSummary {
     /// Returns whether all members that are up have the same view.
     pub fn agreed(&self) -> bool {
-        self.same + 1 >= self.alive
+        self.same_view + 1 >= self.alive
     }
 }
 
@@ -86,12 +86,18 @@
 
 /// Returns the divisor of a common budget: a member takes one share of that many. `up` members reach each other,
 /// `failed` are unreachable, and the platform's settings list `expected`. A member whose connectivity does not allow a
-/// larger share ([`Part::may_grow`]), or that is not `well_connected`, takes one share of all: of `expected`, or of `up
+/// larger share ([`Connectivity::may_grow`]), or that is not `well_connected`, takes one share of all: of `expected`, or of `up
 /// + failed` if that is greater.
-pub fn divisor(connectivity: Part, well_connected: bool, up: usize, failed: usize, expected: usize) -> usize {
+pub fn divisor(
+    connectivity: Connectivity,
+    well_connected: bool,
+    up: usize,
+    failed: usize,
+    expected: usize,
+) -> usize {
     let all = expected.max(up + failed).max(1);
     match connectivity {
-        Part::Joining => all.saturating_mul(JOINING_FACTOR),
+        Connectivity::Joining => all.saturating_mul(JOINING_FACTOR),
         _ if !connectivity.may_grow() || !well_connected || failed >= all => all,
         _ => (up * all).div_ceil(all - failed).clamp(up.max(1), all),
     }
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -4,7 +4,9 @@
 //! replays` runs that schedule again. `SCHEDULES` sets how many seeds are run.
 
 use ochreward_membership::wire::{self, Body, Header};
-use ochreward_membership::{Claim, Event, Identity, Membership, Micros, Part, Record, Settings, State};
+use ochreward_membership::{
+    Claim, Connectivity, Event, Identity, Membership, Micros, Record, Settings, State,
+};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -445,8 +447,11 @@
     sim.apply(&Fault::Cut(rest, vec![6]));
     let until = sim.now + 60 * S;
     sim.run(until);
-    let part = |n: usize| sim.processes[n].machine.as_ref().expect("running").agreement().part;
-    assert_eq!([part(0), part(2), part(6)], [Part::Smaller, Part::Larger, Part::Alone]);
+    let part = |n: usize| sim.processes[n].machine.as_ref().expect("running").agreement().connectivity;
+    assert_eq!(
+        [part(0), part(2), part(6)],
+        [Connectivity::Smaller, Connectivity::Larger, Connectivity::Alone]
+    );
 }
 
 #[test]
@@ -456,7 +461,7 @@
     let until = sim.now + 60 * S;
     sim.run(until);
     let machine = sim.processes[4].machine.as_ref().expect("running");
-    assert_eq!(machine.agreement().part, Part::Unheard);
+    assert_eq!(machine.agreement().connectivity, Connectivity::Unheard);
     assert!(machine.members().all(|m| m.is_up()), "members that packets are received from stay up");
 }
 
@@ -489,7 +494,7 @@
     let until = sim.now + 120 * S;
     sim.run(until);
     let agreement = sim.processes[0].machine.as_ref().expect("running").agreement();
-    assert_eq!((agreement.alive, agreement.silent), (4, 1));
+    assert_eq!((agreement.alive, agreement.failed), (4, 1));
     assert!(divisor(&mut sim, 0) >= 5, "it may be on the other side of a partition");
 }
 
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -27,7 +27,7 @@
         .collect();
     json!({
         "name": &*membership.own().name, "address": peers.address().to_string(),
-        "part": lower_case(&agreement.part), "alive": agreement.alive, "silent": agreement.silent, "same": agreement.same,
+        "part": lower_case(&agreement.connectivity), "alive": agreement.alive, "silent": agreement.failed, "same": agreement.same_view,
         "agreed": agreement.agreed(), "digest": format!("{:016x}", agreement.digest), "incarnation": membership.own().incarnation,
         "health": membership.health(), "waiting": membership.waiting(),
         "parts": peers.division().map(|d| d.parts), "place": peers.division().map(|d| d.place),
