--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -66,7 +66,7 @@
                 incarnation: unix,
                 record: Record::default(),
             };
-            let set = Settings { expected: count, ..Settings::default() };
+            let set = Settings { expected_members: count, ..Settings::default() };
             group.members.push(Some(Membership::new(
                 own,
                 set,
@@ -138,7 +138,7 @@
     /// Packets and bytes sent, and suspicions begun.
     fn stats(&self) -> [u64; 3] {
         let all = self.members.iter().flatten().map(Membership::stats);
-        all.fold([0; 3], |sum, s| [sum[0] + s.sent, sum[1] + s.sent_bytes, sum[2] + s.accusations])
+        all.fold([0; 3], |sum, s| [sum[0] + s.sent, sum[1] + s.sent_bytes, sum[2] + s.suspicions_started])
     }
 }
 
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -338,9 +338,9 @@
             record: record(&setup.zone),
         };
         let mut settings = operator.peers.clone().expect("[peers]").settings;
-        settings.expected = setup.expected;
+        settings.expected_members = setup.expected;
         // Spread over a probe's time, as members that run for long are.
-        let now = 3_600_000_000 + (n as u64 * 7_919) % settings.probe_every;
+        let now = 3_600_000_000 + (n as u64 * 7_919) % settings.probe_period;
         let seed = introduction.instance;
         let overload = Overload::new(operator.overload.clone().expect("[overload]"), seed, now);
         let mut zones = Zones::new(&operator.zones.clone().expect("[zones]"), module, &setup.zone, now);
@@ -437,7 +437,7 @@
     }
 
     fn renew_view(&mut self, now: u64) {
-        let up = self.machine.members().filter(|m| m.is_up() && m.heard.is_some());
+        let up = self.machine.members().filter(|m| m.is_up() && m.last_heard.is_some());
         self.others = up.map(|m| (m.name.clone(), m.record.zone.clone())).collect();
         let others = self.others.iter().map(|(name, _)| name.clone()).collect();
         let parts = self.machine.divisor(now);
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -93,9 +93,9 @@
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Packets accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Packets that are malformed or out of bounds.
-    pub garbage: u64,
+    pub malformed: u64,
     /// Packets of another protocol version.
     pub other_version: u64,
     /// Packets of another group.
@@ -103,21 +103,21 @@
     /// Replayed packets.
     pub replayed: u64,
     /// Claims with an implausibly high incarnation.
-    pub absurd: u64,
+    pub implausible: u64,
     /// Probes started.
     pub probes: u64,
     /// Probes without an ack.
-    pub unanswered: u64,
+    pub probes_failed: u64,
     /// Suspicions started by this member's probes.
-    pub accusations: u64,
+    pub suspicions_started: u64,
     /// Refutations of claims about this member.
-    pub denials: u64,
+    pub refutations: u64,
     /// Stalls of this process.
     pub stalls: u64,
     /// Name conflicts detected.
     pub conflicts: u64,
     /// Claims dropped because the table was full.
-    pub crowded: u64,
+    pub claims_dropped_table_full: u64,
 }
 
 /// The open probe.
@@ -289,7 +289,8 @@
     pub fn agreement(&self) -> ViewSummary {
         let digest = self.digest();
         let (up, silent) = self.table.counts();
-        let same = self.members().filter(|m| m.is_up() && m.heard.is_some() && m.digest == digest).count();
+        let same =
+            self.members().filter(|m| m.is_up() && m.last_heard.is_some() && m.digest == digest).count();
         ViewSummary {
             connectivity: self.connectivity,
             digest,
@@ -310,8 +311,8 @@
         // limit it to one of `expected` shares. A member that never had a reply may have been partitioned since its
         // start.
         let well_connected = (self.failure_history & 0xf).count_ones() < 2 && self.last_answered_at.is_some();
-        let raw = divisor(connectivity, well_connected, up, failed, self.settings.expected);
-        self.held_divisor.update(self.now, self.settings.hold, raw)
+        let raw = divisor(connectivity, well_connected, up, failed, self.settings.expected_members);
+        self.held_divisor.update(self.now, self.settings.share_hold, raw)
     }
 
     /// Returns this member's index, by name, among the members that hold a share: from 0, below the divisor.
@@ -327,7 +328,7 @@
         let suspicion = |name| self.table.members.get(name)?.suspicion.as_ref();
         let suspicions =
             self.suspects.iter().filter_map(suspicion).map(|s| s.deadline(SUSPICION_CONFIRMATIONS));
-        let joining = self.joined_at.is_none().then_some(self.started_at + self.settings.join_patience);
+        let joining = self.joined_at.is_none().then_some(self.started_at + self.settings.join_timeout);
         let all = suspicions.chain(joining).chain([probe, self.next_sync_at, self.held_divisor.due()]);
         if self.left { Micros::MAX } else { all.min().unwrap_or(Micros::MAX) }
     }
@@ -349,7 +350,7 @@
     pub fn introduce<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
         self.now = self.now.max(now);
         for claim in claims.filter(|c| c.name != self.own.name) {
-            self.table.merge(self.now, claim, Source::Told, self.settings.most_members);
+            self.table.merge(self.now, claim, Source::Told, self.settings.max_members);
         }
     }
 
@@ -406,18 +407,18 @@
             self.next_probe_at = self.now;
             self.push_event(Event::Stalled(late));
         }
-        if self.now >= self.started_at + self.settings.join_patience {
+        if self.now >= self.started_at + self.settings.join_timeout {
             self.joined_at.get_or_insert(self.now);
         }
         // A member that yielded its name retries after four hold times.
-        if self.yielded_at.is_some_and(|since| self.now >= since + 4 * self.settings.hold) {
+        if self.yielded_at.is_some_and(|since| self.now >= since + 4 * self.settings.share_hold) {
             (self.yielded_at, self.name_conflict) = (None, None);
         }
         self.run_probes();
         self.expire_suspicions();
         if self.now >= self.next_sync_at {
             self.next_sync_at =
-                self.now + self.settings.sync_every / 2 + self.random_below(self.settings.sync_every);
+                self.now + self.settings.sync_period / 2 + self.random_below(self.settings.sync_period);
             self.sync_tables();
             self.remove_departed();
         }
@@ -434,7 +435,7 @@
             Ok(packet) => packet,
             Err(error) => {
                 *match error {
-                    DecodeError::Malformed | DecodeError::OutOfBounds => &mut self.stats.garbage,
+                    DecodeError::Malformed | DecodeError::OutOfBounds => &mut self.stats.malformed,
                     DecodeError::OtherVersion(_) => &mut self.stats.other_version,
                     DecodeError::OtherGroup => &mut self.stats.other_group,
                 } += 1;
@@ -452,7 +453,7 @@
         if !self.record_sender(&header, from) {
             return;
         }
-        self.stats.taken += 1;
+        self.stats.accepted += 1;
         for claim in claims.iter().take(128) {
             self.apply_claim(claim, Source::Told, &sender);
         }
@@ -520,7 +521,7 @@
                     self.stats.replayed += 1;
                     return false;
                 }
-                if known.heard.replace(self.now).is_none() {
+                if known.last_heard.replace(self.now).is_none() {
                     self.table.count_revision += 1;
                 }
                 self.last_heard_at = Some(self.now);
@@ -528,7 +529,7 @@
                     known.address = from;
                 }
             } else if known.is_up()
-                && known.heard.is_some_and(|at| at + self.settings.hold > self.now)
+                && known.last_heard.is_some_and(|at| at + self.settings.share_hold > self.now)
                 && known.address != from
             {
                 let (name, old) = (own.name.clone(), known.address);
@@ -542,7 +543,7 @@
         if let Some(known) = self.table.members.get_mut(&own.name)
             && known.instance == own.instance
         {
-            if known.heard.replace(self.now).is_none() {
+            if known.last_heard.replace(self.now).is_none() {
                 self.table.count_revision += 1;
             }
             self.last_heard_at = Some(self.now);
@@ -557,7 +558,7 @@
     /// Derives this member's connectivity from the table and from the last packets and replies.
     fn update_connectivity(&mut self) {
         let (up, failed) = self.table.counts();
-        let window = self.settings.hold;
+        let window = self.settings.share_hold;
         let recent = |at: Option<Micros>| at.is_some_and(|at| at + window > self.now);
         // Members stay up in the table until their suspicion expires; a member that has had no reply within the hold
         // time must not count them as answering.
--- a/crates/membership/src/machine/claims.rs
+++ b/crates/membership/src/machine/claims.rs
@@ -16,7 +16,7 @@
         let known = self.table.members.get(&claim.name);
         let base = known.map_or(self.own.incarnation, |m| m.incarnation);
         if claim.incarnation > base.saturating_add(MAX_INCARNATION_JUMP) {
-            self.stats.absurd += 1;
+            self.stats.implausible += 1;
             return;
         }
         let mut claim = claim.clone();
@@ -31,18 +31,19 @@
             }
             // A malicious peer, or one that is itself partitioned, may report live members as failed. A member that
             // this one has received packets from recently becomes suspect at most, so that it can refute the claim.
-            let heard_recently = known.heard.is_some_and(|at| at + self.settings.probe_every * 4 > self.now);
+            let heard_recently =
+                known.last_heard.is_some_and(|at| at + self.settings.probe_period * 4 > self.now);
             if claim.state == State::Failed && source == Source::Told && known.is_up() && heard_recently {
                 claim.state = State::Suspect;
             }
         } else if matches!(claim.state, State::Left) {
             return;
         }
-        let change = self.table.merge(self.now, &claim, source, self.settings.most_members);
+        let change = self.table.merge(self.now, &claim, source, self.settings.max_members);
         let previous = match change {
             Change::Unchanged => return,
             Change::TableFull => {
-                self.stats.crowded += 1;
+                self.stats.claims_dropped_table_full += 1;
                 return;
             }
             Change::Added => None,
@@ -61,7 +62,7 @@
     /// uses the same name.
     pub(super) fn handle_own_claim(&mut self, claim: &Claim) {
         if claim.incarnation > self.own.incarnation.saturating_add(MAX_INCARNATION_JUMP) {
-            self.stats.absurd += 1;
+            self.stats.implausible += 1;
             return;
         }
         let must_refute = claim.incarnation >= self.own.incarnation;
@@ -96,7 +97,7 @@
         } else if claim.state == State::Alive || !must_refute {
             return;
         } else {
-            self.stats.denials += 1;
+            self.stats.refutations += 1;
             self.health.degrade();
             self.push_event(Event::Refuted);
         }
@@ -132,8 +133,9 @@
         let expired = |m: &&Member| {
             m.suspicion.as_ref().is_some_and(|s| s.deadline(SUSPICION_CONFIRMATIONS) <= self.now)
         };
-        let heard_since =
-            |m: &Member| m.suspicion.as_ref().is_some_and(|s| m.heard.is_some_and(|at| at > s.started_at));
+        let heard_since = |m: &Member| {
+            m.suspicion.as_ref().is_some_and(|s| m.last_heard.is_some_and(|at| at > s.started_at))
+        };
         let due: Vec<(Claim, bool)> = (self.suspects.iter())
             .filter_map(|name| members.get(name))
             .filter(expired)
--- a/crates/membership/src/machine/exchange.rs
+++ b/crates/membership/src/machine/exchange.rs
@@ -14,7 +14,7 @@
         if self.yielded_at.is_some() {
             return;
         }
-        let heard = |m: &&Member| m.heard.is_some();
+        let heard = |m: &&Member| m.last_heard.is_some();
         let mut up: Vec<SocketAddr> =
             self.members().filter(|m| m.is_up()).filter(heard).map(|m| m.address).collect();
         if up.is_empty() {
@@ -22,8 +22,9 @@
         }
         let known: Vec<SocketAddr> = self.members().map(|m| m.address).collect();
         let failed = |was_heard: bool| {
-            let failed =
-                self.members().filter(move |m| m.state == State::Failed && m.heard.is_some() == was_heard);
+            let failed = self
+                .members()
+                .filter(move |m| m.state == State::Failed && m.last_heard.is_some() == was_heard);
             failed.map(|m| m.address).collect::<Vec<SocketAddr>>()
         };
         // Failed members that never sent a packet may be forged: a few of them are candidates where there are no
@@ -90,7 +91,8 @@
     /// Removes members that left longer ago than the retention period. Failed members stay: they may return, and keep
     /// their share of the budget.
     pub(super) fn remove_departed(&mut self) {
-        let old = |m: &&Member| m.state == State::Left && m.since + self.settings.forget <= self.now;
+        let old =
+            |m: &&Member| m.state == State::Left && m.since + self.settings.departed_retention <= self.now;
         let departed: Vec<Arc<str>> = self.members().filter(old).map(|m| m.name.clone()).collect();
         departed.iter().for_each(|name| self.table.remove(name));
     }
@@ -105,7 +107,7 @@
         }
         let (mut up, mut failed, mut unverified_up, mut unverified_failed) = (1, 0, 0, 0);
         for member in self.members() {
-            match (member.state, member.heard.is_some()) {
+            match (member.state, member.last_heard.is_some()) {
                 (State::Left, _) => {}
                 (State::Failed, true) => failed += 1,
                 (State::Failed, false) => unverified_failed += 1,
@@ -113,7 +115,7 @@
                 (_, false) => unverified_up += 1,
             }
         }
-        let room = self.settings.expected.saturating_sub(up + failed);
+        let room = self.settings.expected_members.saturating_sub(up + failed);
         let counted_up = unverified_up.min(room);
         let counts = (up + counted_up, failed + unverified_failed.min(room - counted_up));
         self.cached_counts = Some((revision, counts));
--- a/crates/membership/src/machine/probes.rs
+++ b/crates/membership/src/machine/probes.rs
@@ -36,11 +36,11 @@
         }
         if self.probe.is_none() && self.now >= self.next_probe_at {
             // The period has a jitter of ±10 %, so that members started together do not probe in step.
-            let period = self.settings.probe_every;
+            let period = self.settings.probe_period;
             self.next_probe_at = self.now + period - period / 10 + self.random_below(period / 5 + 1);
             self.start_probe();
         }
-        let oldest = self.now.saturating_sub(self.settings.probe_every);
+        let oldest = self.now.saturating_sub(self.settings.probe_period);
         self.relayed_probes.retain(|_, relayed| relayed.started_at >= oldest);
     }
 
@@ -54,7 +54,8 @@
                 // A malicious peer that claims thousands of members would keep this one from probing real ones, so a
                 // round includes only a few members that never sent a packet.
                 let up = |heard: bool| {
-                    let selected = self.members().filter(move |m| m.is_up() && m.heard.is_some() == heard);
+                    let selected =
+                        self.members().filter(move |m| m.is_up() && m.last_heard.is_some() == heard);
                     selected.map(|m| m.name.clone()).collect::<Vec<Arc<str>>>()
                 };
                 let (mut round, mut unverified) = (up(true), up(false));
@@ -73,7 +74,7 @@
         };
         let number = self.next_probe_number();
         let direct_timeout = self.health.scale(self.settings.probe_timeout);
-        let mut timeout = self.health.scale(self.settings.probe_every).max(direct_timeout * 2);
+        let mut timeout = self.health.scale(self.settings.probe_period).max(direct_timeout * 2);
         // On a lossy network a probe takes twice as long: each false suspicion and its refutation cost every member
         // packets in proportion to the size of the group.
         if self.retry_history.count_ones() >= LOSSY_RETRIES {
@@ -104,26 +105,26 @@
             .map(|m| m.address)
             .collect();
         self.shuffle(&mut relays);
-        for relay in relays.into_iter().take(self.settings.indirect) {
+        for relay in relays.into_iter().take(self.settings.indirect_probes) {
             self.send(relay, &Body::PingRequest { number, target: target.clone(), address }, None);
         }
     }
 
     /// Records a probe without an ack and suspects its target, unless a packet from it has arrived since.
     pub(super) fn fail_probe(&mut self, probe: &Probe) {
-        self.stats.unanswered += 1;
+        self.stats.probes_failed += 1;
         self.retry_history = self.retry_history << 1 | 1;
         self.failure_history = self.failure_history << 1 | 1;
         self.health.degrade();
         let Some(member) = self.table.members.get(&probe.target).filter(|m| m.state == State::Alive) else {
             return;
         };
-        if member.heard.is_some_and(|at| at >= probe.sent_at) {
+        if member.last_heard.is_some_and(|at| at >= probe.sent_at) {
             return;
         }
         let mut claim = member.claim();
         claim.state = State::Suspect;
-        self.stats.accusations += 1;
+        self.stats.suspicions_started += 1;
         let own = self.own.name.clone();
         self.apply_claim(&claim, Source::Probe, &own);
     }
@@ -140,7 +141,7 @@
         if *sender == probe.target
             && let Some(member) = self.table.members.get_mut(sender)
         {
-            member.answered = Some(self.now);
+            member.last_answered = Some(self.now);
         }
         self.record_reply();
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -38,9 +38,9 @@
     /// The source of that state.
     pub source: Source,
     /// When the last packet from it was received; `None` if never.
-    pub heard: Option<Micros>,
+    pub last_heard: Option<Micros>,
     /// When it last answered a probe of this member; `None` if never.
-    pub answered: Option<Micros>,
+    pub last_answered: Option<Micros>,
     /// The digest of its view, from its last packet.
     pub digest: u64,
     /// The load from its last packet, in thousandths.
@@ -140,7 +140,8 @@
             let (previous, restarted) = (known.state, known.instance != claim.instance);
             let Some(member) = self.members.get_mut(&claim.name) else { return Change::Unchanged };
             if restarted {
-                (member.replay_window, member.heard, member.answered) = (ReplayWindow::default(), None, None);
+                (member.replay_window, member.last_heard, member.last_answered) =
+                    (ReplayWindow::default(), None, None);
                 member.bucket_sync = BucketSync::default();
             }
             if previous != claim.state || restarted {
@@ -167,8 +168,8 @@
             record: claim.record.clone(),
             since: now,
             source,
-            heard: None,
-            answered: None,
+            last_heard: None,
+            last_answered: None,
             digest: 0,
             load: 0,
             bucket_sync: BucketSync::default(),
@@ -190,8 +191,8 @@
     /// ones: first a member that never sent a packet, then the one that left or failed longest ago. Members that are up
     /// and have sent a packet are never evicted; returns false if there are no others.
     fn evict_one(&mut self) -> bool {
-        let rank = |m: &&Member| (m.heard.is_some(), m.state != State::Left, m.since);
-        let evicted = self.members.values().filter(|m| m.heard.is_none() || !m.is_up()).min_by_key(rank);
+        let rank = |m: &&Member| (m.last_heard.is_some(), m.state != State::Left, m.since);
+        let evicted = self.members.values().filter(|m| m.last_heard.is_none() || !m.is_up()).min_by_key(rank);
         let name = evicted.map(|m| m.name.clone());
         name.iter().for_each(|n| self.remove(n));
         name.is_some()
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -327,7 +327,7 @@
 
 /// Runs a schedule. Returns the violated invariant as an error.
 fn run_schedule(seed: u64, count: usize, faults: &[(Micros, Fault)]) -> Result<Simulation, String> {
-    let settings = Settings { expected: count + seed as usize % 4, ..Settings::default() };
+    let settings = Settings { expected_members: count + seed as usize % 4, ..Settings::default() };
     let mut sim = Simulation::new(seed, count, settings);
     let start = sim.now;
     let check = |sim: &mut Simulation, until: Micros| {
@@ -412,7 +412,7 @@
 fn shares_by_alive_count_alone_would_sum_to_two_in_a_partition() {
     // Shows that the check can fail: with shares by the number of alive members alone, each half of a partitioned group
     // would take the whole budget.
-    let settings = Settings { expected: 1, ..Settings::default() };
+    let settings = Settings { expected_members: 1, ..Settings::default() };
     let mut sim = Simulation::new(1, 6, settings);
     let until = sim.now + 10 * S;
     sim.run(until);
@@ -428,7 +428,7 @@
 }
 
 fn group(count: usize) -> Simulation {
-    let mut sim = Simulation::new(7, count, Settings { expected: count, ..Settings::default() });
+    let mut sim = Simulation::new(7, count, Settings { expected_members: count, ..Settings::default() });
     let until = sim.now + 20 * S;
     sim.run(until);
     assert!(sim.converged());
@@ -484,10 +484,10 @@
         let now = sim.now;
         sim.processes[n].machine.as_mut().expect("running").divisor(now)
     };
-    let until = left + sim.settings.hold - S;
+    let until = left + sim.settings.share_hold - S;
     sim.run(until);
     assert_eq!(divisor(&mut sim, 0), 6, "what it started may still take effect");
-    let until = left + sim.settings.hold + 5 * S;
+    let until = left + sim.settings.share_hold + 5 * S;
     sim.run(until);
     assert_eq!(divisor(&mut sim, 0), 5);
     sim.apply(&Fault::Kill(4));
@@ -550,7 +550,7 @@
         let machine = sim.processes[n].machine.as_ref().expect("running");
         let real = machine.members().filter(|m| m.name.starts_with("n0") && m.state == State::Alive).count();
         assert_eq!(real, 4, "all real members are alive in the view of n{n}");
-        assert!(machine.stats().absurd > 0);
+        assert!(machine.stats().implausible > 0);
     }
 }
 
@@ -595,6 +595,6 @@
         sim.run(until);
     }
     let machine = sim.processes[3].machine.as_ref().expect("running");
-    assert_eq!(machine.stats().accusations, 0);
+    assert_eq!(machine.stats().suspicions_started, 0);
     assert!(machine.health() > 0 && machine.stats().stalls > 10);
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -88,7 +88,7 @@
         top.only(&["mqtt", "agent", "control", "stations", "peers", "overload", "zones", "routing"]);
         let peers = top.get("peers").optional(read_peers);
         // Danger: a part that grows while leases of before still run would be spent twice.
-        let hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.hold);
+        let hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.share_hold);
         Operator {
             brokers: brokers(&top.get("mqtt")),
             agent: top.get("agent").optional(read_agent),
@@ -205,7 +205,7 @@
     group.must(!named.is_empty(), "a name is wanted");
     zone.must(short(&place), "is longer than 32 bytes");
     let (probe_every, probe_timeout) = (
-        ms("probe_ms", 20, 60_000, usual.probe_every),
+        ms("probe_ms", 20, 60_000, usual.probe_period),
         ms("probe_timeout_ms", 5, 30_000, usual.probe_timeout),
     );
     key.get("probe_timeout_ms")
@@ -218,13 +218,13 @@
         zone: place,
         settings: ochreward_membership::Settings {
             group: named,
-            probe_every,
+            probe_period: probe_every,
             probe_timeout,
-            indirect: key.get("indirect").between(0, 16, usual.indirect as u64) as usize,
-            sync_every: ms("sync_ms", 50, 600_000, usual.sync_every),
-            hold: ms("hold_ms", 100, 600_000, usual.hold),
-            join_patience: ms("join_patience_ms", 100, 600_000, usual.join_patience),
-            most_members: key.get("members").between(2, 4_096, usual.most_members as u64) as usize,
+            indirect_probes: key.get("indirect").between(0, 16, usual.indirect_probes as u64) as usize,
+            sync_period: ms("sync_ms", 50, 600_000, usual.sync_period),
+            share_hold: ms("hold_ms", 100, 600_000, usual.share_hold),
+            join_timeout: ms("join_patience_ms", 100, 600_000, usual.join_timeout),
+            max_members: key.get("members").between(2, 4_096, usual.max_members as u64) as usize,
             ..usual
         },
     }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -129,7 +129,7 @@
             record: record.clone(),
         };
         let mut settings = options.settings.clone();
-        settings.expected = start.expected;
+        settings.expected_members = start.expected;
         let membership = Membership::new(own, settings, options.seeds.clone(), start.seed, now);
         Ok(Peers {
             fd,
@@ -248,12 +248,16 @@
 
     /// Returns the peers that are up and from which at least one packet has arrived.
     pub fn up(&self) -> Vec<Arc<str>> {
-        self.membership.members().filter(|m| m.is_up() && m.heard.is_some()).map(|m| m.name.clone()).collect()
+        self.membership
+            .members()
+            .filter(|m| m.is_up() && m.last_heard.is_some())
+            .map(|m| m.name.clone())
+            .collect()
     }
 
     /// Returns the same peers as [`Peers::up`], with their zones.
     pub fn up_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
-        let up = self.membership.members().filter(|m| m.is_up() && m.heard.is_some());
+        let up = self.membership.members().filter(|m| m.is_up() && m.last_heard.is_some());
         up.map(|m| (m.name.clone(), m.record.zone.clone())).collect()
     }
 
@@ -319,7 +323,7 @@
             }
         }
         let serves = |m: &&ochreward_membership::Member| {
-            m.is_up() && m.heard.is_some() && m.record.serving == Serving::Serves
+            m.is_up() && m.last_heard.is_some() && m.record.serving == Serving::Serves
         };
         let mut up: Vec<Arc<str>> =
             self.membership.members().filter(serves).map(|m| m.name.clone()).collect();
@@ -439,12 +443,12 @@
         let (stats, counters) = (self.membership.stats(), &self.counters);
         counters.peers_sent.set(stats.sent);
         counters.peers_sent_bytes.set(stats.sent_bytes);
-        counters.peers_taken.set(stats.taken);
-        counters.peers_garbage.set(stats.garbage + stats.other_version + stats.other_group);
+        counters.peers_taken.set(stats.accepted);
+        counters.peers_garbage.set(stats.malformed + stats.other_version + stats.other_group);
         counters.peers_replayed.set(stats.replayed);
-        counters.peers_absurd.set(stats.absurd + stats.crowded);
-        counters.peers_accusations.set(stats.accusations);
-        counters.peers_denials.set(stats.denials);
+        counters.peers_absurd.set(stats.implausible + stats.claims_dropped_table_full);
+        counters.peers_accusations.set(stats.suspicions_started);
+        counters.peers_denials.set(stats.refutations);
         counters.peers_stalls.set(stats.stalls);
         counters.peers_conflicts.set(stats.conflicts);
         counters.peers_alive.set(self.membership.alive() as u64);
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -17,8 +17,8 @@
             json!({
                 "name": &*member.name, "address": member.address.to_string(),
                 "state": lower_case(&member.state), "known": lower_case(&member.source),
-                "since_ms": ms_since(Some(member.since)), "heard_ms": ms_since(member.heard),
-                "answered_ms": ms_since(member.answered), "incarnation": member.incarnation,
+                "since_ms": ms_since(Some(member.since)), "heard_ms": ms_since(member.last_heard),
+                "answered_ms": ms_since(member.last_answered), "incarnation": member.incarnation,
                 "zone": &*member.record.zone, "program": &*member.record.program,
                 "configuration": member.record.configuration, "serving": lower_case(&member.record.serving),
                 "load": member.load, "same_view": member.digest == agreement.digest,
