--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -85,7 +85,7 @@
     fn meet(&mut self) {
         let claims: Vec<Claim> = self.members.iter().flatten().map(|m| m.own().clone()).collect();
         let now = self.now;
-        self.members.iter_mut().flatten().for_each(|m| m.introduce(now, claims.iter()));
+        self.members.iter_mut().flatten().for_each(|m| m.merge_introduced(now, claims.iter()));
     }
 
     fn run(&mut self, until: Micros) {
@@ -101,12 +101,12 @@
             let n = if packet <= turn {
                 let Some(Reverse((_, _, from, to, bytes))) = self.packets.pop() else { return };
                 if let Some(member) = &mut self.members[to] {
-                    member.received(self.now, at(from), &bytes);
+                    member.handle_packet(self.now, at(from), &bytes);
                 }
                 to
             } else {
                 let Some(Reverse((_, n))) = self.turns.pop() else { return };
-                if let Some(member) = self.members[n].as_mut().filter(|m| m.due() <= self.now) {
+                if let Some(member) = self.members[n].as_mut().filter(|m| m.next_deadline() <= self.now) {
                     member.advance(self.now);
                 }
                 n
@@ -117,7 +117,7 @@
 
     fn carry(&mut self, n: usize) {
         let Some(member) = &mut self.members[n] else { return };
-        self.turns.push(Reverse((member.due().max(self.now + 1), n)));
+        self.turns.push(Reverse((member.next_deadline().max(self.now + 1), n)));
         let packets: Vec<(SocketAddr, Vec<u8>)> = member.packets.drain(..).collect();
         for event in member.events.drain(..) {
             if let Event::Changed(who, _, state, _) = event
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -242,7 +242,7 @@
                 for (from, text) in packets {
                     let bytes = STANDARD.decode(text).expect("base64");
                     for member in &mut self.members {
-                        member.machine.received(now, from, &bytes);
+                        member.machine.handle_packet(now, from, &bytes);
                         member.machine.packets.clear();
                     }
                 }
@@ -251,7 +251,7 @@
             Ask::Greet(names) => {
                 for member in &mut self.members {
                     for name in &names {
-                        member.machine.note(now, name, 0, Vec::new());
+                        member.machine.send_message(now, name, 0, Vec::new());
                     }
                     member.send(|_| false);
                 }
@@ -273,9 +273,9 @@
                 let alive = self.members.iter().filter(|m| !m.dead);
                 Answer::Times(alive.filter_map(|m| m.failed.get(name.as_str()).copied()).collect())
             }
-            Ask::Alive => {
-                Answer::Counts(self.members.iter().filter(|m| !m.dead).map(|m| m.machine.alive()).collect())
-            }
+            Ask::Alive => Answer::Counts(
+                self.members.iter().filter(|m| !m.dead).map(|m| m.machine.up_count()).collect(),
+            ),
             Ask::Ran => {
                 let ran = self.ran.try_iter().filter_map(|event| match event {
                     subscribers::Event::Ran(at) => Some(unix_us() - at.elapsed().as_micros() as u64),
@@ -365,11 +365,11 @@
     }
 
     fn introduce(&mut self, now: u64, claims: &[Claim]) -> Option<(SocketAddr, String)> {
-        self.machine.introduce(now, claims.iter());
+        self.machine.merge_introduced(now, claims.iter());
         self.machine.packets.clear();
         let own = self.introduction.name.as_str();
         let other = claims.iter().find(|c| &*c.name != own)?.name.clone();
-        self.machine.note(now, &other, 0, Vec::new());
+        self.machine.send_message(now, &other, 0, Vec::new());
         let (_, packet) = self.machine.packets.pop_back()?;
         Some((self.introduction.address, STANDARD.encode(packet)))
     }
@@ -379,14 +379,14 @@
         for _ in 0..MOST_READ {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer) else { break };
             if !self.dead && !crosses(&from) {
-                self.machine.received(now, from, &buffer[..size]);
+                self.machine.handle_packet(now, from, &buffer[..size]);
             }
         }
         while let Some(note) = self.machine.messages.pop_front() {
             match note.channel {
                 overload::CHANNEL => {
                     if let Some(answer) = self.overload.heard(now, &note.from, &note.bytes) {
-                        self.machine.note(now, &note.from, overload::CHANNEL, answer);
+                        self.machine.send_message(now, &note.from, overload::CHANNEL, answer);
                     }
                 }
                 zones::CHANNEL => self.zones.heard(now, &note.from, &note.bytes),
@@ -396,7 +396,7 @@
     }
 
     fn advance(&mut self, now: u64, lost: Option<&str>, workers: &[(String, SocketAddr, String)]) {
-        if self.machine.due() <= now {
+        if self.machine.next_deadline() <= now {
             self.machine.advance(now);
         }
         if now >= self.next_view {
@@ -410,7 +410,7 @@
         if self.overload.due(now) <= now {
             let view = self.view.clone();
             for (to, word) in self.overload.advance(now, &view) {
-                self.machine.note(now, &to, overload::CHANNEL, word);
+                self.machine.send_message(now, &to, overload::CHANNEL, word);
             }
         }
         if now >= self.next_zones {
@@ -421,7 +421,7 @@
             let view = zones::View { own, home, others: self.others.clone(), share };
             for (to, report) in self.zones.advance(now, view) {
                 self.zone_bytes += report.len() as u64;
-                self.machine.note(now, &to, zones::CHANNEL, report);
+                self.machine.send_message(now, &to, zones::CHANNEL, report);
                 // The machine keeps a bounded number of packets: they leave as they are made.
                 self.send(|_| false);
             }
@@ -440,7 +440,7 @@
         let up = self.machine.members().filter(|m| m.is_up() && m.last_heard.is_some());
         self.others = up.map(|m| (m.name.clone(), m.record.zone.clone())).collect();
         let others = self.others.iter().map(|(name, _)| name.clone()).collect();
-        let parts = self.machine.divisor(now);
+        let parts = self.machine.share_divisor(now);
         self.view = overload::View { own: self.introduction.name.as_str().into(), parts, others };
     }
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -266,12 +266,12 @@
     }
 
     /// Returns the local health score: 0 is healthy, 8 the worst.
-    pub fn health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
     /// Returns the number of claims queued for gossip.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_claims(&self) -> usize {
         self.gossip.len()
     }
 
@@ -281,12 +281,12 @@
     }
 
     /// Returns the number of members that are alive or suspect, this one included.
-    pub fn alive(&self) -> usize {
+    pub fn up_count(&self) -> usize {
         self.table.counts().0 + 1
     }
 
     /// Returns this member's connectivity, and whether the views of the group agree.
-    pub fn agreement(&self) -> ViewSummary {
+    pub fn view_summary(&self) -> ViewSummary {
         let digest = self.digest();
         let (up, silent) = self.table.counts();
         let same =
@@ -302,7 +302,7 @@
 
     /// Returns the divisor of a common budget for this member: rises at once, falls after the hold time
     /// ([`crate::standing`]).
-    pub fn divisor(&mut self, now: Micros) -> usize {
+    pub fn share_divisor(&mut self, now: Micros) -> usize {
         self.now = self.now.max(now);
         self.update_connectivity();
         let (up, failed) = self.share_counts();
@@ -316,12 +316,12 @@
     }
 
     /// Returns this member's index, by name, among the members that hold a share: from 0, below the divisor.
-    pub fn place(&self) -> usize {
+    pub fn share_index(&self) -> usize {
         self.members().filter(|m| m.state != State::Left && m.name < self.own.name).count()
     }
 
     /// Returns when [`Membership::advance`] is next due.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         // The next probe starts only after the open one has ended.
         let open = |p: &Probe| p.deadline.min(p.direct_deadline).min(p.retry_at);
         let probe = self.probe.as_ref().map_or(self.next_probe_at, open);
@@ -336,7 +336,7 @@
     // ---- Input ----
 
     /// Updates the load, and the record that this member publishes; a changed record raises its incarnation.
-    pub fn tell(&mut self, record: Record, load: u16) {
+    pub fn set_record(&mut self, record: Record, load: u16) {
         self.load = load.min(1_000);
         if record != self.own.record {
             self.own.record = record;
@@ -347,7 +347,7 @@
 
     /// Merges members that the host has learned of elsewhere, with the same trust as claims by others, and does not
     /// gossip them.
-    pub fn introduce<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
+    pub fn merge_introduced<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
         self.now = self.now.max(now);
         for claim in claims.filter(|c| c.name != self.own.name) {
             self.table.merge(self.now, claim, Source::Told, self.settings.max_members);
@@ -356,7 +356,7 @@
 
     /// Sends a message of another part of the program to one member. Returns false if that member is not up, this one
     /// has left, or the message is too long. Delivery is at most once per process, and may be late or out of order.
-    pub fn note(&mut self, now: Micros, to: &str, channel: u8, bytes: Vec<u8>) -> bool {
+    pub fn send_message(&mut self, now: Micros, to: &str, channel: u8, bytes: Vec<u8>) -> bool {
         self.now = self.now.max(now);
         let recipient = self
             .table
@@ -390,7 +390,7 @@
         if self.left {
             return;
         }
-        let due = self.due();
+        let due = self.next_deadline();
         self.now = self.now.max(now);
         let late = self.now.saturating_sub(due);
         // Acks that this process had no time to receive during a stall are no evidence against other members. Open
@@ -426,7 +426,7 @@
     }
 
     /// Handles a packet received from `from`.
-    pub fn received(&mut self, now: Micros, from: SocketAddr, packet: &[u8]) {
+    pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: &[u8]) {
         self.now = self.now.max(now);
         if self.left {
             return;
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -201,7 +201,7 @@
         while self.now < until {
             let next_packet = self.packets.peek().map_or(Micros::MAX, |p| p.0.0);
             let next_timer = (self.processes.iter())
-                .filter_map(|p| Some(p.machine.as_ref()?.due().max(p.paused_until)))
+                .filter_map(|p| Some(p.machine.as_ref()?.next_deadline().max(p.paused_until)))
                 .min()
                 .unwrap_or(Micros::MAX);
             let next = next_packet.min(next_timer).max(self.now);
@@ -222,8 +222,9 @@
                 self.delivered += 1;
                 self.step(to, Some((from, packet)));
             } else {
-                let due =
-                    |p: &Process| p.machine.as_ref().is_some_and(|m| m.due().max(p.paused_until) <= next);
+                let due = |p: &Process| {
+                    p.machine.as_ref().is_some_and(|m| m.next_deadline().max(p.paused_until) <= next)
+                };
                 let all: Vec<usize> =
                     (0..self.processes.len()).filter(|n| due(&self.processes[*n])).collect();
                 all.into_iter().for_each(|n| self.step(n, None));
@@ -236,13 +237,13 @@
         let now = self.now;
         let Some(machine) = &mut self.processes[n].machine else { return };
         // Like the event loop, a resumed process runs its timers before it handles packets.
-        if machine.due() <= now {
+        if machine.next_deadline() <= now {
             machine.advance(now);
         }
         if let Some((from, packet)) = packet {
-            machine.received(now, address(from), &packet);
+            machine.handle_packet(now, address(from), &packet);
         }
-        machine.divisor(now);
+        machine.share_divisor(now);
         let packets: Vec<_> = machine.packets.drain(..).collect();
         let events: Vec<Event> = machine.events.drain(..).collect();
         for event in events {
@@ -269,7 +270,7 @@
             if let Some(machine) =
                 process.machine.as_mut().filter(|_| process.paused_until <= now && !process.unknown)
             {
-                sum += 1.0 / machine.divisor(now) as f64;
+                sum += 1.0 / machine.share_divisor(now) as f64;
             }
         }
         self.max_share_sum = self.max_share_sum.max(sum);
@@ -364,7 +365,7 @@
     }
     for n in 0..count {
         let Some(machine) = &sim.processes[n].machine else { continue };
-        if machine.members().count() > count || machine.waiting() > count + 1 {
+        if machine.members().count() > count || machine.queued_claims() > count + 1 {
             return Err("a table or gossip queue has grown beyond the group".to_string());
         }
     }
@@ -422,7 +423,7 @@
     let until = sim.now + 60 * S;
     sim.run(until);
     let naive = sim.processes.iter().filter_map(|p| p.machine.as_ref());
-    let naive: f64 = naive.map(|m| 1.0 / (m.agreement().alive as f64)).sum();
+    let naive: f64 = naive.map(|m| 1.0 / (m.view_summary().alive as f64)).sum();
     assert!(naive > 1.9, "shares by the alive count sum to {naive}");
     assert!(sim.share_sum() <= 1.02, "shares by the divisor");
 }
@@ -447,7 +448,7 @@
     sim.apply(&Fault::Cut(rest, vec![6]));
     let until = sim.now + 60 * S;
     sim.run(until);
-    let part = |n: usize| sim.processes[n].machine.as_ref().expect("running").agreement().connectivity;
+    let part = |n: usize| sim.processes[n].machine.as_ref().expect("running").view_summary().connectivity;
     assert_eq!(
         [part(0), part(2), part(6)],
         [Connectivity::Smaller, Connectivity::Larger, Connectivity::Alone]
@@ -461,7 +462,7 @@
     let until = sim.now + 60 * S;
     sim.run(until);
     let machine = sim.processes[4].machine.as_ref().expect("running");
-    assert_eq!(machine.agreement().connectivity, Connectivity::Unheard);
+    assert_eq!(machine.view_summary().connectivity, Connectivity::Unheard);
     assert!(machine.members().all(|m| m.is_up()), "members that packets are received from stay up");
 }
 
@@ -482,7 +483,7 @@
     let left = sim.now;
     let divisor = |sim: &mut Simulation, n: usize| {
         let now = sim.now;
-        sim.processes[n].machine.as_mut().expect("running").divisor(now)
+        sim.processes[n].machine.as_mut().expect("running").share_divisor(now)
     };
     let until = left + sim.settings.share_hold - S;
     sim.run(until);
@@ -493,7 +494,7 @@
     sim.apply(&Fault::Kill(4));
     let until = sim.now + 120 * S;
     sim.run(until);
-    let agreement = sim.processes[0].machine.as_ref().expect("running").agreement();
+    let agreement = sim.processes[0].machine.as_ref().expect("running").view_summary();
     assert_eq!((agreement.alive, agreement.failed), (4, 1));
     assert!(divisor(&mut sim, 0) >= 5, "it may be on the other side of a partition");
 }
@@ -537,9 +538,13 @@
         for n in 0..5 {
             let now = sim.now;
             let machine = sim.processes[n].machine.as_mut().expect("running");
-            machine.received(now, address(99), &packet);
-            assert!(machine.members().count() <= 4_096 && machine.waiting() <= 1_024);
-            assert!(machine.divisor(now) <= 8, "forged members take no share: {}", machine.divisor(now));
+            machine.handle_packet(now, address(99), &packet);
+            assert!(machine.members().count() <= 4_096 && machine.queued_claims() <= 1_024);
+            assert!(
+                machine.share_divisor(now) <= 8,
+                "forged members take no share: {}",
+                machine.share_divisor(now)
+            );
         }
         let until = sim.now + 10 * MS;
         sim.run(until);
@@ -596,5 +601,5 @@
     }
     let machine = sim.processes[3].machine.as_ref().expect("running");
     assert_eq!(machine.stats().suspicions_started, 0);
-    assert!(machine.health() > 0 && machine.stats().stalls > 10);
+    assert!(machine.local_health() > 0 && machine.stats().stalls > 10);
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -169,7 +169,7 @@
     fn read_packets(&mut self, now: u64) {
         // After a pause of the process, packets that waited in the socket are older than their time of reading. Advancing
         // first lets the membership detect the stall before it takes them.
-        if self.membership.due() <= now {
+        if self.membership.next_deadline() <= now {
             self.membership.advance(now);
         }
         let mut buffer = [0; ochreward_membership::wire::MOST_PACKET + 1];
@@ -183,7 +183,7 @@
             if let (Some(from), Some(packet)) = (from, buffer.get(..size)) {
                 count(&self.counters.peers_received);
                 add(&self.counters.peers_received_bytes, size);
-                self.membership.received(now, from, packet);
+                self.membership.handle_packet(now, from, packet);
             }
         }
         self.take_notes(now);
@@ -192,7 +192,7 @@
 
     /// Runs the timers that are due: membership, hints and exchange.
     pub fn advance(&mut self, now: u64) {
-        let due = self.membership.due() <= now;
+        let due = self.membership.next_deadline() <= now;
         if due {
             self.membership.advance(now);
         }
@@ -206,12 +206,12 @@
 
     /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> u64 {
-        self.membership.due().min(self.hints.due()).min(self.exchange.due())
+        self.membership.next_deadline().min(self.hints.due()).min(self.exchange.due())
     }
 
     /// Takes the received notes: hints are handled here, the others are kept for the host.
     fn take_notes(&mut self, now: u64) {
-        let others = self.membership.alive().saturating_sub(1);
+        let others = self.membership.up_count().saturating_sub(1);
         while let Some(note) = self.membership.messages.pop_front() {
             if note.channel == hints::CHANNEL {
                 let new_workers = self.hints.receive(now, &note.bytes, others);
@@ -232,7 +232,7 @@
     /// Queues a note in the membership protocol and counts it for the module that sends on the channel.
     fn queue_note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
         let size = bytes.len();
-        if !self.membership.note(now, to, channel, bytes) {
+        if !self.membership.send_message(now, to, channel, bytes) {
             return;
         }
         let counters = &self.counters;
@@ -278,7 +278,7 @@
 
     /// Records that a connection to an executor broke or could not be established here, and gossips it to the peers.
     pub fn sighted(&mut self, now: u64, worker: &WorkerId) {
-        if self.hints.observe(now, worker, self.membership.alive().saturating_sub(1)) {
+        if self.hints.observe(now, worker, self.membership.up_count().saturating_sub(1)) {
             count(&self.counters.hints_told);
         }
     }
@@ -378,9 +378,10 @@
         if !std::mem::take(&mut self.division_stale) {
             return None;
         }
-        let parts = self.membership.divisor(now);
-        let alive = self.membership.alive();
-        let division = Division { alive, parts, place: self.membership.place().min(parts.saturating_sub(1)) };
+        let parts = self.membership.share_divisor(now);
+        let alive = self.membership.up_count();
+        let division =
+            Division { alive, parts, place: self.membership.share_index().min(parts.saturating_sub(1)) };
         let changed = self.division != Some(division);
         self.division = Some(division);
         changed.then_some(division)
@@ -395,7 +396,7 @@
     pub fn tell(&mut self, serving: Serving, configuration: u64, load: u16) {
         self.record.serving = serving;
         self.record.configuration = configuration;
-        self.membership.tell(self.record.clone(), load);
+        self.membership.set_record(self.record.clone(), load);
     }
 
     /// Announces to the peers that this dispatcher leaves the group.
@@ -451,7 +452,7 @@
         counters.peers_denials.set(stats.refutations);
         counters.peers_stalls.set(stats.stalls);
         counters.peers_conflicts.set(stats.conflicts);
-        counters.peers_alive.set(self.membership.alive() as u64);
+        counters.peers_alive.set(self.membership.up_count() as u64);
     }
 }
 
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -9,7 +9,7 @@
 /// Returns the membership state as JSON.
 pub fn report(peers: &Peers, now: u64) -> Value {
     let membership = peers.membership();
-    let agreement = membership.agreement();
+    let agreement = membership.view_summary();
     let ms_since = |at: Option<u64>| at.map(|at| now.saturating_sub(at) / 1_000);
     let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
     let members: Vec<Value> = (membership.members().take(MAX_LISTED_MEMBERS))
@@ -29,7 +29,7 @@
         "name": &*membership.own().name, "address": peers.address().to_string(),
         "part": lower_case(&agreement.connectivity), "alive": agreement.alive, "silent": agreement.failed, "same": agreement.same_view,
         "agreed": agreement.agreed(), "digest": format!("{:016x}", agreement.digest), "incarnation": membership.own().incarnation,
-        "health": membership.health(), "waiting": membership.waiting(),
+        "health": membership.local_health(), "waiting": membership.queued_claims(),
         "parts": peers.division().map(|d| d.parts), "place": peers.division().map(|d| d.place),
         "known": membership.members().count(), "members": members,
     })
