--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -375,7 +375,7 @@
     }
 
     fn read(&mut self, now: u64, crosses: impl Fn(&SocketAddr) -> bool) {
-        let mut buffer = [0; wire::MOST_PACKET + 1];
+        let mut buffer = [0; wire::MAX_PACKET_BYTES + 1];
         for _ in 0..MOST_READ {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer) else { break };
             if !self.dead && !crosses(&from) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -36,7 +36,7 @@
 mod table;
 pub mod wire;
 
-pub use draw::draw;
+pub use draw::sample;
 pub use machine::{Event, Identity, Membership, Message, Stats};
 pub use settings::Settings;
 pub use standing::{Connectivity, ViewSummary};
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -210,7 +210,7 @@
         let own = Claim { name, address, instance, incarnation, state: State::Alive, record };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|s| *s != address).collect();
         Membership {
-            group: wire::group(&settings.group),
+            group: wire::group_hash(&settings.group),
             own,
             load: 0,
             rng: Pcg32::seed_from_u64(rng_seed),
@@ -364,7 +364,7 @@
             .get(to)
             .filter(|m| m.is_up() && bytes.len() <= wire::MAX_NOTE_BYTES && !self.left);
         let Some(address) = recipient.map(|m| m.address) else { return false };
-        self.send(address, &Body::Note { channel, bytes }, None);
+        self.send(address, &Body::Message { channel, bytes }, None);
         true
     }
 
@@ -465,10 +465,10 @@
             }
             Body::Ack { number } => self.handle_ack(number, &sender),
             Body::PingRequest { number, target, .. } => self.relay_probe(number, from, target),
-            Body::Hello { answer } => {
+            Body::CompareDigest { answer } => {
                 let same = header.digest == self.digest();
                 if !answer {
-                    self.reply(from, &Body::Hello { answer: true }, &sender);
+                    self.reply(from, &Body::CompareDigest { answer: true }, &sender);
                 } else {
                     self.record_reply();
                 }
@@ -492,7 +492,7 @@
                 };
                 self.send_claims(from, differs);
             }
-            Body::Note { channel, bytes } => {
+            Body::Message { channel, bytes } => {
                 if self.messages.len() < MAX_QUEUED_NOTES {
                     self.messages.push_back(Message {
                         from: sender,
@@ -517,7 +517,7 @@
         }
         if let Some(known) = self.table.members.get_mut(&own.name) {
             if own.instance == known.instance {
-                if !known.replay_window.accept(self.now, header.stamp) {
+                if !known.replay_window.accept(self.now, header.sequence) {
                     self.stats.replayed += 1;
                     return false;
                 }
@@ -547,7 +547,7 @@
                 self.table.count_revision += 1;
             }
             self.last_heard_at = Some(self.now);
-            known.replay_window.accept(self.now, header.stamp);
+            known.replay_window.accept(self.now, header.sequence);
             (known.digest, known.load) = (header.digest, header.load);
         }
         true
@@ -602,12 +602,12 @@
         let header = Header {
             group: self.group,
             own: self.own.clone(),
-            stamp: self.packet_sequence,
+            sequence: self.packet_sequence,
             digest: self.digest(),
             alive: (self.table.counts().0 + 1).min(usize::from(u16::MAX)) as u16,
             load: self.load,
         };
-        let (packet, count) = wire::write(&header, body, claims);
+        let (packet, count) = wire::encode(&header, body, claims);
         self.stats.sent += 1;
         self.stats.sent_bytes += packet.len() as u64;
         self.packets.push_back((to, packet));
--- a/crates/membership/src/machine/exchange.rs
+++ b/crates/membership/src/machine/exchange.rs
@@ -39,7 +39,7 @@
             // A random choice reaches every unreachable member within some rounds, however many there are.
             let limit = if self.joined_at.is_some() { 1 } else { 3 };
             for to in list.into_iter().take(limit) {
-                self.send(to, &Body::Hello { answer: false }, None);
+                self.send(to, &Body::CompareDigest { answer: false }, None);
             }
         }
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 
 /// The largest packet, in bytes: fits one Ethernet frame.
-pub const MOST_PACKET: usize = 1_400;
+pub const MAX_PACKET_BYTES: usize = 1_400;
 /// The longest member name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 /// The longest text in a record, in bytes.
-pub const MOST_TEXT: usize = 32;
+pub const MAX_TEXT_BYTES: usize = 32;
 /// Buckets into which a table is split, by name, for comparison.
 pub const BUCKETS: usize = 32;
 /// The longest content of a note, in bytes.
@@ -93,8 +93,8 @@
     fn is_within_bounds(&self) -> bool {
         !self.name.is_empty()
             && self.name.len() <= MAX_NAME_BYTES
-            && self.record.zone.len() <= MOST_TEXT
-            && self.record.program.len() <= MOST_TEXT
+            && self.record.zone.len() <= MAX_TEXT_BYTES
+            && self.record.program.len() <= MAX_TEXT_BYTES
     }
 }
 
@@ -125,7 +125,8 @@
     },
     /// Starts a table exchange by the header's digest. The member that started it continues with a `CompareBuckets` if
     /// the digest in the reply differs from its own.
-    Hello {
+    #[serde(rename = "Hello")]
+    CompareDigest {
         /// Whether this is the reply to a `Hello`; a reply is not replied to.
         answer: bool,
     },
@@ -142,7 +143,8 @@
         answer: bool,
     },
     /// A message between other parts of the program.
-    Note {
+    #[serde(rename = "Note")]
+    Message {
         /// The part of the program that it is for.
         channel: u8,
         /// The content, at most [`MAX_NOTE_BYTES`] bytes.
@@ -154,7 +156,7 @@
     fn is_within_bounds(&self) -> bool {
         match self {
             Body::CompareBuckets { digests, .. } => digests.len() == BUCKETS,
-            Body::Note { bytes, .. } => bytes.len() <= MAX_NOTE_BYTES,
+            Body::Message { bytes, .. } => bytes.len() <= MAX_NOTE_BYTES,
             _ => true,
         }
     }
@@ -168,7 +170,8 @@
     /// The sender's claim about itself.
     pub own: Claim,
     /// The sequence number of the sender's packet, for replay detection.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub sequence: u64,
     /// The digest of the sender's view.
     pub digest: u64,
     /// The number of members that are alive or suspect in the sender's view.
@@ -202,7 +205,7 @@
 }
 
 /// Returns the hash by which packets identify a group.
-pub fn group(name: &str) -> u64 {
+pub fn group_hash(name: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     name.hash(&mut hasher);
     hasher.finish()
@@ -234,13 +237,13 @@
 }
 
 /// Encodes a packet with as many of the first claims as fit. Returns it with the number of these claims.
-pub fn write(header: &Header, body: &Body, claims: &[Claim]) -> (Vec<u8>, usize) {
+pub fn encode(header: &Header, body: &Body, claims: &[Claim]) -> (Vec<u8>, usize) {
     let mut out = MAGIC.to_vec();
     out.push(VERSION);
     out.extend(to_bytes(header));
     out.extend(to_bytes(body));
     // postcard encodes a count of up to 127 in one byte; the checksum takes four. More than 127 claims never fit.
-    let room = MOST_PACKET.saturating_sub(out.len() + 4 + 1);
+    let room = MAX_PACKET_BYTES.saturating_sub(out.len() + 4 + 1);
     let mut list = Vec::new();
     let mut count = 0;
     for claim in claims.iter().take(127) {
@@ -259,7 +262,7 @@
 
 /// Decodes a packet of the group, and checks its bounds.
 pub fn decode(packet: &[u8], group: u64) -> Result<Packet, DecodeError> {
-    if packet.len() > MOST_PACKET || packet.len() < MAGIC.len() + 5 || packet[..2] != MAGIC {
+    if packet.len() > MAX_PACKET_BYTES || packet.len() < MAGIC.len() + 5 || packet[..2] != MAGIC {
         return Err(DecodeError::Malformed);
     }
     let (body, sum) = packet.split_at(packet.len() - 4);
--- a/crates/membership/tests/schedules.rs
+++ b/crates/membership/tests/schedules.rs
@@ -513,8 +513,8 @@
             record: Record::default(),
         };
         let header =
-            Header { group: wire::group("ochreward"), own, stamp: sequence, digest: 0, alive: 9, load: 0 };
-        wire::write(&header, &Body::Claims, claims).0
+            Header { group: wire::group_hash("ochreward"), own, sequence, digest: 0, alive: 9, load: 0 };
+        wire::encode(&header, &Body::Claims, claims).0
     };
     let mut sequence = 0;
     for round in 0..2_000_u64 {
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -201,7 +201,7 @@
     let list: Vec<SocketAddr> = seeds.entries().iter().map(Key::address).collect();
     seeds.must(list.len() <= peers::MOST_SEEDS, "holds more than 64 addresses");
     let (named, place) = (group.text_or(&usual.group), zone.text_or(""));
-    let short = |text: &str| text.len() <= ochreward_membership::wire::MOST_TEXT;
+    let short = |text: &str| text.len() <= ochreward_membership::wire::MAX_TEXT_BYTES;
     group.must(!named.is_empty(), "a name is wanted");
     zone.must(short(&place), "is longer than 32 bytes");
     let (probe_every, probe_timeout) = (
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -16,7 +16,7 @@
 use crate::control::{Budget, Tokens};
 use ochreward_budget::wire::Word;
 use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, Terms, admission, circuit};
-use ochreward_membership::draw;
+use ochreward_membership::sample;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -268,7 +268,7 @@
         let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Word::Tried);
         for word in recovered.chain(failed_trials) {
             let message = word.written();
-            let to = draw(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
+            let to = sample(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         if now >= self.next_interval {
@@ -294,7 +294,7 @@
             let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
             self.next_proposal = now + interval - interval / 10 + jitter;
             let message = Word::Wish(self.admission.wish()).written();
-            let to = draw(&mut self.rng, view.others.clone(), fanout);
+            let to = sample(&mut self.rng, view.others.clone(), fanout);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         messages
@@ -324,7 +324,7 @@
         let missing = wanted - available;
         let has_no_dealings = |name: &&Arc<str>| !shared.ledger.deals_with(now, name);
         let eligible: Vec<Arc<str>> = view.others.iter().filter(has_no_dealings).cloned().collect();
-        let to = draw(&mut self.rng, eligible, ASK_FANOUT);
+        let to = sample(&mut self.rng, eligible, ASK_FANOUT);
         let Some(shared) = self.budgets[place].as_mut() else { return };
         for name in &to {
             let part = missing.div_ceil(to.len() as u64);
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -20,7 +20,7 @@
 use crate::net::{Interest, Poll, PollEvent, Token};
 use exchange::Exchange;
 use hints::Hints;
-use ochreward_membership::{Event, Identity, Membership, Record, Serving, draw};
+use ochreward_membership::{Event, Identity, Membership, Record, Serving, sample};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
@@ -172,7 +172,7 @@
         if self.membership.next_deadline() <= now {
             self.membership.advance(now);
         }
-        let mut buffer = [0; ochreward_membership::wire::MOST_PACKET + 1];
+        let mut buffer = [0; ochreward_membership::wire::MAX_PACKET_BYTES + 1];
         for _ in 0..MAX_PACKETS_PER_TURN {
             let (size, from) = match rustix::net::recvfrom(&self.fd, &mut buffer, RecvFlags::empty()) {
                 Ok((_, size, from)) => (size, from),
@@ -269,7 +269,7 @@
     /// Sends a note to `fanout` peers, drawn at random on each call.
     fn gossip(&mut self, now: u64, channel: u8, fanout: usize, bytes: &[u8]) {
         let up = self.up();
-        for name in draw(&mut self.rng, up, fanout) {
+        for name in sample(&mut self.rng, up, fanout) {
             self.queue_note(now, &name, channel, bytes.to_vec());
         }
     }
--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -63,8 +63,8 @@
 
 /// A packet of a member that this test plays.
 fn packet(fleet: &Fleet, own: &Claim, stamp: u64, body: &Body, claims: &[Claim]) -> Vec<u8> {
-    let (group, own) = (wire::group(&fleet.group), own.clone());
-    wire::write(&Header { group, own, stamp, digest: 0, alive: 9, load: 0 }, body, claims).0
+    let (group, own) = (wire::group_hash(&fleet.group), own.clone());
+    wire::encode(&Header { group, own, sequence: stamp, digest: 0, alive: 9, load: 0 }, body, claims).0
 }
 
 /// Shares of a budget may come to one at the most, and the thousandth parts of those that have only begun.
@@ -405,7 +405,7 @@
             bytes.extend(id.bytes());
             bytes.push(0);
         }
-        let packet = packet(&fleet, &own, round + 1, &Body::Note { channel: 1, bytes }, &[]);
+        let packet = packet(&fleet, &own, round + 1, &Body::Message { channel: 1, bytes }, &[]);
         (0..4).for_each(|to| fleet.relay.forge(4, to, &packet));
     }
     fleet.until_so("all have heard it", || (0..4).all(|n| fleet.counter(n, "hints_heard") >= 3));
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -205,7 +205,7 @@
         ];
         for (n, word) in words.iter().enumerate() {
             let stamp = round * 3 + n as u64 + 1;
-            let body = Body::Note { channel: 2, bytes: word.written() };
+            let body = Body::Message { channel: 2, bytes: word.written() };
             let packet = packet(&fleet, &own, stamp, &body, &[]);
             (0..4).for_each(|to| fleet.relay.forge(4, to, &packet));
         }
--- a/tests/processes/zones.rs
+++ b/tests/processes/zones.rs
@@ -343,7 +343,7 @@
             peak: u32::MAX,
         };
         let bytes = Report { zones: (0..3).map(lie).collect() }.written();
-        let body = Body::Note { channel: 3, bytes };
+        let body = Body::Message { channel: 3, bytes };
         let packet = packet(&fleet, &own, round + 1, &body, &[]);
         rest.iter().for_each(|to| fleet.relay.forge(5, *to, &packet));
         // Paced, so that it is heard all the time and not at once.
