--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -82,7 +82,7 @@
 
 /// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaseRequest {
     /// Identifier of the requesting process.
     pub instance: u64,
     /// Request number, unique within that process.
@@ -97,7 +97,7 @@
 
 /// The answer to a lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// Identifier of the process that sent the request.
     pub instance: u64,
     /// Number of the request.
@@ -220,7 +220,7 @@
 
     /// Creates a lease request to `to`, or returns `None` while too many requests are pending or too many
     /// leases are held.
-    pub fn ask(&mut self, now: Micros, to: &str, amount: u64, worth: u32) -> Option<Ask> {
+    pub fn ask(&mut self, now: Micros, to: &str, amount: u64, worth: u32) -> Option<LeaseRequest> {
         self.remove_expired(now);
         if amount == 0 || self.pending.len() >= MAX_PENDING_REQUESTS || self.borrowed.len() >= MAX_LEASES {
             return None;
@@ -228,7 +228,7 @@
         self.number += 1;
         let (number, lease) = (self.number, self.terms.lease.min(MAX_LEASE_TIME));
         self.pending.push(PendingRequest { to: to.into(), number, sent_at: now, lease });
-        Some(Ask { instance: self.instance, number, amount, lease, worth: worth.max(1) })
+        Some(LeaseRequest { instance: self.instance, number, amount, lease, worth: worth.max(1) })
     }
 
     /// Returns whether a request to this member is pending or a lease from it is running.
@@ -239,12 +239,12 @@
 
     /// Answers a lease request. A request may arrive twice, late, or from a process that no longer exists,
     /// and may ask for everything: it is granted only what can be spared, and each request yields one lease.
-    pub fn asked(&mut self, now: Micros, from: &str, ask: &Ask) -> Grant {
+    pub fn asked(&mut self, now: Micros, from: &str, ask: &LeaseRequest) -> LeaseGrant {
         self.remove_expired(now);
-        let &Ask { instance, number, amount, .. } = ask;
+        let &LeaseRequest { instance, number, amount, .. } = ask;
         let same_request = |l: &&LentLease| &*l.to == from && (l.instance, l.number) == (instance, number);
         if let Some(lent) = self.lent.iter().find(same_request) {
-            return Grant { instance, number, amount: lent.amount, lease: lent.lease };
+            return LeaseGrant { instance, number, amount: lent.amount, lease: lent.lease };
         }
         // A request for longer than the configured duration gets the configured duration.
         let lease = ask.lease.min(self.terms.lease);
@@ -261,11 +261,11 @@
             let expires_at = now + self.terms.lender_lease_time(lease);
             self.lent.push(LentLease { to: from.into(), instance, number, amount, lease, expires_at });
         }
-        Grant { instance, number, amount, lease }
+        LeaseGrant { instance, number, amount, lease }
     }
 
     /// Applies the answer to a request; returns whether it brought a lease.
-    pub fn granted(&mut self, now: Micros, from: &str, grant: &Grant) -> bool {
+    pub fn granted(&mut self, now: Micros, from: &str, grant: &LeaseGrant) -> bool {
         self.remove_expired(now);
         let own_instance = grant.instance == self.instance || !self.rules.check_instance;
         let index = self.pending.iter().position(|a| &*a.to == from && a.number == grant.number);
--- a/crates/budget/src/ledger/tests.rs
+++ b/crates/budget/src/ledger/tests.rs
@@ -64,7 +64,7 @@
     let mut a = Ledger::new(terms, 1, 0);
     a.divide(2);
     for number in 0..5_000 {
-        let ask = Ask { instance: 7, number, amount: 1, lease: u64::MAX, worth: 9 };
+        let ask = LeaseRequest { instance: 7, number, amount: 1, lease: u64::MAX, worth: 9 };
         a.asked(5 * S, "x", &ask);
     }
     assert_eq!(a.lent(5 * S), MAX_LEASES as u64);
--- a/crates/budget/tests/model.rs
+++ b/crates/budget/tests/model.rs
@@ -3,7 +3,7 @@
 //! In every state the sum of all spendable amounts is at most the whole. A member that takes no action for a
 //! while stands for a stalled process.
 
-use ochreward_budget::{Ask, Grant, Ledger, SafetyRules, Terms};
+use ochreward_budget::{LeaseGrant, LeaseRequest, Ledger, SafetyRules, Terms};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -15,8 +15,8 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Ask(Ask),
-    Grant(Grant),
+    Ask(LeaseRequest),
+    Grant(LeaseGrant),
 }
 
 /// Messages in transit: from, to, content. A set: a delivered message may stay, to be delivered again.
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::api::{Micros, WorkerId};
 use crate::control::{Budget, Tokens};
-use ochreward_budget::wire::Word;
+use ochreward_budget::wire::Message;
 use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, Terms, admission, circuit};
 use ochreward_membership::sample;
 use rand_pcg::Pcg32;
@@ -264,10 +264,11 @@
         if now >= self.next_gate {
             self.next_gate = now + GATE_INTERVAL_US;
         }
-        let recovered = std::mem::take(&mut self.recovered).into_iter().map(|worker| Word::Back(worker, 0));
-        let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Word::Tried);
+        let recovered =
+            std::mem::take(&mut self.recovered).into_iter().map(|worker| Message::Back(worker, 0));
+        let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Message::Tried);
         for word in recovered.chain(failed_trials) {
-            let message = word.written();
+            let message = word.encode();
             let to = sample(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
@@ -293,7 +294,7 @@
             // The jitter of 10 % either way keeps the dispatchers from sending at the same time.
             let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
             self.next_proposal = now + interval - interval / 10 + jitter;
-            let message = Word::Wish(self.admission.wish()).written();
+            let message = Message::Wish(self.admission.wish()).encode();
             let to = sample(&mut self.rng, view.others.clone(), fanout);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
@@ -329,34 +330,34 @@
         for name in &to {
             let part = missing.div_ceil(to.len() as u64);
             if let Some(ask) = shared.ledger.ask(now, name, part, worth) {
-                messages.push((name.clone(), Word::Ask(place as u8, ask).written()));
+                messages.push((name.clone(), Message::Ask(place as u8, ask).encode()));
             }
         }
     }
 
     /// Takes a message from a peer and returns the reply, if there is one. The content is untrusted: it may be any bytes.
     pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
-        match Word::read(bytes)? {
-            Word::Ask(place, ask) => {
+        match Message::decode(bytes)? {
+            Message::Ask(place, ask) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
                 let grant = shared.ledger.asked(now, from, &ask);
                 self.stats.lent += u64::from(grant.amount > 0);
-                Some(Word::Grant(place, grant).written())
+                Some(Message::Grant(place, grant).encode())
             }
-            Word::Grant(place, grant) => {
+            Message::Grant(place, grant) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
                 self.stats.borrowed += u64::from(shared.ledger.granted(now, from, &grant));
                 None
             }
-            Word::Back(worker, ago_ms) => {
+            Message::Back(worker, ago_ms) => {
                 self.circuits.iter_mut().for_each(|c| c.told(now, &worker, u64::from(ago_ms) * 1_000));
                 None
             }
-            Word::Tried(worker) => {
+            Message::Tried(worker) => {
                 self.circuits.iter_mut().for_each(|c| c.tried(now, &worker));
                 None
             }
-            Word::Wish(level) => {
+            Message::Wish(level) => {
                 if self.options.queue > 0 {
                     self.admission.told(now, from, level);
                 }
--- a/src/overload/tests.rs
+++ b/src/overload/tests.rs
@@ -55,8 +55,9 @@
     let (mut a, mut b) = (new_overload(1), new_overload(2));
     a.advance(5 * S, &view(&["b"]));
     let asked = demand_resends(&mut b, 5 * S, 80, &["a"]);
-    let mut asks =
-        asked.iter().filter_map(|(_, w)| Word::read(w).filter(|w| matches!(w, Word::Ask(0, _))).map(|_| w));
+    let mut asks = asked
+        .iter()
+        .filter_map(|(_, w)| Message::decode(w).filter(|w| matches!(w, Message::Ask(0, _))).map(|_| w));
     let last = asks.next_back().expect("a lease request");
     let grant = a.heard(7 * S + S / 2, &"b".into(), last).expect("a grant");
     assert!(b.heard(7 * S + S / 2, &"a".into(), &grant).is_none());
@@ -94,7 +95,7 @@
     assert_eq!(overload.stats().trials, 1);
     overload.answered(5 * S + S / 3, &worker, 1, Some(9));
     let messages = overload.advance(5 * S + S / 3, &view(&["b"]));
-    assert!(messages.iter().any(|(_, w)| Word::read(w) == Some(Word::Back(worker.clone(), 0))));
+    assert!(messages.iter().any(|(_, w)| Message::decode(w) == Some(Message::Back(worker.clone(), 0))));
     assert_eq!(overload.circuits(), (0, 1));
     assert_eq!(left(&mut overload, 10 * S, &Budget::default()), None, "the ramp is over");
 }
@@ -102,8 +103,9 @@
 #[test]
 fn invalid_messages_change_nothing() {
     let mut overload = new_overload(1);
-    let ask = ochreward_budget::Ask { instance: 1, number: 1, amount: 1, lease: 1, worth: 1 };
-    for message in [vec![], vec![255; 30], Word::Ask(1, ask.clone()).written(), Word::Ask(200, ask).written()]
+    let ask = ochreward_budget::LeaseRequest { instance: 1, number: 1, amount: 1, lease: 1, worth: 1 };
+    for message in
+        [vec![], vec![255; 30], Message::Ask(1, ask.clone()).encode(), Message::Ask(200, ask).encode()]
     {
         assert_eq!(overload.heard(5 * S, &"x".into(), &message), None);
     }
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -1,8 +1,8 @@
 //! Overload as the fleet handles it, on real processes: what the workers were sent is what is judged.
 
 use super::{all_see, liar, packet, place};
-use ochreward_budget::Ask;
-use ochreward_budget::wire::Word;
+use ochreward_budget::LeaseRequest;
+use ochreward_budget::wire::Message;
 use ochreward_membership::wire::Body;
 use ochreward_rig::fleet::{Fleet, Setup, name};
 use ochreward_rig::load::Manner;
@@ -197,15 +197,16 @@
     fleet.kill(4);
     let own = liar(&fleet);
     for round in 0..200_u64 {
-        let ask = Ask { instance: 7, number: round, amount: u64::MAX, lease: u64::MAX, worth: u32::MAX };
+        let ask =
+            LeaseRequest { instance: 7, number: round, amount: u64::MAX, lease: u64::MAX, worth: u32::MAX };
         let words = [
-            Word::Ask(0, ask),
-            Word::Wish(255),
-            Word::Ask(9, Ask { instance: 0, number: 0, amount: 1, lease: 1, worth: 0 }),
+            Message::Ask(0, ask),
+            Message::Wish(255),
+            Message::Ask(9, LeaseRequest { instance: 0, number: 0, amount: 1, lease: 1, worth: 0 }),
         ];
         for (n, word) in words.iter().enumerate() {
             let stamp = round * 3 + n as u64 + 1;
-            let body = Body::Message { channel: 2, bytes: word.written() };
+            let body = Body::Message { channel: 2, bytes: word.encode() };
             let packet = packet(&fleet, &own, stamp, &body, &[]);
             (0..4).for_each(|to| fleet.relay.forge(4, to, &packet));
         }
