--- a/crates/budget/src/ledger.rs
+++ b/crates/budget/src/ledger.rs
@@ -3,7 +3,7 @@
 //! **Why the sum is bounded.** Each part is owned by exactly one member. The membership layer assigns the
 //! parts and keeps their sum at or below the whole. A lease moves an amount from its lender to its borrower.
 //! The borrower measures the lease from when it *sent the request*; the lender measures it from when it
-//! *granted* it, which is later, and adds [`Terms::clock_margin_percent`], so clock rates may differ by half
+//! *granted* it, which is later, and adds [`ResourceTerms::clock_margin_percent`], so clock rates may differ by half
 //! of that margin. The borrower's lease therefore expires, by its own clock, before the lender counts the
 //! amount as its own again, and a grant that arrives after its expiry is worthless. A restarted member has no
 //! record of the leases of its earlier process: until those must have expired it spends only its floor, which
@@ -11,7 +11,7 @@
 //!
 //! **Why the sum holds.** A part is owned by one member alone; who owns how much is the membership's to say, whose rules
 //! keep the parts' sum at one. A lease moves an amount from its lender to its borrower. The borrower counts the lease's
-//! time from when it *asked*, the lender from when it *granted*, which is later, and for longer by [`Terms::margin`], so
+//! time from when it *asked*, the lender from when it *granted*, which is later, and for longer by [`ResourceTerms::margin`], so
 //! that clocks may run at different rates by half of that. So the borrower's lease is over, by its own clock, before the
 //! lender counts the amount as its own again; and a grant that is late is worth nothing. A member that starts anew does not
 //! know what an earlier process of its name had lent: until that must be over it spends only what is never lent.
@@ -30,26 +30,32 @@
 /// Parameters of a resource, the same at all members. The caller chooses the unit: thousandths of something
 /// per second, or items held.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct ResourceTerms {
     /// Total amount of the resource in the fleet.
-    pub whole: u64,
+    pub total: u64,
     /// Share of each member's part that is never lent, in thousandths.
-    pub floor: u64,
+    pub floor_per_mille: u64,
     /// Duration of a lease.
-    pub lease: Micros,
+    pub lease_time: Micros,
     /// Time for which a use that began within a lease may continue after its expiry; zero for rates.
     pub grace: Micros,
     /// Percentage by which the lender extends its own count of a lease. Clock rates may differ by half of it.
     pub clock_margin_percent: u64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { whole: 0, floor: 500, lease: 2_000_000, grace: 0, clock_margin_percent: 5 }
+impl Default for ResourceTerms {
+    fn default() -> ResourceTerms {
+        ResourceTerms {
+            total: 0,
+            floor_per_mille: 500,
+            lease_time: 2_000_000,
+            grace: 0,
+            clock_margin_percent: 5,
+        }
     }
 }
 
-impl Terms {
+impl ResourceTerms {
     /// Returns how long the lender counts a lease of this duration as lent.
     fn lender_lease_time(&self, lease: Micros) -> Micros {
         lease + lease * self.clock_margin_percent / 100 + self.grace
@@ -57,7 +63,7 @@
 
     /// Returns the time after which no lease granted by a member can still be in use.
     pub fn max_lease_lifetime(&self) -> Micros {
-        self.lender_lease_time(MAX_LEASE_TIME.min(self.lease))
+        self.lender_lease_time(MAX_LEASE_TIME.min(self.lease_time))
     }
 }
 
@@ -136,7 +142,7 @@
 /// The ledger of one resource at one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
-    terms: Terms,
+    terms: ResourceTerms,
     rules: SafetyRules,
     instance: u64,
     started_at: Micros,
@@ -155,7 +161,7 @@
 impl Ledger {
     /// Creates the ledger of a process that starts now; `instance` distinguishes it from earlier processes of
     /// the same name.
-    pub fn new(terms: Terms, instance: u64, now: Micros) -> Ledger {
+    pub fn new(terms: ResourceTerms, instance: u64, now: Micros) -> Ledger {
         Ledger {
             terms,
             rules: SafetyRules::default(),
@@ -178,26 +184,26 @@
     }
 
     /// Sets the number of parts that the whole is divided into. The caller must raise the number at once but
-    /// lower it only after [`Terms::max_lease_lifetime`], and must give a member that starts no part for that
+    /// lower it only after [`ResourceTerms::max_lease_lifetime`], and must give a member that starts no part for that
     /// long; otherwise the sum can exceed the whole.
-    pub fn divide(&mut self, parts: usize) {
+    pub fn set_parts(&mut self, parts: usize) {
         self.parts = parts as u64;
     }
 
     /// Sets the amount that this member needs itself, in the resource's units, and its worth. That amount is
     /// not lent to members that request it at the same or a lower worth.
-    pub fn need(&mut self, amount: u64, worth: u32) {
+    pub fn set_own_need(&mut self, amount: u64, worth: u32) {
         (self.need, self.worth) = (amount, worth.max(1));
     }
 
     /// Returns the amount that this member owns.
-    pub fn own(&self) -> u64 {
-        self.terms.whole.checked_div(self.parts).unwrap_or(0)
+    pub fn owned(&self) -> u64 {
+        self.terms.total.checked_div(self.parts).unwrap_or(0)
     }
 
     /// Returns the part of the owned amount that is never lent.
     pub fn floor(&self) -> u64 {
-        (self.own() as u128 * self.terms.floor.min(1_000) as u128 / 1_000) as u64
+        (self.owned() as u128 * self.terms.floor_per_mille.min(1_000) as u128 / 1_000) as u64
     }
 
     /// Returns the amount lent at `now`.
@@ -214,19 +220,19 @@
     pub fn spendable(&self, now: Micros) -> u64 {
         let limited = self.rules.limit_after_start
             && now < self.started_at.saturating_add(self.terms.max_lease_lifetime());
-        let own = if limited { self.floor() } else { self.own() };
+        let own = if limited { self.floor() } else { self.owned() };
         own.saturating_sub(self.lent(now)) + self.borrowed(now)
     }
 
     /// Creates a lease request to `to`, or returns `None` while too many requests are pending or too many
     /// leases are held.
-    pub fn ask(&mut self, now: Micros, to: &str, amount: u64, worth: u32) -> Option<LeaseRequest> {
+    pub fn request_lease(&mut self, now: Micros, to: &str, amount: u64, worth: u32) -> Option<LeaseRequest> {
         self.remove_expired(now);
         if amount == 0 || self.pending.len() >= MAX_PENDING_REQUESTS || self.borrowed.len() >= MAX_LEASES {
             return None;
         }
         self.number += 1;
-        let (number, lease) = (self.number, self.terms.lease.min(MAX_LEASE_TIME));
+        let (number, lease) = (self.number, self.terms.lease_time.min(MAX_LEASE_TIME));
         self.pending.push(PendingRequest { to: to.into(), number, sent_at: now, lease });
         Some(LeaseRequest { instance: self.instance, number, amount, lease, worth: worth.max(1) })
     }
@@ -239,7 +245,7 @@
 
     /// Answers a lease request. A request may arrive twice, late, or from a process that no longer exists,
     /// and may ask for everything: it is granted only what can be spared, and each request yields one lease.
-    pub fn asked(&mut self, now: Micros, from: &str, ask: &LeaseRequest) -> LeaseGrant {
+    pub fn handle_request(&mut self, now: Micros, from: &str, ask: &LeaseRequest) -> LeaseGrant {
         self.remove_expired(now);
         let &LeaseRequest { instance, number, amount, .. } = ask;
         let same_request = |l: &&LentLease| &*l.to == from && (l.instance, l.number) == (instance, number);
@@ -247,14 +253,14 @@
             return LeaseGrant { instance, number, amount: lent.amount, lease: lent.lease };
         }
         // A request for longer than the configured duration gets the configured duration.
-        let lease = ask.lease.min(self.terms.lease);
+        let lease = ask.lease.min(self.terms.lease_time);
         let start_limit_over = now >= self.started_at.saturating_add(self.terms.max_lease_lifetime());
         // A use of higher worth may take from what this member needs, in proportion to the ratio of the
         // worths.
         let reserved = self.need as u128 * u128::from(self.worth)
             / u128::from(ask.worth.clamp(1, 1_000).max(self.worth));
-        let reserved = self.floor().max(reserved.min(u128::from(self.own())) as u64);
-        let spare = self.own().saturating_sub(self.lent(now)).saturating_sub(reserved);
+        let reserved = self.floor().max(reserved.min(u128::from(self.owned())) as u64);
+        let spare = self.owned().saturating_sub(self.lent(now)).saturating_sub(reserved);
         let may_lend = start_limit_over && self.lent.len() < MAX_LEASES && lease > 0;
         let amount = if may_lend { amount.min(spare) } else { 0 };
         if amount > 0 {
@@ -265,7 +271,7 @@
     }
 
     /// Applies the answer to a request; returns whether it brought a lease.
-    pub fn granted(&mut self, now: Micros, from: &str, grant: &LeaseGrant) -> bool {
+    pub fn handle_grant(&mut self, now: Micros, from: &str, grant: &LeaseGrant) -> bool {
         self.remove_expired(now);
         let own_instance = grant.instance == self.instance || !self.rules.check_instance;
         let index = self.pending.iter().position(|a| &*a.to == from && a.number == grant.number);
@@ -288,7 +294,7 @@
     }
 
     /// Returns when the spendable amount next changes without a message.
-    pub fn due(&self, now: Micros) -> Micros {
+    pub fn next_change(&self, now: Micros) -> Micros {
         let lent = self.lent.iter().map(|l| l.expires_at);
         let ends = lent
             .chain(self.borrowed.iter().map(|b| b.expires_at))
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -41,7 +41,9 @@
 pub use admission::Admission;
 pub use bucket::Bucket;
 pub use circuit::Circuits;
-pub use ledger::{LeaseGrant, LeaseRequest, Ledger, MAX_LEASES, MAX_PENDING_REQUESTS, SafetyRules, Terms};
+pub use ledger::{
+    LeaseGrant, LeaseRequest, Ledger, MAX_LEASES, MAX_PENDING_REQUESTS, ResourceTerms, SafetyRules,
+};
 pub use queueing::Queueing;
 
 /// A time or a duration in microseconds.
--- a/crates/budget/tests/model.rs
+++ b/crates/budget/tests/model.rs
@@ -3,7 +3,7 @@
 //! In every state the sum of all spendable amounts is at most the whole. A member that takes no action for a
 //! while stands for a stalled process.
 
-use ochreward_budget::{LeaseGrant, LeaseRequest, Ledger, SafetyRules, Terms};
+use ochreward_budget::{LeaseGrant, LeaseRequest, Ledger, ResourceTerms, SafetyRules};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -64,10 +64,16 @@
     }
 
     fn ledger(&self, member: usize, instance: u64, time: u64, started_long_ago: bool) -> Ledger {
-        let terms = Terms { whole: WHOLE, floor: 500, lease: LEASE, grace: 0, clock_margin_percent: 5 };
+        let terms = ResourceTerms {
+            total: WHOLE,
+            floor_per_mille: 500,
+            lease_time: LEASE,
+            grace: 0,
+            clock_margin_percent: 5,
+        };
         let started_at = if started_long_ago { 0 } else { Fleet::clock(member, time) };
         let mut ledger = Ledger::new(terms, instance, started_at).with_rules(self.rules);
-        ledger.divide(self.members);
+        ledger.set_parts(self.members);
         ledger
     }
 
@@ -76,13 +82,13 @@
         let name = from.to_string();
         match message {
             Message::Ask(ask) => {
-                let grant = state.members[to].asked(now, &name, ask);
+                let grant = state.members[to].handle_request(now, &name, ask);
                 if grant.amount > 0 {
                     state.network.insert((to, from, Message::Grant(grant)));
                 }
             }
             Message::Grant(grant) => {
-                state.members[to].granted(now, &name, grant);
+                state.members[to].handle_grant(now, &name, grant);
             }
         }
     }
@@ -128,7 +134,7 @@
             Action::Ask(from, to) => {
                 state.asks += 1;
                 let now = Fleet::clock(from, state.time);
-                let ask = state.members[from].ask(now, &to.to_string(), WHOLE, 1)?;
+                let ask = state.members[from].request_lease(now, &to.to_string(), WHOLE, 1)?;
                 state.network.insert((from, to, Message::Ask(ask)));
             }
             Action::Deliver(from, to, message) => {
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -15,7 +15,7 @@
 use crate::api::{Micros, WorkerId};
 use crate::control::{Budget, Tokens};
 use ochreward_budget::wire::Message;
-use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, Terms, admission, circuit};
+use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, ResourceTerms, admission, circuit};
 use ochreward_membership::sample;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -122,7 +122,12 @@
     pub fn new(options: Options, instance: u64, now: Micros) -> Overload {
         let shared_budget = |whole: u64| {
             let whole = whole.saturating_mul(1_000);
-            let terms = Terms { whole, floor: options.floor, lease: options.lease, ..Terms::default() };
+            let terms = ResourceTerms {
+                total: whole,
+                floor_per_mille: options.floor,
+                lease_time: options.lease,
+                ..ResourceTerms::default()
+            };
             let ledger = Ledger::new(terms, instance, now);
             (whole > 0).then(|| SharedBudget {
                 ledger,
@@ -204,7 +209,8 @@
 
     /// Returns the time at which `advance` or `budget` next has work to do.
     pub fn due(&self, now: Micros) -> Micros {
-        let lease_end = self.budgets.iter().flatten().map(|b| b.ledger.due(now)).min().unwrap_or(Micros::MAX);
+        let lease_end =
+            self.budgets.iter().flatten().map(|b| b.ledger.next_change(now)).min().unwrap_or(Micros::MAX);
         let ask = if self.budgets.iter().any(Option::is_some) { self.next_ask } else { Micros::MAX };
         let has_level = self.options.queue > 0;
         let level = if has_level { self.next_interval.min(self.next_proposal) } else { Micros::MAX };
@@ -258,7 +264,7 @@
     pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Vec<u8>)> {
         let mut messages = Vec::new();
         for shared in self.budgets.iter_mut().flatten() {
-            shared.ledger.divide(view.parts);
+            shared.ledger.set_parts(view.parts);
         }
         self.view = view.clone();
         if now >= self.next_gate {
@@ -317,7 +323,7 @@
         let wanted = (shared.demand * DEMAND_HEADROOM * 1_000.0) as u64;
         let (worth, available) =
             (std::mem::replace(&mut shared.worth, 1).max(1), shared.ledger.spendable(now));
-        shared.ledger.need(wanted, worth);
+        shared.ledger.set_own_need(wanted, worth);
         // A shortage of less than about one token within the time of a lease does not justify a message.
         if wanted <= available || wanted - available < MIN_SHORTAGE_MILLITOKENS_PER_S {
             return;
@@ -329,7 +335,7 @@
         let Some(shared) = self.budgets[place].as_mut() else { return };
         for name in &to {
             let part = missing.div_ceil(to.len() as u64);
-            if let Some(ask) = shared.ledger.ask(now, name, part, worth) {
+            if let Some(ask) = shared.ledger.request_lease(now, name, part, worth) {
                 messages.push((name.clone(), Message::Ask(place as u8, ask).encode()));
             }
         }
@@ -340,13 +346,13 @@
         match Message::decode(bytes)? {
             Message::Ask(place, ask) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
-                let grant = shared.ledger.asked(now, from, &ask);
+                let grant = shared.ledger.handle_request(now, from, &ask);
                 self.stats.lent += u64::from(grant.amount > 0);
                 Some(Message::Grant(place, grant).encode())
             }
             Message::Grant(place, grant) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
-                self.stats.borrowed += u64::from(shared.ledger.granted(now, from, &grant));
+                self.stats.borrowed += u64::from(shared.ledger.handle_grant(now, from, &grant));
                 None
             }
             Message::Back(worker, ago_ms) => {
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -17,7 +17,7 @@
             })
             .collect();
         Some(json!({
-            "name": name, "own_per_s": per_s(ledger.own()), "floor_per_s": per_s(ledger.floor()),
+            "name": name, "own_per_s": per_s(ledger.owned()), "floor_per_s": per_s(ledger.floor()),
             "lent_per_s": per_s(ledger.lent(now)), "borrowed_per_s": per_s(ledger.borrowed(now)),
             "spendable_per_s": per_s(ledger.spendable(now)), "wanted_per_s": shared.demand, "leases": leases,
         }))
