--- a/crates/budget/src/admission.rs
+++ b/crates/budget/src/admission.rs
@@ -102,17 +102,17 @@
     }
 
     /// Returns this member's own wish.
-    pub fn wish(&self) -> u8 {
+    pub fn requested_level(&self) -> u8 {
         self.wish
     }
 
     /// Returns the number of members whose wishes count.
-    pub fn heard(&self) -> usize {
+    pub fn wish_count(&self) -> usize {
         self.reports.len()
     }
 
     /// Records the queueing delay that persisted through an interval; `None` if there were too few samples.
-    pub fn measured(&mut self, now: Micros, queue: Option<Micros>) {
+    pub fn record_queueing_delay(&mut self, now: Micros, queue: Option<Micros>) {
         let target = self.terms.queue.max(1);
         match queue {
             Some(queue) if queue > target => {
@@ -171,7 +171,7 @@
     }
 
     /// Records another member's wish, received first hand.
-    pub fn told(&mut self, now: Micros, member: &Arc<str>, level: u8) {
+    pub fn record_wish(&mut self, now: Micros, member: &Arc<str>, level: u8) {
         if self.reports.len() >= MAX_REPORTS && !self.reports.contains_key(member) {
             let oldest = self.reports.iter().min_by_key(|(_, r)| r.at).map(|(name, _)| name.clone());
             if let Some(name) = oldest {
@@ -211,7 +211,7 @@
     }
 
     /// Returns the retry delay for refused requests: the shortest time in which the level could fall to zero.
-    pub fn back(&self) -> Micros {
+    pub fn retry_delay(&self) -> Micros {
         self.terms.stay + u64::from(self.level) * self.terms.stay / 4
     }
 }
@@ -220,7 +220,7 @@
 /// `classes` by worth, the least worthy lowest; within the class, requests over their share are lower; then
 /// by `kind`, the same everywhere, so that the same kinds are refused at every dispatcher. A request is
 /// admitted if its priority is at or above the level; the highest always is.
-pub fn standing(class_rank: usize, classes: usize, over_share: bool, kind: u64) -> u8 {
+pub fn priority(class_rank: usize, classes: usize, over_share: bool, kind: u64) -> u8 {
     let classes = classes.clamp(1, usize::from(MAX_LEVEL) / 2) as u64;
     let (class_rank, width) = ((class_rank as u64).min(classes - 1), u64::from(MAX_LEVEL) / classes);
     let quarter = (width / 4).max(1);
--- a/crates/budget/src/bucket.rs
+++ b/crates/budget/src/bucket.rs
@@ -8,17 +8,17 @@
 
 /// A token bucket.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bucket {
+pub struct TokenBucket {
     /// Thousandths of a token per second, times microseconds.
     held: u128,
     refilled_at: Micros,
     burst: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates an empty bucket that saves up for at most `burst`.
-    pub fn new(burst: Micros, now: Micros) -> Bucket {
-        Bucket { held: 0, refilled_at: now, burst }
+    pub fn new(burst: Micros, now: Micros) -> TokenBucket {
+        TokenBucket { held: 0, refilled_at: now, burst }
     }
 
     /// Refills the bucket and returns the whole tokens available; `rate`, in thousandths of a token per
--- a/crates/budget/src/circuit.rs
+++ b/crates/budget/src/circuit.rs
@@ -8,7 +8,7 @@
 //! answer notifies all others; from then on the worker is admitted at a fleet-wide rate that doubles, of
 //! which each member has its part, until the ramp is over.
 
-use crate::{Bucket, Micros};
+use crate::{Micros, TokenBucket};
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -43,7 +43,7 @@
     /// running, and how often in a row trials of other members deferred this member's.
     Open { next_trial: Micros, refused: u32, trial_running: bool, deferrals: u32 },
     /// The worker answered and is admitted at a limited rate since `started_at`.
-    Ramp { started_at: Micros, bucket: Bucket },
+    Ramp { started_at: Micros, bucket: TokenBucket },
 }
 
 impl State {
@@ -54,7 +54,7 @@
 
 /// The circuits of one member that are not closed.
 #[derive(Clone, Debug)]
-pub struct Circuits {
+pub struct CircuitBreakers {
     terms: Terms,
     states: BTreeMap<Arc<str>, State>,
 }
@@ -70,15 +70,15 @@
     others.iter().filter(|o| (weight(o), &***o) > own_weight).count()
 }
 
-impl Circuits {
+impl CircuitBreakers {
     /// Creates the table with all circuits closed.
-    pub fn new(terms: Terms) -> Circuits {
-        Circuits { terms, states: BTreeMap::new() }
+    pub fn new(terms: Terms) -> CircuitBreakers {
+        CircuitBreakers { terms, states: BTreeMap::new() }
     }
 
     /// Records that a connection to the worker was refused or not established at this member. Returns true if
     /// that was a trial of this member, of which the others are to be notified.
-    pub fn refused(&mut self, now: Micros, worker: &Arc<str>) -> bool {
+    pub fn record_refusal(&mut self, now: Micros, worker: &Arc<str>) -> bool {
         let (refused, own_trial) = match self.states.get(worker) {
             // Requests sent before the circuit opened carry no new information.
             Some(State::Open { trial_running: false, .. }) => return false,
@@ -95,7 +95,7 @@
     /// Records another member's report of a refused trial, which defers this member's own. The number of
     /// deferrals in a row is bounded: a member that sent such reports endlessly would otherwise keep a worker
     /// out for ever.
-    pub fn tried(&mut self, now: Micros, worker: &str) {
+    pub fn record_peer_trial(&mut self, now: Micros, worker: &str) {
         let backoff = self
             .states
             .get(worker)
@@ -115,7 +115,7 @@
     }
 
     /// Records an answer at this member; returns true if the others are to be notified.
-    pub fn answered(&mut self, now: Micros, worker: &str) -> bool {
+    pub fn record_answer(&mut self, now: Micros, worker: &str) -> bool {
         let was_open = matches!(self.states.get(worker), Some(State::Open { .. }));
         if was_open {
             self.start_ramp(now, worker, now);
@@ -125,7 +125,7 @@
 
     /// Records another member's report of an answer `ago` before now. It neither opens nor closes a circuit:
     /// an open one starts its ramp.
-    pub fn told(&mut self, now: Micros, worker: &str, ago: Micros) {
+    pub fn record_peer_answer(&mut self, now: Micros, worker: &str, ago: Micros) {
         if matches!(self.states.get(worker), Some(State::Open { .. })) && ago < self.terms.ramp {
             self.start_ramp(now, worker, now - ago);
         }
@@ -133,7 +133,7 @@
 
     fn start_ramp(&mut self, now: Micros, worker: &str, started_at: Micros) {
         if let Some(state) = self.states.get_mut(worker) {
-            *state = State::Ramp { started_at, bucket: Bucket::new(self.terms.trial, now) };
+            *state = State::Ramp { started_at, bucket: TokenBucket::new(self.terms.trial, now) };
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Records requests sent to the worker through its gate.
-    pub fn entered(&mut self, now: Micros, worker: &str, count: u64) {
+    pub fn record_sent(&mut self, now: Micros, worker: &str, count: u64) {
         let backoff = self
             .states
             .get(worker)
@@ -196,12 +196,12 @@
     }
 
     /// Removes workers that are no longer listed.
-    pub fn retain(&mut self, listed: impl Fn(&str) -> bool) {
+    pub fn retain_workers(&mut self, listed: impl Fn(&str) -> bool) {
         self.states.retain(|worker, _| listed(worker));
     }
 
     /// Returns the number of open circuits and of ramps.
-    pub fn count(&self) -> (usize, usize) {
+    pub fn open_and_ramping(&self) -> (usize, usize) {
         let open = self.states.values().filter(|s| matches!(s, State::Open { .. })).count();
         (open, self.states.len() - open)
     }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -6,9 +6,9 @@
 //!   Fault-Tolerant Mechanism for Distributed File Cache Consistency", SOSP 1989, section 2, with the bound
 //!   on clock rates of section 5). At every instant, under any partition, stall, crash or restart, all
 //!   members together may spend at most the whole; `tests/model.rs` checks this.
-//! - [`Bucket`]: a token bucket that spends a rate.
-//! - [`Circuits`]: circuit breakers for failed workers, which return through single trials and a ramp.
-//! - [`Queueing`]: an estimate of the queueing delay at workers, as one dispatcher observes it (CoDel:
+//! - [`TokenBucket`]: a token bucket that spends a rate.
+//! - [`CircuitBreakers`]: circuit breakers for failed workers, which return through single trials and a ramp.
+//! - [`QueueingDelay`]: an estimate of the queueing delay at workers, as one dispatcher observes it (CoDel:
 //!   Nichols, Jacobson, RFC 8289).
 //! - [`Admission`]: the admission threshold that the members of a fleet agree on (DAGOR: Zhou and others:
 //!   "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4).
@@ -39,12 +39,12 @@
 pub mod wire;
 
 pub use admission::Admission;
-pub use bucket::Bucket;
-pub use circuit::Circuits;
+pub use bucket::TokenBucket;
+pub use circuit::CircuitBreakers;
 pub use ledger::{
     LeaseGrant, LeaseRequest, Ledger, MAX_LEASES, MAX_PENDING_REQUESTS, ResourceTerms, SafetyRules,
 };
-pub use queueing::Queueing;
+pub use queueing::QueueingDelay;
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
--- a/crates/budget/src/queueing.rs
+++ b/crates/budget/src/queueing.rs
@@ -26,15 +26,15 @@
 
 /// The estimator of the queueing delay.
 #[derive(Clone, Debug, Default)]
-pub struct Queueing {
+pub struct QueueingDelay {
     baselines: BTreeMap<u64, Baseline>,
     samples: Vec<Micros>,
     seen: u64,
 }
 
-impl Queueing {
+impl QueueingDelay {
     /// Records the response time of a request of this kind.
-    pub fn answered(&mut self, now: Micros, kind: u64, took: Micros) {
+    pub fn record_response(&mut self, now: Micros, kind: u64, took: Micros) {
         if self.baselines.len() >= MAX_KINDS && !self.baselines.contains_key(&kind) {
             return;
         }
@@ -57,14 +57,14 @@
     }
 
     /// Records that a worker refused a request because its queue was full, as a delay of `full`.
-    pub fn turned_away(&mut self, full: Micros) {
+    pub fn record_full_queue(&mut self, full: Micros) {
         if self.samples.len() < MAX_SAMPLES {
             self.samples.push(full);
         }
     }
 
     /// Ends the interval and returns the delay that persisted through it, if there were enough samples.
-    pub fn interval(&mut self) -> Option<Micros> {
+    pub fn end_interval(&mut self) -> Option<Micros> {
         let mut samples = std::mem::take(&mut self.samples);
         samples.sort_unstable();
         if self.baselines.len() >= MAX_KINDS {
--- a/src/control/budget.rs
+++ b/src/control/budget.rs
@@ -170,7 +170,7 @@
         credits.dedup();
         let rank = credits.iter().filter(|other| **other < credit(request.class)).count();
         let id = &self.functions[request.function].id;
-        let standing = admission::standing(rank, credits.len(), request.over_quota, rendezvous(id, id));
+        let standing = admission::priority(rank, credits.len(), request.over_quota, rendezvous(id, id));
         if admission::admits(self.budget.admission_level, standing) {
             return None;
         }
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -15,7 +15,9 @@
 use crate::api::{Micros, WorkerId};
 use crate::control::{Budget, Tokens};
 use ochreward_budget::wire::Message;
-use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, ResourceTerms, admission, circuit};
+use ochreward_budget::{
+    Admission, CircuitBreakers, Ledger, QueueingDelay, ResourceTerms, TokenBucket, admission, circuit,
+};
 use ochreward_membership::sample;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -55,7 +57,7 @@
 /// One budget that the dispatchers of a fleet share.
 struct SharedBudget {
     ledger: Ledger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Moving average of the tokens wanted per second.
     demand: f64,
     /// Tokens wanted since the last round of lease requests.
@@ -99,8 +101,8 @@
     options: Options,
     budgets: [Option<SharedBudget>; 2],
     admission: Admission,
-    queueing: Queueing,
-    circuits: Option<Circuits>,
+    queueing: QueueingDelay,
+    circuits: Option<CircuitBreakers>,
     /// Number of listed executors.
     workers: usize,
     /// Executors that have started to answer again, to be announced to the peers.
@@ -131,7 +133,7 @@
             let ledger = Ledger::new(terms, instance, now);
             (whole > 0).then(|| SharedBudget {
                 ledger,
-                bucket: Bucket::new(BURST_US, now),
+                bucket: TokenBucket::new(BURST_US, now),
                 demand: 0.0,
                 wanted: 0,
                 worth: 1,
@@ -142,9 +144,9 @@
         Overload {
             budgets: [shared_budget(options.resends), shared_budget(options.orders)],
             admission: Admission::new(terms),
-            queueing: Queueing::default(),
+            queueing: QueueingDelay::default(),
             circuits: (options.ramp > 0)
-                .then(|| Circuits::new(circuit::Terms { trial: options.trial, ramp: options.ramp })),
+                .then(|| CircuitBreakers::new(circuit::Terms { trial: options.trial, ramp: options.ramp })),
             workers: 0,
             recovered: Vec::new(),
             failed_trials: Vec::new(),
@@ -176,18 +178,18 @@
 
     /// Returns the number of executors whose circuits are open, and of those on a slow-start ramp.
     pub fn circuits(&self) -> (usize, usize) {
-        self.circuits.as_ref().map_or((0, 0), Circuits::count)
+        self.circuits.as_ref().map_or((0, 0), CircuitBreakers::open_and_ramping)
     }
 
     /// Takes a new list of executors, and drops the circuits of those that are no longer listed.
     pub fn listed(&mut self, workers: BTreeSet<WorkerId>) {
         self.workers = workers.len();
-        self.circuits.iter_mut().for_each(|c| c.retain(|worker| workers.contains(worker)));
+        self.circuits.iter_mut().for_each(|c| c.retain_workers(|worker| workers.contains(worker)));
     }
 
     /// Records that no connection to an executor could be established.
     pub fn refused(&mut self, now: Micros, worker: &WorkerId) {
-        if self.circuits.as_mut().is_some_and(|c| c.refused(now, worker)) {
+        if self.circuits.as_mut().is_some_and(|c| c.record_refusal(now, worker)) {
             self.failed_trials.push(worker.clone());
         }
         self.next_gate = self.next_gate.min(now);
@@ -195,14 +197,14 @@
 
     /// Records an executor's answer to a request of this kind and the time it took; `None` if it rejected the request.
     pub fn answered(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
-        if self.circuits.as_mut().is_some_and(|c| c.answered(now, worker)) {
+        if self.circuits.as_mut().is_some_and(|c| c.record_answer(now, worker)) {
             self.recovered.push(worker.clone());
             self.next_gate = now;
         }
         if self.options.queue > 0 {
             match took {
-                Some(took) => self.queueing.answered(now, kind, took),
-                None => self.queueing.turned_away(self.options.queue * FULL_QUEUE_FACTOR),
+                Some(took) => self.queueing.record_response(now, kind, took),
+                None => self.queueing.record_full_queue(self.options.queue * FULL_QUEUE_FACTOR),
             }
         }
     }
@@ -234,7 +236,7 @@
         }
         for (worker, (_, sent)) in last.worker_gates.iter().filter(|(_, (_, sent))| *sent > 0) {
             self.stats.trials += u64::from(self.circuits.as_ref().is_some_and(|c| c.is_open(worker)));
-            self.circuits.iter_mut().for_each(|c| c.entered(now, worker, *sent));
+            self.circuits.iter_mut().for_each(|c| c.record_sent(now, worker, *sent));
         }
         self.stats.shed += last.shed;
         self.stats.shed_up_to = self.stats.shed_up_to.max(last.shed_up_to);
@@ -245,9 +247,9 @@
             Some(Tokens { available: shared.bucket.refill(now, rate), ..Tokens::default() })
         };
         let (resends, orders) = (tokens(0), tokens(1));
-        let (level, back) = (self.admission.level(), self.admission.back());
+        let (level, back) = (self.admission.level(), self.admission.retry_delay());
         let view = &self.view;
-        let circuits = self.circuits.as_mut().filter(|c| c.count() != (0, 0));
+        let circuits = self.circuits.as_mut().filter(|c| c.open_and_ramping() != (0, 0));
         let gates = circuits.map(|c| c.gates(now, &view.own, &view.others, (self.workers, view.parts)));
         let gates = gates.into_iter().flatten().map(|(worker, left)| (worker, (left, 0))).collect();
         Budget {
@@ -280,8 +282,8 @@
         }
         if now >= self.next_interval {
             self.next_interval = now + admission::Terms::default().interval;
-            let queue = self.queueing.interval();
-            self.admission.measured(now, queue);
+            let queue = self.queueing.end_interval();
+            self.admission.record_queueing_delay(now, queue);
         }
         if now >= self.next_ask {
             let elapsed = ASK_INTERVAL_US + now.saturating_sub(self.next_ask);
@@ -291,7 +293,7 @@
             }
         }
         if self.options.queue > 0 && now >= self.next_proposal {
-            let idle = self.admission.level() == 0 && self.admission.wish() == 0;
+            let idle = self.admission.level() == 0 && self.admission.requested_level() == 0;
             let (interval, fanout) = if idle {
                 (IDLE_PROPOSAL_INTERVAL_US, IDLE_PROPOSAL_FANOUT)
             } else {
@@ -300,7 +302,7 @@
             // The jitter of 10 % either way keeps the dispatchers from sending at the same time.
             let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
             self.next_proposal = now + interval - interval / 10 + jitter;
-            let message = Message::Wish(self.admission.wish()).encode();
+            let message = Message::Wish(self.admission.requested_level()).encode();
             let to = sample(&mut self.rng, view.others.clone(), fanout);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
@@ -356,16 +358,18 @@
                 None
             }
             Message::Back(worker, ago_ms) => {
-                self.circuits.iter_mut().for_each(|c| c.told(now, &worker, u64::from(ago_ms) * 1_000));
+                self.circuits
+                    .iter_mut()
+                    .for_each(|c| c.record_peer_answer(now, &worker, u64::from(ago_ms) * 1_000));
                 None
             }
             Message::Tried(worker) => {
-                self.circuits.iter_mut().for_each(|c| c.tried(now, &worker));
+                self.circuits.iter_mut().for_each(|c| c.record_peer_trial(now, &worker));
                 None
             }
             Message::Wish(level) => {
                 if self.options.queue > 0 {
-                    self.admission.told(now, from, level);
+                    self.admission.record_wish(now, from, level);
                 }
                 None
             }
--- a/tests/fleet_overload.rs
+++ b/tests/fleet_overload.rs
@@ -3,7 +3,7 @@
 
 use ochreward::control::{Budget, Tokens};
 use ochreward::overload::{Options, Overload, View};
-use ochreward_budget::admission::{admits, standing};
+use ochreward_budget::admission::{admits, priority};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -81,7 +81,7 @@
 
     /// Of one class, the share that a member at this level lets in.
     fn lets_in(level: u8, class: usize) -> f64 {
-        (0..32).filter(|kind| admits(level, standing(class, 3, false, *kind))).count() as f64 / 32.0
+        (0..32).filter(|kind| admits(level, priority(class, 3, false, *kind))).count() as f64 / 32.0
     }
 
     fn step(&mut self, wants: impl Fn(usize) -> u64) {
