--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -418,7 +418,7 @@
             let own = self.introduction.name.as_str().into();
             let home = self.introduction.zone.as_str().into();
             let share = 1_000_000 / (self.others.len() as u64 + 1);
-            let view = zones::View { own, home, others: self.others.clone(), share };
+            let view = zones::FleetView { own_name: own, home, others: self.others.clone(), share };
             for (to, report) in self.zones.advance(now, view) {
                 self.zone_bytes += report.len() as u64;
                 self.machine.send_message(now, &to, zones::CHANNEL, report);
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -4,7 +4,7 @@
 //! A *zone* is a location with workers and dispatchers of its own; a dispatcher's *home* is the zone it runs
 //! in. For each zone the members at home in it form the *inside* group and all others the *outside* group. A
 //! zone that is partitioned off works for the inside group and is silent to the outside one, so each group
-//! decides for itself. A *step* is the share of its usual traffic that a group sends to a zone ([`SHARES`]);
+//! decides for itself. A *step* is the share of its usual traffic that a group sends to a zone ([`STEP_SHARES_PER_MILLE`]);
 //! an *epoch* counts the group's changes of step.
 //!
 //! - [`Observations`]: what this member observes of each zone through its own attempts, by cause of failure,
@@ -26,11 +26,11 @@
 mod wire;
 mod zones;
 
-pub use place::{GroupState, Reason, SHARES, TOP, WorkerState};
-pub use sight::{End, Observations, Opinion};
+pub use place::{GroupState, Reason, STEP_SHARES_PER_MILLE, TOP_STEP, WorkerState};
+pub use sight::{AttemptOutcome, Observations, Opinion};
 pub use votes::quorum;
-pub use wire::{Report, ZoneWord};
-pub use zones::{Order, Standing, View, Zones};
+pub use wire::{Report, ZoneReport};
+pub use zones::{FleetView, Order, ZoneStatus, Zones};
 
 /// A time or a duration in microseconds.
 pub type Micros = u64;
--- a/crates/zones/src/place.rs
+++ b/crates/zones/src/place.rs
@@ -6,9 +6,9 @@
 use std::hash::{Hash, Hasher};
 
 /// Share of the usual traffic at each step, in thousandths.
-pub const SHARES: [u64; 5] = [0, 60, 250, 500, 1_000];
+pub const STEP_SHARES_PER_MILLE: [u64; 5] = [0, 60, 250, 500, 1_000];
 /// The highest step, at which traffic is not limited.
-pub const TOP: u8 = 4;
+pub const TOP_STEP: u8 = 4;
 /// If a zone is left again within this time of the last departure, the hold is doubled, up to
 /// [`MAX_HOLD_DOUBLINGS`] times.
 const CALM_TIME: Micros = 60_000_000;
@@ -40,7 +40,7 @@
 pub struct GroupState {
     /// Counts the group's changes of step.
     pub epoch: u64,
-    /// From 0 (trials only) to [`TOP`].
+    /// From 0 (trials only) to [`TOP_STEP`].
     pub step: u8,
     /// Reason for the step.
     pub reason: Reason,
@@ -69,7 +69,7 @@
     fn default() -> GroupState {
         GroupState {
             epoch: 0,
-            step: TOP,
+            step: TOP_STEP,
             reason: Reason::Usual,
             changed_at: 0,
             until: 0,
@@ -105,7 +105,7 @@
         self.change_step(
             now,
             self.epoch.saturating_add(1).max(reported_epoch),
-            (self.step + 1).min(TOP),
+            (self.step + 1).min(TOP_STEP),
             Reason::Returns,
         );
         self.until = now + terms.dwell;
@@ -164,9 +164,9 @@
 
     /// Returns whether the next step is due: the hold is over, and the workers together can take the load.
     pub fn may_step_up(&self, now: Micros, workers: WorkerState, terms: &Terms) -> bool {
-        let next = SHARES[usize::from((self.step + 1).min(TOP))];
+        let next = STEP_SHARES_PER_MILLE[usize::from((self.step + 1).min(TOP_STEP))];
         let within_capacity = self.step == 0 || self.capacity_share(now, workers, terms) >= next;
-        self.step < TOP && now >= self.until && within_capacity
+        self.step < TOP_STEP && now >= self.until && within_capacity
     }
 
     /// Returns the time since the last change of step, in milliseconds.
--- a/crates/zones/src/place/tests.rs
+++ b/crates/zones/src/place/tests.rs
@@ -25,9 +25,9 @@
     let mut now = state.until;
     let (began, mut steps) = (now, Vec::new());
     state.step_up(now, 0, &terms);
-    while state.step < TOP {
+    while state.step < TOP_STEP {
         now += S / 20;
-        let share = SHARES[usize::from(state.step)];
+        let share = STEP_SHARES_PER_MILLE[usize::from(state.step)];
         assert!(state.capacity_share(now, WorkerState::Cold, &terms) >= share, "{share} at {now}");
         if state.may_step_up(now, WorkerState::Cold, &terms) {
             state.step_up(now, 0, &terms);
--- a/crates/zones/src/sight.rs
+++ b/crates/zones/src/sight.rs
@@ -27,7 +27,7 @@
 
 /// Outcome of an attempt at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptOutcome {
     /// The worker answered; with the kind of the request and, where one copy was in place, the response time.
     Answered(u64, Option<Micros>),
     /// No connection was established.
@@ -35,7 +35,7 @@
     /// The connection broke.
     Reset,
     /// No answer came and the attempt was abandoned.
-    GivenUp,
+    Abandoned,
 }
 
 /// A member's opinion of a zone.
@@ -176,11 +176,11 @@
     }
 
     /// Records the outcome of an attempt; returns true if the worker answered.
-    pub fn ended(&mut self, now: Micros, worker: &str, end: End, terms: &Terms) -> bool {
+    pub fn ended(&mut self, now: Micros, worker: &str, end: AttemptOutcome, terms: &Terms) -> bool {
         let Some(state) = self.workers.get_mut(worker) else { return false };
         state.open_attempts = state.open_attempts.saturating_sub(1);
         match end {
-            End::Answered(kind, took) => {
+            AttemptOutcome::Answered(kind, took) => {
                 state.last_answer_at = Some(now);
                 if let Some(took) = took {
                     let has_room = self.usual_times.len() < MAX_KINDS;
@@ -198,8 +198,8 @@
                 rate.now += 1e6 / RATE_WINDOW_US;
                 rate.peak = rate.peak.max(rate.now);
             }
-            End::Refused | End::Reset => state.connection_failed_at = Some(now),
-            End::GivenUp => {
+            AttemptOutcome::Refused | AttemptOutcome::Reset => state.connection_failed_at = Some(now),
+            AttemptOutcome::Abandoned => {
                 if state.waiting_since.is_some_and(|at| now >= at + terms.silent) {
                     state.silent_at = Some(now);
                 }
@@ -208,10 +208,10 @@
         // Attempts still open wait from now on if the worker showed any reaction.
         state.waiting_since = match (state.open_attempts, end) {
             (0, _) => None,
-            (_, End::GivenUp) => state.waiting_since,
+            (_, AttemptOutcome::Abandoned) => state.waiting_since,
             _ => Some(now),
         };
-        matches!(end, End::Answered(..))
+        matches!(end, AttemptOutcome::Answered(..))
     }
 
     /// Discards all observations. Used after a stall of this process, when they describe the state before it.
--- a/crates/zones/src/sight/tests.rs
+++ b/crates/zones/src/sight/tests.rs
@@ -17,16 +17,16 @@
     observations.opinions(now, &zones, &Terms::default()).try_into().expect("three zones")
 }
 
-fn attempt(observations: &mut Observations, now: Micros, worker: &str, end: End) {
+fn attempt(observations: &mut Observations, now: Micros, worker: &str, end: AttemptOutcome) {
     observations.sent(now, worker);
     observations.ended(now, worker, end, &Terms::default());
 }
 
-fn attempt_each(observations: &mut Observations, now: Micros, zone: &str, end: End) {
+fn attempt_each(observations: &mut Observations, now: Micros, zone: &str, end: AttemptOutcome) {
     (0..3).for_each(|n| attempt(observations, now, &format!("{zone}{n}"), end));
 }
 
-const OK: End = End::Answered(1, Some(50 * MS));
+const OK: AttemptOutcome = AttemptOutcome::Answered(1, Some(50 * MS));
 
 #[test]
 fn gone_silent_and_slow_workers_are_distinguished() {
@@ -34,7 +34,7 @@
     let mut observations = nine_workers_in_three_zones();
     ["a", "b", "c"].iter().for_each(|zone| attempt_each(&mut observations, MS, zone, OK));
     assert_eq!(opinions(&mut observations, 2 * MS), [Well; 3]);
-    attempt_each(&mut observations, 3 * MS, "c", End::Reset);
+    attempt_each(&mut observations, 3 * MS, "c", AttemptOutcome::Reset);
     assert_eq!(opinions(&mut observations, 4 * MS), [Well, Well, Gone]);
     assert_eq!(opinions(&mut observations, 3_000 * MS)[..2], [None; 2], "old observations are not used");
     assert_eq!(opinions(&mut observations, 5_000 * MS), [None; 3]);
@@ -49,7 +49,7 @@
     }
     for n in 20..120 {
         ["a", "b"].iter().for_each(|zone| attempt_each(&mut observations, n * 20 * MS, zone, OK));
-        attempt_each(&mut observations, n * 20 * MS, "c", End::Answered(1, Some(250 * MS)));
+        attempt_each(&mut observations, n * 20 * MS, "c", AttemptOutcome::Answered(1, Some(250 * MS)));
         let opinion = opinions(&mut observations, n * 20 * MS)[2];
         assert!(n > 70 || opinion != Slow, "slowness must persist");
     }
@@ -61,9 +61,11 @@
     use Opinion::*;
     let mut observations = nine_workers_in_three_zones();
     ["a", "b", "c"].iter().for_each(|zone| attempt_each(&mut observations, MS, zone, OK));
-    (0..50).for_each(|n| attempt(&mut observations, (2 + n) * MS, "c0", End::Refused));
+    (0..50).for_each(|n| attempt(&mut observations, (2 + n) * MS, "c0", AttemptOutcome::Refused));
     assert_eq!(opinions(&mut observations, 60 * MS)[2], Well, "one of three workers, however often it fails");
-    ["a", "b", "c"].iter().for_each(|zone| attempt_each(&mut observations, 70 * MS, zone, End::Reset));
+    ["a", "b", "c"]
+        .iter()
+        .for_each(|zone| attempt_each(&mut observations, 70 * MS, zone, AttemptOutcome::Reset));
     assert_eq!(
         opinions(&mut observations, 71 * MS),
         [None; 3],
@@ -74,7 +76,7 @@
         ["a", "b", "c"].iter().for_each(|zone| attempt_each(&mut observations, n * MS, zone, OK))
     });
     for n in 20..60 {
-        let late = End::Answered(1, Some(250 * MS));
+        let late = AttemptOutcome::Answered(1, Some(250 * MS));
         ["a", "b", "c"].iter().for_each(|zone| attempt_each(&mut observations, n * MS, zone, late));
     }
     let no_fault = |o: &Opinion| matches!(o, None | Well);
--- a/crates/zones/src/votes.rs
+++ b/crates/zones/src/votes.rs
@@ -5,7 +5,7 @@
 //! members that use the zone changes nothing, and neither do fewer than a quarter of the group, whatever the
 //! others observe.
 
-use crate::{GroupState, Opinion, Reason, SafetyRules, TOP, ZoneWord};
+use crate::{GroupState, Opinion, Reason, SafetyRules, TOP_STEP, ZoneReport};
 
 /// Returns the number of members of a group that must share an opinion for it to carry: both of two,
 /// otherwise a quarter, at least two.
@@ -75,20 +75,21 @@
 
     /// Adds the report of a member of the same group, which may be in another epoch. A report of a past epoch
     /// describes an earlier state and is not counted.
-    pub fn add_report(&mut self, word: &ZoneWord, state: &GroupState, rules: SafetyRules) {
-        let same_epoch =
-            word.epoch == state.epoch || (word.step == TOP && state.step == TOP) || !rules.check_epochs;
+    pub fn add_report(&mut self, word: &ZoneReport, state: &GroupState, rules: SafetyRules) {
+        let same_epoch = word.epoch == state.epoch
+            || (word.step == TOP_STEP && state.step == TOP_STEP)
+            || !rules.check_epochs;
         if same_epoch {
             self.add(word.opinion);
         }
         // Two parts of a partitioned group may have reached the same epoch through different steps.
-        if (word.epoch, word.step) == (state.epoch, state.step) && word.good > 0 {
+        if (word.epoch, word.step) == (state.epoch, state.step) && word.answers > 0 {
             self.members_with_answers += 1;
-            self.answers += u64::from(word.good);
+            self.answers += u64::from(word.answers);
         }
         // A member that has already left the zone votes by its step; during the return each step is judged by
         // its own answers.
-        if !same_epoch && word.epoch > state.epoch && state.step == TOP {
+        if !same_epoch && word.epoch > state.epoch && state.step == TOP_STEP {
             self.add(match (word.step, word.reason) {
                 (0, Reason::Gone) => Opinion::Gone,
                 (0, _) => Opinion::Silent,
--- a/crates/zones/src/wire.rs
+++ b/crates/zones/src/wire.rs
@@ -1,13 +1,13 @@
 //! Reports on zones that members send to each other, first hand only. Each is a postcard message of its own;
 //! the order of fields is the wire format.
 
-use crate::{MAX_NAME_LEN, MAX_ZONES, Opinion, Reason, TOP};
+use crate::{MAX_NAME_LEN, MAX_ZONES, Opinion, Reason, TOP_STEP};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
 /// The part of a report about one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneWord {
+pub struct ZoneReport {
     /// Name of the zone.
     pub zone: Arc<str>,
     /// The sender's opinion of the zone.
@@ -21,7 +21,8 @@
     /// Time since the step was taken, in milliseconds.
     pub age_ms: u32,
     /// Number of answers that the sender had from the zone in this epoch.
-    pub good: u32,
+    #[serde(rename = "good")]
+    pub answers: u32,
     /// Current rate of answers that the sender gets from the zone, in thousandths of an answer per second.
     pub rate: u32,
     /// Recent peak of `rate`.
@@ -32,20 +33,21 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// One entry per zone.
-    pub zones: Vec<ZoneWord>,
+    pub zones: Vec<ZoneReport>,
 }
 
 impl Report {
     /// Encodes the report.
-    pub fn written(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Decodes a report; returns `None` for malformed bytes, trailing data, too many zones, a step that does
     /// not exist, or a zone name that is empty or too long.
-    pub fn read(bytes: &[u8]) -> Option<Report> {
+    pub fn decode(bytes: &[u8]) -> Option<Report> {
         let (report, rest) = postcard::take_from_bytes::<Report>(bytes).ok()?;
-        let valid_entry = |w: &ZoneWord| w.step <= TOP && w.zone.len() <= MAX_NAME_LEN && !w.zone.is_empty();
+        let valid_entry =
+            |w: &ZoneReport| w.step <= TOP_STEP && w.zone.len() <= MAX_NAME_LEN && !w.zone.is_empty();
         let valid =
             rest.is_empty() && report.zones.len() <= MAX_ZONES && report.zones.iter().all(valid_entry);
         valid.then_some(report)
--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -2,8 +2,8 @@
 
 use crate::votes::Votes;
 use crate::{
-    End, GroupState, MAX_MEMBERS, MAX_NAME_LEN, MAX_ZONES, Micros, Observations, Opinion, Reason, Report,
-    SHARES, SafetyRules, TOP, Terms, WorkerState, ZoneWord,
+    AttemptOutcome, GroupState, MAX_MEMBERS, MAX_NAME_LEN, MAX_ZONES, Micros, Observations, Opinion, Reason,
+    Report, STEP_SHARES_PER_MILLE, SafetyRules, TOP_STEP, Terms, WorkerState, ZoneReport,
 };
 use siphasher::sip::SipHasher13;
 use std::collections::BTreeMap;
@@ -48,9 +48,9 @@
 
 /// The caller's view of the fleet.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetView {
     /// This member's name.
-    pub own: Arc<str>,
+    pub own_name: Arc<str>,
     /// The zone that this member runs in.
     pub home: Arc<str>,
     /// The other live members, and their home zones.
@@ -62,18 +62,18 @@
 #[derive(Clone, Debug)]
 struct ReceivedReport {
     at: Micros,
-    zones: BTreeMap<Arc<str>, ZoneWord>,
+    zones: BTreeMap<Arc<str>, ZoneReport>,
 }
 
 /// The state of one zone, for operators.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct ZoneStatus {
     /// Name of the zone.
     pub zone: Arc<str>,
     /// Whether this member's home is this zone.
     pub inside: bool,
     /// State of this member's group.
-    pub place: GroupState,
+    pub state: GroupState,
     /// This member's opinion.
     pub opinion: Opinion,
     /// The operator's order, and when it expires.
@@ -102,7 +102,7 @@
     orders: BTreeMap<Arc<str>, (Order, Micros)>,
     opinions: BTreeMap<Arc<str>, Opinion>,
     gates: BTreeMap<Arc<str>, Gate>,
-    view: View,
+    view: FleetView,
     listening_since: Micros,
     last_call: Micros,
     next_tick: Micros,
@@ -127,7 +127,7 @@
             orders: BTreeMap::new(),
             opinions: BTreeMap::new(),
             gates: BTreeMap::new(),
-            view: View::default(),
+            view: FleetView::default(),
             listening_since: now,
             last_call: now,
             next_tick: now,
@@ -166,7 +166,7 @@
     }
 
     /// Records the outcome of an attempt that was sent at `sent`.
-    pub fn ended(&mut self, now: Micros, worker: &str, sent: Micros, end: End) {
+    pub fn ended(&mut self, now: Micros, worker: &str, sent: Micros, end: AttemptOutcome) {
         self.detect_stall(now);
         // An answer to an attempt sent before the zone was left says nothing about its present state.
         if self.observations.ended(now, worker, end, &self.terms)
@@ -228,7 +228,7 @@
     }
 
     /// Evaluates all zones; returns the reports to send and their receivers.
-    pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Report)> {
+    pub fn advance(&mut self, now: Micros, view: &FleetView) -> Vec<(Arc<str>, Report)> {
         self.detect_stall(now);
         if now < self.next_tick {
             return Vec::new();
@@ -255,7 +255,7 @@
     /// Updates this member's opinions from observations since the group's last change of step.
     fn update_opinions(&mut self, now: Micros) {
         let is_listening = self.is_listening(now);
-        let since = |p: &GroupState| if p.step == TOP { 0 } else { p.changed_at };
+        let since = |p: &GroupState| if p.step == TOP_STEP { 0 } else { p.changed_at };
         let zones: Vec<(Arc<str>, Micros)> =
             self.states.iter().map(|(zone, p)| (zone.clone(), since(p))).collect();
         let opinions = self.observations.opinions(now, &zones, &self.terms);
@@ -274,7 +274,7 @@
     fn reported_words<'a>(
         &'a self,
         zone: &'a str,
-    ) -> impl Iterator<Item = (bool, Option<&'a ZoneWord>)> + 'a {
+    ) -> impl Iterator<Item = (bool, Option<&'a ZoneReport>)> + 'a {
         self.view.others.iter().filter_map(move |(name, home)| {
             let received = self.reports.get(name)?;
             Some((self.same_group(zone, home), received.zones.get(zone)))
@@ -301,7 +301,7 @@
             if same_group {
                 group.add_report(word, state, self.rules);
             }
-            let left = word.step < TOP && word.reason == Reason::Gone;
+            let left = word.step < TOP_STEP && word.reason == Reason::Gone;
             let recent = u64::from(word.age_ms) * 1_000 < self.terms.max_age;
             all.add(match word.opinion {
                 Opinion::None if left && recent => Opinion::Gone,
@@ -321,7 +321,7 @@
             }
             (u64::from(rate), u64::from(peak))
         };
-        let moved = rate_and_peak(zone).0 * (1_000 - SHARES[usize::from(step)]) / 1_000;
+        let moved = rate_and_peak(zone).0 * (1_000 - STEP_SHARES_PER_MILLE[usize::from(step)]) / 1_000;
         let others: Vec<(u64, u64)> =
             zones.iter().filter(|name| &***name != zone).map(|name| rate_and_peak(name)).collect();
         let headroom: u64 =
@@ -342,9 +342,9 @@
         self.follow(now, zone, group);
         let is_listening = self.is_listening(now);
         let workers = self.worker_state(zone);
-        let slow_step = (MIN_SLOW_STEP..TOP).find(|step| self.others_have_room(now, zone, zones, *step));
+        let slow_step = (MIN_SLOW_STEP..TOP_STEP).find(|step| self.others_have_room(now, zone, zones, *step));
         let highest_epoch = |zones: &Zones, step: u8| {
-            let same_step = |w: &&ZoneWord| w.step == step;
+            let same_step = |w: &&ZoneReport| w.step == step;
             let near = |e: &u64| {
                 zones.states.get(zone).is_some_and(|p| *e <= p.epoch.saturating_add(MAX_EPOCH_LEAD))
             };
@@ -358,8 +358,8 @@
             if all.workers_gone() || group.gone >= group.silent { Reason::Gone } else { Reason::Silent };
         let to = match step {
             _ if is_listening => None,
-            TOP if another_usable && (group.must_leave() || all.workers_gone()) => Some((0, why)),
-            TOP if another_usable && group.is_slow() => slow_step.map(|step| (step, Reason::Slow)),
+            TOP_STEP if another_usable && (group.must_leave() || all.workers_gone()) => Some((0, why)),
+            TOP_STEP if another_usable && group.is_slow() => slow_step.map(|step| (step, Reason::Slow)),
             0 => {
                 let own = self.opinions.get(zone).is_some_and(|o| o.is_failing());
                 let trial_failed = now >= until && (own || group.failing() > 0);
@@ -371,9 +371,9 @@
                 (!trial_failed && now >= until && enough).then_some((1, Reason::Returns))
             }
             // During a return, or for a slow zone, one step at a time.
-            1..TOP if group.must_leave() => Some((step - 1, Reason::Worse)),
-            1..TOP if group.is_slow() && reason != Reason::Slow => Some((step - 1, Reason::Worse)),
-            1..TOP => {
+            1..TOP_STEP if group.must_leave() => Some((step - 1, Reason::Worse)),
+            1..TOP_STEP if group.is_slow() && reason != Reason::Slow => Some((step - 1, Reason::Worse)),
+            1..TOP_STEP => {
                 let required = STEP_UP_ANSWERS.min(1 + self.members_at_same_step(zone) as u64);
                 let enough = (group.is_well() && group.answers >= required) || !self.rules.require_answers;
                 let step_up_due = state.may_step_up(now, workers, &self.terms) && enough;
@@ -394,7 +394,7 @@
     /// Returns the number of other members of the group in the same epoch and step.
     fn members_at_same_step(&self, zone: &str) -> usize {
         let Some(state) = self.states.get(zone) else { return 0 };
-        let at_same_step = |w: &ZoneWord| (w.epoch, w.step) == (state.epoch, state.step);
+        let at_same_step = |w: &ZoneReport| (w.epoch, w.step) == (state.epoch, state.step);
         self.reported_words(zone).filter(|(same_group, w)| *same_group && w.is_some_and(at_same_step)).count()
     }
 
@@ -440,7 +440,7 @@
     fn worker_state(&self, zone: &str) -> WorkerState {
         let inside = zone == &*self.view.home;
         let well = self.reported_words(zone).any(|(same_group, w)| {
-            !same_group && !inside && w.is_some_and(|w| w.step == TOP && w.opinion == Opinion::Well)
+            !same_group && !inside && w.is_some_and(|w| w.step == TOP_STEP && w.opinion == Opinion::Well)
         });
         if well { WorkerState::Warm } else { WorkerState::Cold }
     }
@@ -450,7 +450,7 @@
     fn due_reports(&mut self, now: Micros) -> Vec<(Arc<str>, Report)> {
         let report = self.report(now);
         let summary: Vec<(Opinion, u64, u8, bool)> =
-            report.zones.iter().map(|w| (w.opinion, w.epoch, w.step, w.good > 0)).collect();
+            report.zones.iter().map(|w| (w.opinion, w.epoch, w.step, w.answers > 0)).collect();
         let names: Vec<Arc<str>> = self.view.others.iter().map(|(n, _)| n.clone()).collect();
         let mut to: Vec<Arc<str>> = Vec::new();
         if summary != self.last_sent {
@@ -476,14 +476,14 @@
         let mut zones = Vec::new();
         for (zone, state) in &self.states {
             let (rate, peak) = self.observations.rate(now, zone);
-            zones.push(ZoneWord {
+            zones.push(ZoneReport {
                 zone: zone.clone(),
                 opinion: self.opinions.get(zone).copied().unwrap_or_default(),
                 epoch: state.epoch,
                 step: state.step,
                 reason: state.reason,
                 age_ms: state.age_ms(now),
-                good: state.answers,
+                answers: state.answers,
                 rate,
                 peak,
             });
@@ -499,7 +499,7 @@
             (zone, epoch, name).hash(&mut hasher);
             hasher.finish()
         };
-        let own_weight = (weight(&self.view.own), &*self.view.own);
+        let own_weight = (weight(&self.view.own_name), &*self.view.own_name);
         let at_same_step = |name: &Arc<str>| {
             self.reports
                 .get(name)
@@ -520,7 +520,7 @@
         let rank = self.rank(zone, state);
         let group_words =
             self.reported_words(zone).filter(|(same_group, _)| *same_group).filter_map(|(_, w)| w);
-        let answered = group_words.filter(|w| w.epoch == state.epoch && w.step == 0 && w.good > 0).count();
+        let answered = group_words.filter(|w| w.epoch == state.epoch && w.step == 0 && w.answers > 0).count();
         let waited = now >= state.until + rank as u64 * 2 * self.terms.dwell;
         rank <= answered.min(1) || waited
     }
@@ -532,12 +532,13 @@
             Some((Order::Stay, until)) if now < *until => return None,
             _ => {}
         }
-        let state = self.states.get(zone).filter(|p| p.step < TOP)?.clone();
+        let state = self.states.get(zone).filter(|p| p.step < TOP_STEP)?.clone();
         let rate = if state.step == 0 {
             let may_try = self.may_send_trial(now, zone, &state);
             if may_try { 1e6 / TRIAL_INTERVAL as f64 } else { 0.0 }
         } else {
-            let share = SHARES[usize::from(state.step)] as f64 / 1e3 * self.view.share as f64 / 1e6;
+            let share =
+                STEP_SHARES_PER_MILLE[usize::from(state.step)] as f64 / 1e3 * self.view.share as f64 / 1e6;
             self.fleet_peak(now, zone).max(MIN_PEAK_MILLI_PER_S) as f64 / 1e3 * share
         };
         // A step is judged by its first answers: a few members, different ones for each epoch, send one
@@ -557,7 +558,7 @@
     /// are nearer or warmer: a step is judged by answers, and an empty zone would otherwise get no requests
     /// while other workers are warm.
     pub fn wants(&self, zone: &str) -> bool {
-        let few = |p: &GroupState| p.step < TOP && p.answers < TRIAL_ANSWERS;
+        let few = |p: &GroupState| p.step < TOP_STEP && p.answers < TRIAL_ANSWERS;
         !self.orders.contains_key(zone) && self.states.get(zone).is_some_and(few)
     }
 
@@ -578,7 +579,7 @@
 
     /// Iterates over the zones, and whether traffic to each is limited.
     pub fn names(&self) -> impl Iterator<Item = (&Arc<str>, bool)> {
-        self.states.iter().map(|(zone, p)| (zone, p.step < TOP || self.orders.contains_key(zone)))
+        self.states.iter().map(|(zone, p)| (zone, p.step < TOP_STEP || self.orders.contains_key(zone)))
     }
 
     /// Returns the group's state for a zone.
@@ -602,11 +603,11 @@
     }
 
     /// Returns the state of all zones.
-    pub fn standings(&mut self, now: Micros) -> Vec<Standing> {
+    pub fn standings(&mut self, now: Micros) -> Vec<ZoneStatus> {
         let zones: Vec<Arc<str>> = self.states.keys().cloned().collect();
-        let of = |zone: Arc<str>| Standing {
+        let of = |zone: Arc<str>| ZoneStatus {
             inside: *zone == *self.view.home,
-            place: self.states.get(&zone).cloned().unwrap_or_default(),
+            state: self.states.get(&zone).cloned().unwrap_or_default(),
             opinion: self.opinion(&zone),
             order: self.orders.get(&zone).copied(),
             peak: self.fleet_peak(now, &zone),
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -7,7 +7,7 @@
 //! zone never exceeds what its workers can take together. `SCHEDULES=N` runs N schedules; `SCHEDULE=seed`
 //! runs a single one and prints its events. A failing schedule is shrunk first.
 
-use ochreward_zones::{End, Opinion, Report, SafetyRules, TOP, Terms, View, Zones};
+use ochreward_zones::{AttemptOutcome, FleetView, Opinion, Report, SafetyRules, TOP_STEP, Terms, Zones};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -251,9 +251,11 @@
             }
             let (worker, at) = (self.list[zone * WORKERS + worker].0.clone(), at.max(before));
             let end = match outcome {
-                0 => End::Answered(1, Some(if self.slow_at(zone, at) { 250 * MS } else { 50 * MS })),
-                1 => End::Refused,
-                _ => End::GivenUp,
+                0 => {
+                    AttemptOutcome::Answered(1, Some(if self.slow_at(zone, at) { 250 * MS } else { 50 * MS }))
+                }
+                1 => AttemptOutcome::Refused,
+                _ => AttemptOutcome::Abandoned,
             };
             self.members[member].ended(at, &worker, sent, end);
         }
@@ -262,7 +264,7 @@
             if self.is_stalled(to) {
                 continue;
             }
-            if let Some(report) = Report::read(&bytes) {
+            if let Some(report) = Report::decode(&bytes) {
                 let name = self.names[from].clone();
                 self.members[to].told(self.now, &name, report);
             }
@@ -274,20 +276,20 @@
             let others: Vec<usize> =
                 (0..self.schedule.members).filter(|o| *o != member && self.can_reach(member, *o)).collect();
             let of = |o: &usize| (self.names[*o].clone(), self.zones[self.home(*o)].clone());
-            let view = View {
-                own: self.names[member].clone(),
+            let view = FleetView {
+                own_name: self.names[member].clone(),
                 home: self.zones[self.home(member)].clone(),
                 others: others.iter().map(of).collect(),
                 share: 1_000_000 / self.schedule.members as u64,
             };
-            let position = |m: &Zones, name: &str| m.place(name).map_or((0, TOP), |p| (p.epoch, p.step));
+            let position = |m: &Zones, name: &str| m.place(name).map_or((0, TOP_STEP), |p| (p.epoch, p.step));
             let places: Vec<(u64, u8)> =
                 self.zones.iter().map(|name| position(&self.members[member], name)).collect();
             let reports = self.members[member].advance(self.now, &view);
             let is_lying = self.schedule.has_fault(self.now, |f| f == Fault::Lies(member));
             for (index, (epoch, before)) in places.into_iter().enumerate() {
                 let (later, step) = position(&self.members[member], &self.zones[index]);
-                self.departures += usize::from(step < before && before == TOP && !is_lying);
+                self.departures += usize::from(step < before && before == TOP_STEP && !is_lying);
                 if env_number("SCHEDULE").is_some() && (later, step) != (epoch, before) {
                     let opinion = self.members[member].opinion(&self.zones[index]);
                     let reason = self.members[member].place(&self.zones[index]).map(|p| p.reason);
@@ -313,7 +315,7 @@
                 let to = self.names.iter().position(|name| *name == to).unwrap_or(0);
                 if is_lying {
                     for word in &mut report.zones {
-                        (word.opinion, word.step, word.good) = (Opinion::Gone, (self.serial % 5) as u8, 9);
+                        (word.opinion, word.step, word.answers) = (Opinion::Gone, (self.serial % 5) as u8, 9);
                         word.epoch = word.epoch.saturating_add(self.serial % 9);
                     }
                 }
@@ -322,7 +324,7 @@
                 }
                 let due = self.now + 200 + random_below(&mut self.rng, 20 * MS);
                 self.serial += 1;
-                self.deliveries.push(Reverse((due, self.serial, member, to, report.written())));
+                self.deliveries.push(Reverse((due, self.serial, member, to, report.encode())));
             }
             if random_below(&mut self.rng, 2) == 0 || self.schedule.members < 20 {
                 self.request(member);
@@ -375,7 +377,7 @@
             let full = self
                 .zones
                 .iter()
-                .all(|zone| self.members.iter().all(|m| m.place(zone).is_some_and(|p| p.step == TOP)));
+                .all(|zone| self.members.iter().all(|m| m.place(zone).is_some_and(|p| p.step == TOP_STEP)));
             agreeing_since =
                 if full && self.divergence().is_none() { agreeing_since.or(Some(self.now)) } else { None };
             if self.now > healed + AGREEMENT_BOUND && self.violation.is_none() {
@@ -390,7 +392,7 @@
                             .map(|s| {
                                 format!(
                                     "{}@{}{:?}/{:?}",
-                                    s.place.step, s.place.epoch, s.place.reason, s.opinion
+                                    s.state.step, s.state.epoch, s.state.reason, s.opinion
                                 )
                             })
                             .collect();
--- a/src/node/zones.rs
+++ b/src/node/zones.rs
@@ -4,7 +4,7 @@
 //! machine emits, and passes operators' orders on zones to it.
 
 use super::Node;
-use crate::zones::{self, Order, View, ZoneError};
+use crate::zones::{self, FleetView, Order, ZoneError};
 
 impl Node {
     /// Feeds the outcomes of attempts to the zones' state machine, and runs its timer if due.
@@ -18,13 +18,13 @@
             let own = self.config.name.as_str().into();
             let expected = self.settings.module.dispatcher_count;
             let view = match &self.peers {
-                Some(peers) => View {
-                    own,
+                Some(peers) => FleetView {
+                    own_name: own,
                     others: peers.up_with_zones(),
                     share: share(peers.division().map_or(expected, |d| d.parts)),
-                    ..View::default()
+                    ..FleetView::default()
                 },
-                None => View { own, share: share(expected), ..View::default() },
+                None => FleetView { own_name: own, share: share(expected), ..FleetView::default() },
             };
             for (to, word) in zones.advance(self.now, view) {
                 if let Some(peers) = &mut self.peers {
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -8,7 +8,7 @@
 mod options;
 mod report;
 
-pub use ochreward_zones::{Order, View};
+pub use ochreward_zones::{FleetView, Order};
 pub use options::Options;
 pub use report::{lines, report};
 
@@ -16,7 +16,7 @@
 use crate::control::ZoneGate;
 use crate::core::AttemptTrace;
 use crate::names::Executor;
-use ochreward_zones::{End, Report, TOP};
+use ochreward_zones::{AttemptOutcome, Report, TOP_STEP};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -67,24 +67,26 @@
         let AttemptTrace { worker, sent, end } = trace;
         let Some((outcome, kind, took)) = end else { return self.fleet_state.sent(now, &worker) };
         let end = match outcome {
-            Outcome::ConnectFailed => End::Refused,
-            Outcome::Reset => End::Reset,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => End::GivenUp,
-            Outcome::Ok => End::Answered(kind, took),
-            Outcome::Full | Outcome::Error | Outcome::Miss | Outcome::Unknown => End::Answered(kind, None),
+            Outcome::ConnectFailed => AttemptOutcome::Refused,
+            Outcome::Reset => AttemptOutcome::Reset,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => AttemptOutcome::Abandoned,
+            Outcome::Ok => AttemptOutcome::Answered(kind, took),
+            Outcome::Full | Outcome::Error | Outcome::Miss | Outcome::Unknown => {
+                AttemptOutcome::Answered(kind, None)
+            }
         };
         self.fleet_state.ended(now, &worker, sent, end);
     }
 
     /// Takes a report from a peer. The content is untrusted: it may be any bytes.
     pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) {
-        if let Some(report) = Report::read(bytes) {
+        if let Some(report) = Report::decode(bytes) {
             self.fleet_state.told(now, from, report);
         }
     }
 
     /// Runs the timers that are due. Returns the reports to be sent, each with its receiver.
-    pub fn advance(&mut self, now: Micros, view: View) -> Vec<(Arc<str>, Vec<u8>)> {
+    pub fn advance(&mut self, now: Micros, view: FleetView) -> Vec<(Arc<str>, Vec<u8>)> {
         if now < self.fleet_state.due() {
             return Vec::new();
         }
@@ -93,9 +95,9 @@
             state.names().filter_map(|(zone, _)| state.place(zone)).map(|p| p.step).collect()
         };
         let before = steps(self);
-        let reports = self.fleet_state.advance(now, &View { home: self.home.clone(), ..view });
+        let reports = self.fleet_state.advance(now, &FleetView { home: self.home.clone(), ..view });
         self.step_changes += u64::from(steps(self) != before);
-        reports.into_iter().map(|(to, report)| (to, report.written())).collect()
+        reports.into_iter().map(|(to, report)| (to, report.encode())).collect()
     }
 
     /// Returns the time at which `advance` next has work to do.
@@ -131,7 +133,7 @@
     /// Returns the number of zones that receive less than their usual traffic, and the number of step changes.
     pub fn counts(&self) -> (u64, u64) {
         let is_restricted = |(zone, restricted): (&Arc<str>, bool)| {
-            restricted || self.fleet_state.place(zone).is_some_and(|p| p.step < TOP)
+            restricted || self.fleet_state.place(zone).is_some_and(|p| p.step < TOP_STEP)
         };
         let restricted = self.fleet_state.names().filter(|zone| is_restricted(*zone)).count();
         (restricted as u64, self.step_changes)
--- a/src/zones/report.rs
+++ b/src/zones/report.rs
@@ -1,7 +1,7 @@
 //! Reports on zones for operators: as JSON, and as text lines for the command line.
 
 use super::Zones;
-use ochreward_zones::SHARES;
+use ochreward_zones::STEP_SHARES_PER_MILLE;
 use serde_json::{Value, json};
 
 /// Returns the state of all zones as JSON.
@@ -12,9 +12,9 @@
         let ms_left = |until: u64| until.saturating_sub(now) / 1_000;
         json!({
             "zone": &*standing.zone, "inside": standing.inside,
-            "epoch": standing.place.epoch, "step": standing.place.step,
-            "share": SHARES[usize::from(standing.place.step.min(4))], "reason": lower_case(&standing.place.reason),
-            "since_ms": standing.place.age_ms(now), "not_higher_for_ms": ms_left(standing.place.until),
+            "epoch": standing.state.epoch, "step": standing.state.step,
+            "share": STEP_SHARES_PER_MILLE[usize::from(standing.state.step.min(4))], "reason": lower_case(&standing.state.reason),
+            "since_ms": standing.state.age_ms(now), "not_higher_for_ms": ms_left(standing.state.until),
             "sees": lower_case(&standing.opinion),
             "order": standing.order.map(|(order, _)| lower_case(&order)),
             "order_ms": standing.order.map(|(_, until)| ms_left(until)),
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -35,11 +35,11 @@
 fn without_peers_leaves_a_zone_of_failed_executors_and_closes_the_gate_at_its_index() {
     let mut zones = two_zones();
     ["a0", "a1", "b0", "b1"].iter().for_each(|w| attempt(&mut zones, 10 * MS, w, Outcome::Ok));
-    zones.advance(50 * MS, View::default());
+    zones.advance(50 * MS, FleetView::default());
     assert!(zones.gates(50 * MS, &BTreeMap::new()).is_empty());
     ["b0", "b1"].iter().for_each(|w| attempt(&mut zones, 60 * MS, w, Outcome::Reset));
     ["a0", "a1"].iter().for_each(|w| attempt(&mut zones, 70 * MS, w, Outcome::Ok));
-    zones.advance(100 * MS, View::default());
+    zones.advance(100 * MS, FleetView::default());
     let closed = |wanted| ZoneGate { remaining: 0, sent: 0, probe: wanted };
     assert_eq!(zones.gates(100 * MS, &BTreeMap::new()), [(0, closed(true))].into());
     assert_eq!(zones.counts(), (1, 1));
--- a/tests/processes/zones.rs
+++ b/tests/processes/zones.rs
@@ -5,7 +5,7 @@
 use ochreward_rig::fleet::{Fleet, Setup, name, zone};
 use ochreward_rig::load::Manner;
 use ochreward_rig::worker::Power;
-use ochreward_zones::{Opinion, Reason, Report, ZoneWord};
+use ochreward_zones::{Opinion, Reason, Report, ZoneReport};
 use std::time::{Duration, Instant};
 
 const TOLD: &str = "[zones]\nsilent_ms = 400\nstay_ms = 500\ndwell_ms = 200\n";
@@ -331,18 +331,18 @@
     let moves = |fleet: &Fleet| rest.iter().map(|n| fleet.counter(*n, "zones_moves")).sum::<u64>();
     let before = moves(&fleet);
     for round in 0..150_u64 {
-        let lie = |h: usize| ZoneWord {
+        let lie = |h: usize| ZoneReport {
             zone: zone(h).into(),
             opinion: Opinion::Gone,
             epoch: round * 7,
             step: (round % 5) as u8,
             reason: Reason::Gone,
             age_ms: 0,
-            good: 99,
+            answers: 99,
             rate: u32::MAX,
             peak: u32::MAX,
         };
-        let bytes = Report { zones: (0..3).map(lie).collect() }.written();
+        let bytes = Report { zones: (0..3).map(lie).collect() }.encode();
         let body = Body::Message { channel: 3, bytes };
         let packet = packet(&fleet, &own, round + 1, &body, &[]);
         rest.iter().for_each(|to| fleet.relay.forge(5, *to, &packet));
