--- a/crates/zones/src/zones.rs
+++ b/crates/zones/src/zones.rs
@@ -147,7 +147,7 @@
 
     /// Sets the list of workers and their zones. Of more than [`MAX_ZONES`] zones the first by name are
     /// observed.
-    pub fn listed(&mut self, list: &[(Arc<str>, Arc<str>)]) {
+    pub fn set_workers(&mut self, list: &[(Arc<str>, Arc<str>)]) {
         self.observations.listed(list);
         let mut zones = self.observations.zones();
         zones.retain(|h| !h.is_empty() && h.len() <= MAX_NAME_LEN);
@@ -160,13 +160,13 @@
     }
 
     /// Records an attempt sent to a worker.
-    pub fn sent(&mut self, now: Micros, worker: &str) {
+    pub fn record_sent(&mut self, now: Micros, worker: &str) {
         self.detect_stall(now);
         self.observations.sent(now, worker);
     }
 
     /// Records the outcome of an attempt that was sent at `sent`.
-    pub fn ended(&mut self, now: Micros, worker: &str, sent: Micros, end: AttemptOutcome) {
+    pub fn record_outcome(&mut self, now: Micros, worker: &str, sent: Micros, end: AttemptOutcome) {
         self.detect_stall(now);
         // An answer to an attempt sent before the zone was left says nothing about its present state.
         if self.observations.ended(now, worker, end, &self.terms)
@@ -178,7 +178,7 @@
     }
 
     /// Sets or clears an operator's order; returns false if the zone is not known.
-    pub fn say(&mut self, zone: &str, order: Option<(Order, Micros)>) -> bool {
+    pub fn set_order(&mut self, zone: &str, order: Option<(Order, Micros)>) -> bool {
         let Some((zone, _)) = self.states.get_key_value(zone) else { return false };
         match order {
             Some(order) => drop(self.orders.insert(zone.clone(), order)),
@@ -189,7 +189,7 @@
 
     /// Stores another member's report. Its content is not trusted: it counts as one vote, and what is stored
     /// of it is bounded.
-    pub fn told(&mut self, now: Micros, from: &Arc<str>, report: Report) {
+    pub fn record_report(&mut self, now: Micros, from: &Arc<str>, report: Report) {
         self.detect_stall(now);
         if self.reports.len() >= MAX_MEMBERS && !self.reports.contains_key(from) {
             let oldest = self.reports.iter().min_by_key(|(_, h)| h.at).map(|(name, _)| name.clone());
@@ -222,13 +222,13 @@
         !self.view.others.is_empty() && now < self.listening_since + self.terms.max_age / 2
     }
 
-    /// Returns when [`Zones::advance`] next has something to do.
-    pub fn due(&self) -> Micros {
+    /// Returns when [`Zones::evaluate`] next has something to do.
+    pub fn next_evaluation(&self) -> Micros {
         self.next_tick
     }
 
     /// Evaluates all zones; returns the reports to send and their receivers.
-    pub fn advance(&mut self, now: Micros, view: &FleetView) -> Vec<(Arc<str>, Report)> {
+    pub fn evaluate(&mut self, now: Micros, view: &FleetView) -> Vec<(Arc<str>, Report)> {
         self.detect_stall(now);
         if now < self.next_tick {
             return Vec::new();
@@ -526,7 +526,7 @@
     }
 
     /// Returns the number of requests that may go to a zone now; `None` if traffic to it is not limited.
-    pub fn gate(&mut self, now: Micros, zone: &str) -> Option<u64> {
+    pub fn gate_allowance(&mut self, now: Micros, zone: &str) -> Option<u64> {
         match self.orders.get(zone) {
             Some((Order::Leave, until)) if now < *until => return Some(0),
             Some((Order::Stay, until)) if now < *until => return None,
@@ -557,13 +557,13 @@
     /// Returns whether this member should send something to the zone within its gate even if other workers
     /// are nearer or warmer: a step is judged by answers, and an empty zone would otherwise get no requests
     /// while other workers are warm.
-    pub fn wants(&self, zone: &str) -> bool {
+    pub fn needs_answers(&self, zone: &str) -> bool {
         let few = |p: &GroupState| p.step < TOP_STEP && p.answers < TRIAL_ANSWERS;
         !self.orders.contains_key(zone) && self.states.get(zone).is_some_and(few)
     }
 
     /// Records requests sent to the zone through its gate.
-    pub fn entered(&mut self, zone: &str, count: u64) {
+    pub fn record_gated(&mut self, zone: &str, count: u64) {
         if let Some(gate) = self.gates.get_mut(zone) {
             gate.tokens = (gate.tokens - count as f64).max(0.0);
         }
@@ -583,7 +583,7 @@
     }
 
     /// Returns the group's state for a zone.
-    pub fn place(&self, zone: &str) -> Option<&GroupState> {
+    pub fn state(&self, zone: &str) -> Option<&GroupState> {
         self.states.get(zone)
     }
 
@@ -593,7 +593,7 @@
     }
 
     /// Returns the number of other members whose reports are stored.
-    pub fn heard(&self) -> usize {
+    pub fn report_count(&self) -> usize {
         self.reports.len()
     }
 
@@ -603,7 +603,7 @@
     }
 
     /// Returns the state of all zones.
-    pub fn standings(&mut self, now: Micros) -> Vec<ZoneStatus> {
+    pub fn status(&mut self, now: Micros) -> Vec<ZoneStatus> {
         let zones: Vec<Arc<str>> = self.states.keys().cloned().collect();
         let of = |zone: Arc<str>| ZoneStatus {
             inside: *zone == *self.view.home,
--- a/crates/zones/tests/schedules.rs
+++ b/crates/zones/tests/schedules.rs
@@ -163,7 +163,7 @@
 
     fn start_member(&self) -> Zones {
         let mut member = Zones::new(terms(), self.now).with_rules(self.rules);
-        member.listed(&self.list);
+        member.set_workers(&self.list);
         member
     }
 
@@ -187,12 +187,12 @@
         // Each request prefers a random zone and falls back to others where its gate is closed.
         for zone in [zone, (zone + 1) % self.schedule.zones, (zone + 2) % self.schedule.zones] {
             let name = self.zones[zone].clone();
-            let gate = self.members[member].gate(self.now, &name);
+            let gate = self.members[member].gate_allowance(self.now, &name);
             if gate == Some(0) {
                 continue;
             }
             if gate.is_some() {
-                self.members[member].entered(&name, 1);
+                self.members[member].record_gated(&name, 1);
                 self.gate_sends[zone].push(self.now);
             }
             let worker = random_below(&mut self.rng, WORKERS as u64) as usize;
@@ -212,7 +212,7 @@
             };
             self.serial += 1;
             let worker_name = self.list[zone * WORKERS + worker].0.clone();
-            self.members[member].sent(now, &worker_name);
+            self.members[member].record_sent(now, &worker_name);
             let end =
                 (now + took, self.serial, member, self.incarnations[member], zone, worker, outcome, now);
             self.ends.push(Reverse(end));
@@ -257,7 +257,7 @@
                 1 => AttemptOutcome::Refused,
                 _ => AttemptOutcome::Abandoned,
             };
-            self.members[member].ended(at, &worker, sent, end);
+            self.members[member].record_outcome(at, &worker, sent, end);
         }
         while self.deliveries.peek().is_some_and(|w| w.0.0 <= self.now) {
             let Some(Reverse((_, _, from, to, bytes))) = self.deliveries.pop() else { break };
@@ -266,7 +266,7 @@
             }
             if let Some(report) = Report::decode(&bytes) {
                 let name = self.names[from].clone();
-                self.members[to].told(self.now, &name, report);
+                self.members[to].record_report(self.now, &name, report);
             }
         }
         for member in 0..self.schedule.members {
@@ -282,17 +282,17 @@
                 others: others.iter().map(of).collect(),
                 share: 1_000_000 / self.schedule.members as u64,
             };
-            let position = |m: &Zones, name: &str| m.place(name).map_or((0, TOP_STEP), |p| (p.epoch, p.step));
+            let position = |m: &Zones, name: &str| m.state(name).map_or((0, TOP_STEP), |p| (p.epoch, p.step));
             let places: Vec<(u64, u8)> =
                 self.zones.iter().map(|name| position(&self.members[member], name)).collect();
-            let reports = self.members[member].advance(self.now, &view);
+            let reports = self.members[member].evaluate(self.now, &view);
             let is_lying = self.schedule.has_fault(self.now, |f| f == Fault::Lies(member));
             for (index, (epoch, before)) in places.into_iter().enumerate() {
                 let (later, step) = position(&self.members[member], &self.zones[index]);
                 self.departures += usize::from(step < before && before == TOP_STEP && !is_lying);
                 if env_number("SCHEDULE").is_some() && (later, step) != (epoch, before) {
                     let opinion = self.members[member].opinion(&self.zones[index]);
-                    let reason = self.members[member].place(&self.zones[index]).map(|p| p.reason);
+                    let reason = self.members[member].state(&self.zones[index]).map(|p| p.reason);
                     println!(
                         "{:>8} n{member} zone {index}: {before}@{epoch} to {step}@{later} {reason:?} {opinion:?}",
                         self.now / MS
@@ -355,7 +355,7 @@
             for inside in [false, true] {
                 let group = (0..self.schedule.members).filter(|n| (self.home(*n) == index) == inside);
                 let steps: Vec<u8> =
-                    group.filter_map(|n| self.members[n].place(zone).map(|p| p.step)).collect();
+                    group.filter_map(|n| self.members[n].state(zone).map(|p| p.step)).collect();
                 if steps.windows(2).any(|w| w[0] != w[1]) {
                     return Some(format!("{zone} inside {inside}: steps {steps:?}"));
                 }
@@ -377,7 +377,7 @@
             let full = self
                 .zones
                 .iter()
-                .all(|zone| self.members.iter().all(|m| m.place(zone).is_some_and(|p| p.step == TOP_STEP)));
+                .all(|zone| self.members.iter().all(|m| m.state(zone).is_some_and(|p| p.step == TOP_STEP)));
             agreeing_since =
                 if full && self.divergence().is_none() { agreeing_since.or(Some(self.now)) } else { None };
             if self.now > healed + AGREEMENT_BOUND && self.violation.is_none() {
@@ -387,7 +387,7 @@
                     .enumerate()
                     .map(|(n, m)| {
                         let s: Vec<String> = m
-                            .standings(self.now)
+                            .status(self.now)
                             .iter()
                             .map(|s| {
                                 format!(
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -59,13 +59,13 @@
         self.indices = executors.iter().map(|e| (Arc::from(e.zone.as_str()), index(e))).collect();
         let list: Vec<(WorkerId, Arc<str>)> =
             executors.iter().map(|e| (e.id.clone(), e.zone.as_str().into())).collect();
-        self.fleet_state.listed(&list);
+        self.fleet_state.set_workers(&list);
     }
 
     /// Records the start or the end of an attempt.
     pub fn seen(&mut self, now: Micros, trace: AttemptTrace) {
         let AttemptTrace { worker, sent, end } = trace;
-        let Some((outcome, kind, took)) = end else { return self.fleet_state.sent(now, &worker) };
+        let Some((outcome, kind, took)) = end else { return self.fleet_state.record_sent(now, &worker) };
         let end = match outcome {
             Outcome::ConnectFailed => AttemptOutcome::Refused,
             Outcome::Reset => AttemptOutcome::Reset,
@@ -75,34 +75,34 @@
                 AttemptOutcome::Answered(kind, None)
             }
         };
-        self.fleet_state.ended(now, &worker, sent, end);
+        self.fleet_state.record_outcome(now, &worker, sent, end);
     }
 
     /// Takes a report from a peer. The content is untrusted: it may be any bytes.
     pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) {
         if let Some(report) = Report::decode(bytes) {
-            self.fleet_state.told(now, from, report);
+            self.fleet_state.record_report(now, from, report);
         }
     }
 
     /// Runs the timers that are due. Returns the reports to be sent, each with its receiver.
     pub fn advance(&mut self, now: Micros, view: FleetView) -> Vec<(Arc<str>, Vec<u8>)> {
-        if now < self.fleet_state.due() {
+        if now < self.fleet_state.next_evaluation() {
             return Vec::new();
         }
         let steps = |zones: &Zones| -> Vec<u8> {
             let state = &zones.fleet_state;
-            state.names().filter_map(|(zone, _)| state.place(zone)).map(|p| p.step).collect()
+            state.names().filter_map(|(zone, _)| state.state(zone)).map(|p| p.step).collect()
         };
         let before = steps(self);
-        let reports = self.fleet_state.advance(now, &FleetView { home: self.home.clone(), ..view });
+        let reports = self.fleet_state.evaluate(now, &FleetView { home: self.home.clone(), ..view });
         self.step_changes += u64::from(steps(self) != before);
         reports.into_iter().map(|(to, report)| (to, report.encode())).collect()
     }
 
     /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> Micros {
-        self.fleet_state.due()
+        self.fleet_state.next_evaluation()
     }
 
     /// Returns the number of requests that may go to each restricted zone now, by the zone's index in the settings;
@@ -111,12 +111,12 @@
         let mut gates = BTreeMap::new();
         for (zone, index) in &self.indices {
             if let Some(gate) = last.get(index).filter(|g| g.sent > 0) {
-                self.fleet_state.entered(zone, gate.sent);
+                self.fleet_state.record_gated(zone, gate.sent);
             }
-            if let Some(left) = self.fleet_state.gate(now, zone) {
+            if let Some(left) = self.fleet_state.gate_allowance(now, zone) {
                 gates.insert(
                     *index,
-                    ZoneGate { remaining: left, sent: 0, probe: self.fleet_state.wants(zone) },
+                    ZoneGate { remaining: left, sent: 0, probe: self.fleet_state.needs_answers(zone) },
                 );
             }
         }
@@ -126,14 +126,14 @@
     /// Applies an operator's order to a zone for a limited time; `None` cancels the order in force.
     pub fn say(&mut self, now: Micros, zone: &str, order: Option<(Order, Micros)>) -> Result<(), ZoneError> {
         let until = order.map(|(order, duration)| (order, now + duration.min(MOST_ORDER)));
-        let known = self.fleet_state.say(zone, until);
+        let known = self.fleet_state.set_order(zone, until);
         known.then_some(()).ok_or_else(|| ZoneError::Unknown(zone.to_string()))
     }
 
     /// Returns the number of zones that receive less than their usual traffic, and the number of step changes.
     pub fn counts(&self) -> (u64, u64) {
         let is_restricted = |(zone, restricted): (&Arc<str>, bool)| {
-            restricted || self.fleet_state.place(zone).is_some_and(|p| p.step < TOP_STEP)
+            restricted || self.fleet_state.state(zone).is_some_and(|p| p.step < TOP_STEP)
         };
         let restricted = self.fleet_state.names().filter(|zone| is_restricted(*zone)).count();
         (restricted as u64, self.step_changes)
--- a/src/zones/report.rs
+++ b/src/zones/report.rs
@@ -7,8 +7,8 @@
 /// Returns the state of all zones as JSON.
 pub fn report(zones: &mut Zones, now: u64) -> Value {
     let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
-    let (heard, stalls) = (zones.fleet_state.heard(), zones.fleet_state.stalls());
-    let standings = zones.fleet_state.standings(now).into_iter().map(|standing| {
+    let (heard, stalls) = (zones.fleet_state.report_count(), zones.fleet_state.stalls());
+    let standings = zones.fleet_state.status(now).into_iter().map(|standing| {
         let ms_left = |until: u64| until.saturating_sub(now) / 1_000;
         json!({
             "zone": &*standing.zone, "inside": standing.inside,
