--- a/src/control.rs
+++ b/src/control.rs
@@ -17,10 +17,10 @@
 mod functions;
 mod hints;
 mod learned;
-mod places;
 mod preference;
 mod renewal;
 mod reports;
+mod slots;
 mod tables;
 
 use crate::api::*;
@@ -36,10 +36,10 @@
 pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
 use hints::WorkHint;
 pub use learned::LearnedState;
-pub use places::{DecisionCounters, TableSizes};
 use preference::PreferenceRing;
 use renewal::{RenewalQueue, ReplicaUse, pop_expired};
 use reports::{LoadReport, ReportFields};
+pub use slots::{DecisionCounters, TableSizes};
 use tables::{
     Attempt, ClassEstimates, Function, Replica, Request, Worker, rendezvous, replica_mut, sanitized,
 };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,7 +5,7 @@
 //! It gives exactly one final answer for each accepted request, by the request's deadline regardless of what
 //! executors do. [`EngineLimits`] limits the attempts per request, and the requests and bytes of bodies held.
 
-mod attempt;
+mod attempt_result;
 mod timers;
 
 use crate::api::{
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use timers::{TimerKind, Timers};
 
-pub use attempt::{AttemptId, AttemptResult};
+pub use attempt_result::{AttemptId, AttemptResult};
 
 /// The origin of a request and the destination of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/core/timers.rs
+++ b/src/core/timers.rs
@@ -4,7 +4,7 @@
 //! before the decision module is woken, so that it decides on their results, and the engine's own check of
 //! the request deadline comes last.
 
-use super::attempt::AttemptId;
+use super::attempt_result::AttemptId;
 use crate::api::{Micros, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/src/executor/mod.rs
+++ b/src/executor/mod.rs
@@ -3,9 +3,9 @@
 //! [`Pool`] is given attempts and load orders and reports how each one ended; [`PoolSettings`] bounds its
 //! connections, the requests open on each, and the memory for partially received answers.
 
+mod connection;
 mod json;
 mod line;
-mod peer;
 mod pool;
 
 pub use pool::{Completion, ConnectionFailure, Pool, PoolSettings};
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -6,8 +6,10 @@
 //! connections, the requests open on each, and the bytes of partially received answers. Times are in
 //! microseconds.
 
+use super::connection::{
+    ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField,
+};
 use super::line::{self, Answer};
-use super::peer::{ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField};
 use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
 use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
