--- a/benches/lists.rs
+++ b/benches/lists.rs
@@ -3,7 +3,7 @@
 //! length (per entry, 100 times the entries may cost at most 4 times as much), or if a list of 36 (the most that the
 //! standing fleet days bring) takes 1 ms or more in both together.
 
-use ochreward::names::{Executor, ExecutorState, ListValidator, Verdict};
+use ochreward::discovery::{Executor, ExecutorState, ListValidator, Verdict};
 use ochreward::*;
 use std::net::SocketAddr;
 use std::time::Instant;
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -7,7 +7,7 @@
 use ochreward::api::{Outcome, Settings as ModuleSettings};
 use ochreward::config::{Config, Operator};
 use ochreward::core::AttemptTrace;
-use ochreward::names::{Executor, ExecutorState};
+use ochreward::discovery::{Executor, ExecutorState};
 use ochreward::overload::{self, Overload};
 use ochreward::zones::{self, Zones};
 use ochreward_membership::{Claim, Event, Identity, Membership, Record, Serving, State, wire};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,8 +1,8 @@
 //! What the platform tells a dispatcher: `ROUTER_NAME`, `ROUTER_LISTEN` and the file named by `ROUTER_CONFIG`.
 
 use crate::api::{self, Class, Effect, KeyScope, ReportField, WorkerId};
+use crate::discovery::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
 use crate::keys::{Faults, Key};
-use crate::names::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/src/names/mod.rs
+++ b/src/discovery/mod.rs
@@ -3,16 +3,16 @@
 //! [`Resolver`] queries the service and owns its sockets. [`ListValidator`] validates each received list, and [`ListTracker`]
 //! decides which list is in use and which of its executors may be sent requests.
 
-mod channel;
-mod check;
 mod dns;
 mod list;
 mod resolver;
 mod schedule;
-mod stream;
+mod tcp_exchange;
 mod tracker;
+mod udp_channel;
+mod validate;
 
-pub use check::{Doubt, EMPTY_HOLD_US, ListValidator, Verdict};
 pub use list::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
 pub use resolver::{InitialList, Resolver};
 pub use tracker::{Decision, ListTracker, ReceivedList};
+pub use validate::{Doubt, EMPTY_HOLD_US, ListValidator, Verdict};
--- a/src/names/resolver.rs
+++ b/src/discovery/resolver.rs
@@ -3,12 +3,12 @@
 //! [`QuerySchedule`] decides when to query, [`ListValidator`] which lists are valid, [`ListTracker`] which list is in use; this
 //! module owns the sockets. It opens at most [`MAX_CHANNELS`] UDP sockets and runs one query over TCP at a time.
 
-use super::channel::Channel;
-use super::check::{Doubt, ListValidator, Verdict};
 use super::dns::{self, MAX_MESSAGE_BYTES};
 use super::schedule::QuerySchedule;
-use super::stream::TcpExchange;
+use super::tcp_exchange::TcpExchange;
 use super::tracker::{Decision, ListTracker, ReceivedList};
+use super::udp_channel::Channel;
+use super::validate::{Doubt, ListValidator, Verdict};
 use super::{Executor, ExecutorState};
 use crate::counters::{Counters, add, count};
 use crate::net::{Poll, PollEvent};
--- a/src/names/check/tests.rs
+++ b/src/discovery/validate/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::names::ExecutorState;
+use crate::discovery::ExecutorState;
 
 fn executor(id: &str, port: u16) -> Executor {
     Executor {
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -13,7 +13,7 @@
 use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
 use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
-use crate::names::{Executor, ExecutorState};
+use crate::discovery::{Executor, ExecutorState};
 use crate::net::{Closed, Connection, Poll, PollEvent};
 use slab::Slab;
 use std::collections::BTreeMap;
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -7,7 +7,7 @@
 
 use crate::api::WorkerId;
 use crate::control::LearnedState;
-use crate::names::Executor;
+use crate::discovery::Executor;
 use rustix::fs::{FlockOperation, flock};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -6,7 +6,7 @@
 use super::Node;
 use crate::api::{WorkerEntry, WorkerId};
 use crate::counters::count;
-use crate::names::{Executor, ExecutorState};
+use crate::discovery::{Executor, ExecutorState};
 use std::collections::BTreeSet;
 
 /// The most executor ids remembered as having been listed.
--- a/src/peers/starting.rs
+++ b/src/peers/starting.rs
@@ -6,7 +6,7 @@
 //! service's lists are checked, so that no peer can keep the authoritative list out.
 
 use crate::api::Micros;
-use crate::names::{Executor, MAX_EXECUTORS, MAX_ID_BYTES};
+use crate::discovery::{Executor, MAX_EXECUTORS, MAX_ID_BYTES};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
--- a/src/peers/starting/tests.rs
+++ b/src/peers/starting/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::names::ExecutorState;
+use crate::discovery::ExecutorState;
 
 fn offer(from: &str, serial: u64, ports: &[u16]) -> Offer {
     let executor = |port: &u16| Executor {
--- a/src/versions/rules.rs
+++ b/src/versions/rules.rs
@@ -5,7 +5,7 @@
 
 use crate::api::Effect;
 use crate::config::{MAX_DRAIN_GRACE_US, Settings, VersionedConfig};
-use crate::names::ZoneAndKindNames;
+use crate::discovery::ZoneAndKindNames;
 use ochreward_stream::wire::Fault;
 use std::collections::BTreeSet;
 
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -15,7 +15,7 @@
 use crate::api::{Micros, Outcome, Settings, WorkerId};
 use crate::control::ZoneGate;
 use crate::core::AttemptTrace;
-use crate::names::Executor;
+use crate::discovery::Executor;
 use ochreward_zones::{AttemptOutcome, Report, TOP_STEP};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/zones/tests.rs
+++ b/src/zones/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::names::ExecutorState;
+use crate::discovery::ExecutorState;
 
 const MS: Micros = 1_000;
 
