--- a/src/node.rs
+++ b/src/node.rs
@@ -26,15 +26,15 @@
 use std::rc::Rc;
 use tracing::info;
 
-mod beside;
 mod dispatch;
-mod jobs;
+mod handover;
 mod limits;
 mod listing;
 mod operators;
 mod overload;
 mod peering;
 mod reload;
+mod request_specs;
 mod shutdown;
 mod versions;
 mod zones;
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -2,7 +2,7 @@
 //!
 //! Given the fronts' intake, the pool's reports and the core's commands; bounded by the fronts' and the pool's own limits.
 
-use super::jobs::build_job;
+use super::request_specs::build_job;
 use super::{Node, STATIONS};
 use crate::core::{Command, Ticket};
 use crate::executor::Completion;
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -3,7 +3,7 @@
 //! Given the configuration, the settings and whether another process of this dispatcher runs; two processes get half of
 //! each resource.
 
-use super::jobs::NETWORK_MARGIN_US;
+use super::request_specs::NETWORK_MARGIN_US;
 use crate::config::{Config, Settings};
 use crate::control::DEFAULT_FUNCTION_BYTES;
 use crate::core::EngineLimits;
