--- a/src/lib.rs
+++ b/src/lib.rs
@@ -72,6 +72,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admin;
 pub mod agent;
 pub mod api;
 pub mod bans;
@@ -81,7 +82,6 @@
 pub mod core;
 pub mod counters;
 pub mod discovery;
-pub mod door;
 pub mod executor;
 pub mod front;
 pub mod handover;
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,13 +5,13 @@
 //! arrived, passes it to the core ([`Engine`]), carries out the core's commands, and runs the timers that are due. The
 //! numbers of connections and bytes are bounded by `limits`; time is read once a turn, in microseconds.
 
+use crate::admin::AdminEndpoint;
 use crate::api::WorkerId;
 use crate::bans::Bans;
 use crate::config::{Config, Settings};
 use crate::core::Engine;
 use crate::counters::{Counters, print_line, record_max};
 use crate::discovery::{self, Executor, Resolver};
-use crate::door::AdminEndpoint;
 use crate::executor::Pool;
 use crate::front::{mqtt, stations, thrift};
 use crate::handover::Handover;
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -4,9 +4,9 @@
 //! interface limits its connections.
 
 use super::Node;
+use crate::admin::AdminCommand;
 use crate::api::WorkerId;
 use crate::counters::count;
-use crate::door::AdminCommand;
 use crate::net::{PollEvent, Token};
 use tracing::info;
 
