--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -6,20 +6,20 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod background_thread;
 mod clock;
-mod link;
+mod connection;
 mod listener;
 mod poll;
 mod reader;
 mod ring;
 mod signals;
-mod worker;
 
+pub use background_thread::BackgroundThread;
 pub use clock::Clock;
-pub use link::{BufferedSocket, Closed, Connection, Malformed, ProtocolHandler};
+pub use connection::{BufferedSocket, Closed, Connection, Malformed, ProtocolHandler};
 pub use listener::{Accepted, Listener};
 pub use poll::{Interest, Poll, PollEvent, Token};
 pub use reader::Reader;
 pub use ring::Ring;
 pub use signals::{SignalRequest, Signals};
-pub use worker::BackgroundThread;
