--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -27,19 +27,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod draw;
 mod gossip;
 mod health;
 mod machine;
+mod sample;
 mod settings;
-pub mod standing;
+pub mod shares;
 mod table;
 pub mod wire;
 
-pub use draw::sample;
 pub use machine::{Event, Identity, Membership, Message, Stats};
+pub use sample::sample;
 pub use settings::Settings;
-pub use standing::{Connectivity, ViewSummary};
+pub use shares::{Connectivity, ViewSummary};
 pub use table::{Member, Source};
 pub use wire::{Claim, Record, Serving, State};
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip::Gossip;
 use crate::health::LocalHealth;
-use crate::standing::{Connectivity, HeldDivisor, ViewSummary, divisor};
+use crate::shares::{Connectivity, HeldDivisor, ViewSummary, divisor};
 use crate::table::{BucketSync, Member, Source, Table};
 use crate::wire::{self, Body, Claim, DecodeError, Header, Packet, Record, State};
 use crate::{Micros, Settings};
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -20,16 +20,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod place;
-mod sight;
+mod group_state;
+mod observations;
+mod report;
 mod votes;
-mod wire;
 mod zones;
 
-pub use place::{GroupState, Reason, STEP_SHARES_PER_MILLE, TOP_STEP, WorkerState};
-pub use sight::{AttemptOutcome, Observations, Opinion};
+pub use group_state::{GroupState, Reason, STEP_SHARES_PER_MILLE, TOP_STEP, WorkerState};
+pub use observations::{AttemptOutcome, Observations, Opinion};
+pub use report::{Report, ZoneReport};
 pub use votes::quorum;
-pub use wire::{Report, ZoneReport};
 pub use zones::{FleetView, Order, ZoneStatus, Zones};
 
 /// A time or a duration in microseconds.
