--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -199,7 +199,7 @@
         |name: &str| key.get(name).members().into_iter().map(|(name, at)| (name, at.address())).collect();
     let (seeds, group, zone) = (key.get("seeds"), key.get("group"), key.get("zone"));
     let list: Vec<SocketAddr> = seeds.entries().iter().map(Key::address).collect();
-    seeds.must(list.len() <= peers::MOST_SEEDS, "holds more than 64 addresses");
+    seeds.must(list.len() <= peers::MAX_SEEDS, "holds more than 64 addresses");
     let (named, place) = (group.text_or(&usual.group), zone.text_or(""));
     let short = |text: &str| text.len() <= ochreward_membership::wire::MAX_TEXT_BYTES;
     group.must(!named.is_empty(), "a name is wanted");
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -11,13 +11,13 @@
 impl Node {
     /// Delivers the messages of other dispatchers to the part that their channel belongs to.
     pub(super) fn deliver_peer_messages(&mut self) {
-        let notes = self.peers.as_mut().map(|p| std::mem::take(&mut p.notes));
+        let notes = self.peers.as_mut().map(|p| std::mem::take(&mut p.received_notes));
         for (channel, from, bytes) in notes.into_iter().flatten() {
             match channel {
                 overload::CHANNEL => {
                     let answer = self.overload.as_mut().and_then(|o| o.heard(self.now, &from, &bytes));
                     if let (Some(answer), Some(peers)) = (answer, &mut self.peers) {
-                        peers.tell_one(self.now, &from, overload::CHANNEL, answer);
+                        peers.send_note(self.now, &from, overload::CHANNEL, answer);
                     }
                 }
                 zones::CHANNEL => self.zones.iter_mut().for_each(|z| z.heard(self.now, &from, &bytes)),
@@ -56,14 +56,16 @@
             };
             let own = self.config.name.as_str().into();
             let view = match &self.peers {
-                Some(peers) => {
-                    View { own, parts: peers.division().map_or(0, |d| d.parts), others: peers.up() }
-                }
+                Some(peers) => View {
+                    own,
+                    parts: peers.division().map_or(0, |d| d.divisor),
+                    others: peers.reachable_peers(),
+                },
                 None => View { own, parts: balancers, others: Vec::new() },
             };
             for (to, message) in overload.advance(self.now, &view) {
                 if let Some(peers) = &mut self.peers {
-                    peers.tell_one(self.now, &to, overload::CHANNEL, message);
+                    peers.send_note(self.now, &to, overload::CHANNEL, message);
                 }
             }
         }
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -6,7 +6,7 @@
 use super::{Node, PEERS};
 use crate::counters::count;
 use crate::handover::HandoverState;
-use crate::peers::{Peers, Start};
+use crate::peers::{InitialState, Peers};
 use ochreward_membership::Serving;
 use std::io;
 use tracing::{info, warn};
@@ -21,10 +21,10 @@
         let may_join =
             !self.handover.other_process_runs() && self.peers.is_none() && self.shutdown_started.is_none();
         let Some(options) = self.peer_options.as_ref().filter(|_| may_join) else { return Ok(()) };
-        let start = Start {
+        let start = InitialState {
             name: &self.config.name,
-            expected: self.settings.module.dispatcher_count,
-            configuration: self.counters.version_number.get(),
+            expected_instances: self.settings.module.dispatcher_count,
+            configuration_version: self.counters.version_number.get(),
             unix_ms: self.clock.unix_ms(self.now),
             seed: self.config.seed ^ u64::from(std::process::id()),
         };
@@ -46,10 +46,14 @@
         let Some(peers) = &mut self.peers else { return };
         let serving = if self.shutdown_started.is_some() { Serving::Drains } else { Serving::Serves };
         let load = self.engine.open_requests() * 1_000 / self.settings.max_open.max(1);
-        peers.tell(serving, self.counters.version_number.get(), load.min(1_000) as u16);
+        peers.announce(serving, self.counters.version_number.get(), load.min(1_000) as u16);
         peers.advance(self.now);
-        if let Some(division) = peers.news(self.now) {
-            self.engine.set_cold_budget_division(Some((division.alive, division.parts, division.place)));
+        if let Some(division) = peers.changed_division(self.now) {
+            self.engine.set_cold_budget_division(Some((
+                division.alive,
+                division.divisor,
+                division.part_index,
+            )));
         }
         self.send_state_to_peer();
         self.take_list_from_peer();
@@ -74,14 +78,14 @@
         for observation in observations {
             if observation.is_probe {
                 self.engine.probe_failed(self.now, &observation.worker);
-                peers.refused(self.now, &observation.worker);
+                peers.probe_refused(self.now, &observation.worker);
             } else {
                 // Only first-hand observations are announced: the result of a probe that a peer's hint caused would be
                 // passed around the group without end.
-                peers.sighted(self.now, &observation.worker);
+                peers.report_failure(self.now, &observation.worker);
             }
         }
-        while let Some(worker) = peers.look(self.now) {
+        while let Some(worker) = peers.next_probe(self.now) {
             if self.pool.probe(&mut self.poll, self.now, &worker) {
                 count(&self.counters.hints_looks);
             }
@@ -91,7 +95,7 @@
     /// Sends this dispatcher's state to a peer that is starting and has asked for it.
     fn send_state_to_peer(&mut self) {
         let Some(peers) = &mut self.peers else { return };
-        if !peers.wants_word(&self.poll, self.now) {
+        if !peers.wants_snapshot(&self.poll, self.now) {
             return;
         }
         let mut state = HandoverState::new(self.now, self.settings.classes.clone(), self.engine.learned());
@@ -99,12 +103,13 @@
             (state.serial, state.executors) = (self.resolver.serial(), self.executors.clone());
             state.list_age_us = self.now.saturating_sub(self.names_heard_at);
         }
-        peers.give_word(&self.poll, self.now, state.to_json());
+        peers.send_snapshot(&self.poll, self.now, state.to_json());
     }
 
     /// Returns whether the list has to come from a peer: none is known, and the name service has not answered for too long.
     fn needs_list_from_peer(&self) -> bool {
-        let silent = self.now >= self.started + Peers::patience() && self.counters.dns_answers.get() == 0;
+        let silent = self.now >= self.started + Peers::name_service_silence_us()
+            && self.counters.dns_answers.get() == 0;
         self.peers.is_some()
             && !self.list_known
             && silent
@@ -120,7 +125,7 @@
             return;
         }
         let Some(peers) = &mut self.peers else { return };
-        let Some((from, state)) = peers.seek_list(&mut self.poll, self.now) else { return };
+        let Some((from, state)) = peers.poll_list_search(&mut self.poll, self.now) else { return };
         let clock_ahead = state.clock_us.saturating_sub(self.now);
         let same_classes = state.classes == self.settings.classes;
         let learned = same_classes.then(|| state.learned.from_peer(clock_ahead)).flatten();
--- a/src/node/zones.rs
+++ b/src/node/zones.rs
@@ -20,15 +20,15 @@
             let view = match &self.peers {
                 Some(peers) => FleetView {
                     own_name: own,
-                    others: peers.up_with_zones(),
-                    share: share(peers.division().map_or(expected, |d| d.parts)),
+                    others: peers.reachable_peers_with_zones(),
+                    share: share(peers.division().map_or(expected, |d| d.divisor)),
                     ..FleetView::default()
                 },
                 None => FleetView { own_name: own, share: share(expected), ..FleetView::default() },
             };
             for (to, word) in zones.advance(self.now, view) {
                 if let Some(peers) = &mut self.peers {
-                    peers.tell_one(self.now, &to, zones::CHANNEL, word);
+                    peers.send_note(self.now, &to, zones::CHANNEL, word);
                 }
             }
         }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -11,7 +11,7 @@
 mod report;
 mod starting;
 
-pub use options::{MOST_SEEDS, Options};
+pub use options::{MAX_SEEDS, Options};
 pub use report::{lines, report};
 
 use crate::api::WorkerId;
@@ -48,19 +48,19 @@
     /// Number of dispatchers known to be alive, including this one.
     pub alive: usize,
     /// Number of parts; each member uses at most one.
-    pub parts: usize,
+    pub divisor: usize,
     /// Index of this dispatcher's part, from 0.
-    pub place: usize,
+    pub part_index: usize,
 }
 
 /// The identity and initial state with which a dispatcher joins its group.
-pub struct Start<'a> {
+pub struct InitialState<'a> {
     /// Name of this dispatcher.
     pub name: &'a str,
     /// Number of instances according to the platform's settings.
-    pub expected: usize,
+    pub expected_instances: usize,
     /// Version of the configuration in use; 0 for none.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Unix time in milliseconds.
     pub unix_ms: u64,
     /// Seed of the random number generator.
@@ -76,7 +76,7 @@
     exchange: Exchange,
     hints: Hints,
     /// Received notes for other modules: channel, sender and content.
-    pub notes: Vec<(u8, Arc<str>, Vec<u8>)>,
+    pub received_notes: Vec<(u8, Arc<str>, Vec<u8>)>,
     /// Executors reported by peers that are still to be probed.
     reported: Vec<WorkerId>,
     /// The search for an executor list while the name service is silent, and the snapshots received for it.
@@ -97,7 +97,7 @@
         poll: &mut Poll,
         owner: u8,
         options: &Options,
-        start: &Start,
+        start: &InitialState,
         now: u64,
         counters: Rc<Counters>,
     ) -> io::Result<Peers> {
@@ -118,7 +118,7 @@
         let record = Record {
             zone: options.zone.as_str().into(),
             program: env!("CARGO_PKG_VERSION").into(),
-            configuration: start.configuration,
+            configuration: start.configuration_version,
             serving: Serving::Serves,
         };
         let own = Identity {
@@ -129,7 +129,7 @@
             record: record.clone(),
         };
         let mut settings = options.settings.clone();
-        settings.expected_members = start.expected;
+        settings.expected_members = start.expected_instances;
         let membership = Membership::new(own, settings, options.seeds.clone(), start.seed, now);
         Ok(Peers {
             fd,
@@ -138,7 +138,7 @@
             membership,
             exchange,
             hints: Hints::new(now),
-            notes: Vec::new(),
+            received_notes: Vec::new(),
             reported: Vec::new(),
             list_search: ListSearch::default(),
             snapshots: BTreeMap::new(),
@@ -217,14 +217,14 @@
                 let new_workers = self.hints.receive(now, &note.bytes, others);
                 self.counters.hints_heard.set(self.counters.hints_heard.get() + new_workers.len() as u64);
                 self.reported.extend(new_workers);
-            } else if self.notes.len() < MAX_PENDING_NOTES {
-                self.notes.push((note.channel, note.from, note.bytes));
+            } else if self.received_notes.len() < MAX_PENDING_NOTES {
+                self.received_notes.push((note.channel, note.from, note.bytes));
             }
         }
     }
 
     /// Sends a note to one peer, if it is up.
-    pub fn tell_one(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
+    pub fn send_note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
         self.queue_note(now, to, channel, bytes);
         self.flush();
     }
@@ -247,7 +247,7 @@
     }
 
     /// Returns the peers that are up and from which at least one packet has arrived.
-    pub fn up(&self) -> Vec<Arc<str>> {
+    pub fn reachable_peers(&self) -> Vec<Arc<str>> {
         self.membership
             .members()
             .filter(|m| m.is_up() && m.last_heard.is_some())
@@ -255,8 +255,8 @@
             .collect()
     }
 
-    /// Returns the same peers as [`Peers::up`], with their zones.
-    pub fn up_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
+    /// Returns the same peers as [`Peers::reachable_peers`], with their zones.
+    pub fn reachable_peers_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
         let up = self.membership.members().filter(|m| m.is_up() && m.last_heard.is_some());
         up.map(|m| (m.name.clone(), m.record.zone.clone())).collect()
     }
@@ -268,7 +268,7 @@
 
     /// Sends a note to `fanout` peers, drawn at random on each call.
     fn gossip(&mut self, now: u64, channel: u8, fanout: usize, bytes: &[u8]) {
-        let up = self.up();
+        let up = self.reachable_peers();
         for name in sample(&mut self.rng, up, fanout) {
             self.queue_note(now, &name, channel, bytes.to_vec());
         }
@@ -277,14 +277,14 @@
     // ---- Hints of executor failures ----
 
     /// Records that a connection to an executor broke or could not be established here, and gossips it to the peers.
-    pub fn sighted(&mut self, now: u64, worker: &WorkerId) {
+    pub fn report_failure(&mut self, now: u64, worker: &WorkerId) {
         if self.hints.observe(now, worker, self.membership.up_count().saturating_sub(1)) {
             count(&self.counters.hints_told);
         }
     }
 
     /// Returns an executor that is to be probed now.
-    pub fn look(&mut self, now: u64) -> Option<WorkerId> {
+    pub fn next_probe(&mut self, now: u64) -> Option<WorkerId> {
         if let Some(worker) = self.hints.next_retry(now) {
             return Some(worker);
         }
@@ -297,7 +297,7 @@
     }
 
     /// Records that the probe of an executor was refused.
-    pub fn refused(&mut self, now: u64, worker: &WorkerId) {
+    pub fn probe_refused(&mut self, now: u64, worker: &WorkerId) {
         count(&self.counters.hints_refused);
         self.hints.probe_refused(now, worker);
     }
@@ -306,7 +306,7 @@
 
     /// Asks peers for their list of executors while the name service is silent. Returns the sender and the snapshot that
     /// is to be used, once one has been chosen.
-    pub fn seek_list(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, HandoverState)> {
+    pub fn poll_list_search(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, HandoverState)> {
         for (from, line) in std::mem::take(&mut self.exchange.outcomes) {
             let Some(snapshot) = line.and_then(|l| HandoverState::read(&l)) else {
                 self.list_search.failed(&from);
@@ -357,31 +357,34 @@
     }
 
     /// Returns how long after the start the name service may be silent before peers are asked for the list.
-    pub fn patience() -> u64 {
+    pub fn name_service_silence_us() -> u64 {
         starting::NAME_SERVICE_SILENCE_US
     }
 
     /// Returns whether a peer waits for a snapshot of this dispatcher's state and a new one has to be made.
-    pub fn wants_word(&mut self, poll: &Poll, now: u64) -> bool {
+    pub fn wants_snapshot(&mut self, poll: &Poll, now: u64) -> bool {
         self.exchange.wants_reply(poll, now)
     }
 
     /// Sends a snapshot of this dispatcher's state to all peers that wait for one.
-    pub fn give_word(&mut self, poll: &Poll, now: u64, word: Vec<u8>) {
+    pub fn send_snapshot(&mut self, poll: &Poll, now: u64, word: Vec<u8>) {
         count(&self.counters.peers_words_given);
         self.exchange.reply(poll, now, word);
     }
 
     /// Returns the division of a shared budget if it has changed since the last call.
-    pub fn news(&mut self, now: u64) -> Option<Division> {
+    pub fn changed_division(&mut self, now: u64) -> Option<Division> {
         // Computing the division visits all members; most turns of the loop serve requests and leave it unchanged.
         if !std::mem::take(&mut self.division_stale) {
             return None;
         }
         let parts = self.membership.share_divisor(now);
         let alive = self.membership.up_count();
-        let division =
-            Division { alive, parts, place: self.membership.share_index().min(parts.saturating_sub(1)) };
+        let division = Division {
+            alive,
+            divisor: parts,
+            part_index: self.membership.share_index().min(parts.saturating_sub(1)),
+        };
         let changed = self.division != Some(division);
         self.division = Some(division);
         changed.then_some(division)
@@ -393,7 +396,7 @@
     }
 
     /// Sets the serving state, configuration version and load that are announced to the peers.
-    pub fn tell(&mut self, serving: Serving, configuration: u64, load: u16) {
+    pub fn announce(&mut self, serving: Serving, configuration: u64, load: u16) {
         self.record.serving = serving;
         self.record.configuration = configuration;
         self.membership.set_record(self.record.clone(), load);
--- a/src/peers/options.rs
+++ b/src/peers/options.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// Maximum number of seed addresses.
-pub const MOST_SEEDS: usize = 64;
+pub const MAX_SEEDS: usize = 64;
 
 /// The peer settings of one dispatcher.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -30,7 +30,7 @@
         "part": lower_case(&agreement.connectivity), "alive": agreement.alive, "silent": agreement.failed, "same": agreement.same_view,
         "agreed": agreement.agreed(), "digest": format!("{:016x}", agreement.digest), "incarnation": membership.own().incarnation,
         "health": membership.local_health(), "waiting": membership.queued_claims(),
-        "parts": peers.division().map(|d| d.parts), "place": peers.division().map(|d| d.place),
+        "parts": peers.division().map(|d| d.divisor), "place": peers.division().map(|d| d.part_index),
         "known": membership.members().count(), "members": members,
     })
 }
