--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -124,7 +124,7 @@
     machine: Membership,
     overload: Overload,
     zones: Zones,
-    view: overload::View,
+    view: overload::GroupView,
     others: Vec<(Arc<str>, Arc<str>)>,
     next_view: u64,
     next_evidence: u64,
@@ -353,7 +353,7 @@
             introduction,
             overload,
             zones,
-            view: overload::View::default(),
+            view: overload::GroupView::default(),
             others: Vec::new(),
             next_view: 0,
             next_evidence: now,
@@ -385,7 +385,7 @@
         while let Some(note) = self.machine.messages.pop_front() {
             match note.channel {
                 overload::CHANNEL => {
-                    if let Some(answer) = self.overload.heard(now, &note.from, &note.bytes) {
+                    if let Some(answer) = self.overload.handle_message(now, &note.from, &note.bytes) {
                         self.machine.send_message(now, &note.from, overload::CHANNEL, answer);
                     }
                 }
@@ -441,7 +441,7 @@
         self.others = up.map(|m| (m.name.clone(), m.record.zone.clone())).collect();
         let others = self.others.iter().map(|(name, _)| name.clone()).collect();
         let parts = self.machine.share_divisor(now);
-        self.view = overload::View { own: self.introduction.name.as_str().into(), parts, others };
+        self.view = overload::GroupView { own: self.introduction.name.as_str().into(), parts, peers: others };
     }
 
     /// What clients' requests would have shown of the workers.
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -251,14 +251,14 @@
         "must be a tenth shorter than hold_ms of [peers] at the least",
     );
     overload::Options {
-        resends,
-        orders,
+        resends_per_s: resends,
+        orders_per_s: orders,
         floor: key.get("floor_percent").between(0, 100, 50) * 10,
-        lease,
-        queue: key.get("queue_ms").between(0, 60_000, 0) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 1_000) * 1_000,
-        ramp: key.get("ramp_ms").between(0, 600_000, 0) * 1_000,
-        trial: key.get("trial_ms").between(20, 60_000, 250) * 1_000,
+        lease_us: lease,
+        max_queue_us: key.get("queue_ms").between(0, 60_000, 0) * 1_000,
+        level_hold_us: key.get("stay_ms").between(100, 600_000, 1_000) * 1_000,
+        ramp_us: key.get("ramp_ms").between(0, 600_000, 0) * 1_000,
+        trial_interval_us: key.get("trial_ms").between(20, 60_000, 250) * 1_000,
     }
 }
 
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -59,7 +59,7 @@
         };
         let entries = executors.iter().map(listing).collect();
         if let Some(overload) = &mut self.overload {
-            overload.listed(executors.iter().map(|e| e.id.clone()).collect());
+            overload.set_workers(executors.iter().map(|e| e.id.clone()).collect());
         }
         if let Some(zones) = &mut self.zones {
             zones.listed(&executors, &self.settings.vocabulary.zones);
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -5,7 +5,7 @@
 
 use super::Node;
 use crate::control::Budget;
-use crate::overload::{self, Overload, View};
+use crate::overload::{self, GroupView, Overload};
 use crate::zones;
 
 impl Node {
@@ -15,7 +15,8 @@
         for (channel, from, bytes) in notes.into_iter().flatten() {
             match channel {
                 overload::CHANNEL => {
-                    let answer = self.overload.as_mut().and_then(|o| o.heard(self.now, &from, &bytes));
+                    let answer =
+                        self.overload.as_mut().and_then(|o| o.handle_message(self.now, &from, &bytes));
                     if let (Some(answer), Some(peers)) = (answer, &mut self.peers) {
                         peers.send_note(self.now, &from, overload::CHANNEL, answer);
                     }
@@ -44,7 +45,7 @@
     pub(super) fn advance_overload(&mut self) {
         let Some(overload) = &mut self.overload else { return };
         for (worker, kind, took) in self.engine.answers.drain(..) {
-            overload.answered(self.now, &worker, kind, took);
+            overload.record_answer(self.now, &worker, kind, took);
         }
         if overload.due(self.now) <= self.now {
             // Two processes of one dispatcher don't split the dispatcher's part of a budget: the process that is the group's
@@ -56,12 +57,12 @@
             };
             let own = self.config.name.as_str().into();
             let view = match &self.peers {
-                Some(peers) => View {
+                Some(peers) => GroupView {
                     own,
                     parts: peers.division().map_or(0, |d| d.divisor),
-                    others: peers.reachable_peers(),
+                    peers: peers.reachable_peers(),
                 },
-                None => View { own, parts: balancers, others: Vec::new() },
+                None => GroupView { own, parts: balancers, peers: Vec::new() },
             };
             for (to, message) in overload.advance(self.now, &view) {
                 if let Some(peers) = &mut self.peers {
@@ -77,9 +78,9 @@
         let (stats, counters) = (overload.stats(), &self.counters);
         counters.overload_level.set(u64::from(overload.level()));
         counters.overload_shed.set(stats.shed);
-        counters.resends_wanted.set(stats.wanted);
-        counters.resends_made.set(stats.resent);
-        let (open, ramping) = overload.circuits();
+        counters.resends_wanted.set(stats.resends_wanted);
+        counters.resends_made.set(stats.resends_made);
+        let (open, ramping) = overload.circuit_counts();
         counters.circuits_open.set(open as u64);
         counters.circuits_ramping.set(ramping as u64);
         counters.trials_made.set(stats.trials);
--- a/src/node/peering.rs
+++ b/src/node/peering.rs
@@ -72,7 +72,7 @@
             observations
                 .iter()
                 .filter(|o| o.connect_refused)
-                .for_each(|o| overload.refused(self.now, &o.worker));
+                .for_each(|o| overload.connect_failed(self.now, &o.worker));
         }
         let Some(peers) = &mut self.peers else { return };
         for observation in observations {
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -68,22 +68,22 @@
 
 /// The group as the host sees it.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct GroupView {
     /// Name of this dispatcher.
     pub own: Arc<str>,
     /// Number of parts into which a budget is divided, of which this dispatcher has one.
     pub parts: usize,
     /// Names of the peers that are up.
-    pub others: Vec<Arc<str>>,
+    pub peers: Vec<Arc<str>>,
 }
 
 /// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Resends wanted.
-    pub wanted: u64,
+    pub resends_wanted: u64,
     /// Resends made, those for which there was a token.
-    pub resent: u64,
+    pub resends_made: u64,
     /// Requests shed because of the admission level.
     pub shed: u64,
     /// Highest standing among the shed requests, out of 64.
@@ -110,7 +110,7 @@
     /// Executors that refused a trial of this dispatcher, to be announced to the peers.
     failed_trials: Vec<WorkerId>,
     /// The group as of the last `advance`.
-    view: View,
+    view: GroupView,
     next_gate: Micros,
     next_interval: Micros,
     next_ask: Micros,
@@ -127,7 +127,7 @@
             let terms = ResourceTerms {
                 total: whole,
                 floor_per_mille: options.floor,
-                lease_time: options.lease,
+                lease_time: options.lease_us,
                 ..ResourceTerms::default()
             };
             let ledger = Ledger::new(terms, instance, now);
@@ -139,18 +139,25 @@
                 worth: 1,
             })
         };
-        let terms =
-            admission::Terms { queue: options.queue, stay: options.stay, ..admission::Terms::default() };
+        let terms = admission::Terms {
+            queue: options.max_queue_us,
+            stay: options.level_hold_us,
+            ..admission::Terms::default()
+        };
         Overload {
-            budgets: [shared_budget(options.resends), shared_budget(options.orders)],
+            budgets: [shared_budget(options.resends_per_s), shared_budget(options.orders_per_s)],
             admission: Admission::new(terms),
             queueing: QueueingDelay::default(),
-            circuits: (options.ramp > 0)
-                .then(|| CircuitBreakers::new(circuit::Terms { trial: options.trial, ramp: options.ramp })),
+            circuits: (options.ramp_us > 0).then(|| {
+                CircuitBreakers::new(circuit::Terms {
+                    trial: options.trial_interval_us,
+                    ramp: options.ramp_us,
+                })
+            }),
             workers: 0,
             recovered: Vec::new(),
             failed_trials: Vec::new(),
-            view: View::default(),
+            view: GroupView::default(),
             next_gate: now,
             next_interval: now,
             next_ask: now,
@@ -172,23 +179,23 @@
     }
 
     /// Returns the rate at which a resource, given by its number, may be spent now, in thousandths per second.
-    pub fn spendable(&self, place: usize, now: Micros) -> u64 {
+    pub fn spendable_rate(&self, place: usize, now: Micros) -> u64 {
         self.budgets.get(place).and_then(Option::as_ref).map_or(0, |b| b.ledger.spendable(now))
     }
 
     /// Returns the number of executors whose circuits are open, and of those on a slow-start ramp.
-    pub fn circuits(&self) -> (usize, usize) {
+    pub fn circuit_counts(&self) -> (usize, usize) {
         self.circuits.as_ref().map_or((0, 0), CircuitBreakers::open_and_ramping)
     }
 
     /// Takes a new list of executors, and drops the circuits of those that are no longer listed.
-    pub fn listed(&mut self, workers: BTreeSet<WorkerId>) {
+    pub fn set_workers(&mut self, workers: BTreeSet<WorkerId>) {
         self.workers = workers.len();
         self.circuits.iter_mut().for_each(|c| c.retain_workers(|worker| workers.contains(worker)));
     }
 
     /// Records that no connection to an executor could be established.
-    pub fn refused(&mut self, now: Micros, worker: &WorkerId) {
+    pub fn connect_failed(&mut self, now: Micros, worker: &WorkerId) {
         if self.circuits.as_mut().is_some_and(|c| c.record_refusal(now, worker)) {
             self.failed_trials.push(worker.clone());
         }
@@ -196,15 +203,15 @@
     }
 
     /// Records an executor's answer to a request of this kind and the time it took; `None` if it rejected the request.
-    pub fn answered(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
+    pub fn record_answer(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
         if self.circuits.as_mut().is_some_and(|c| c.record_answer(now, worker)) {
             self.recovered.push(worker.clone());
             self.next_gate = now;
         }
-        if self.options.queue > 0 {
+        if self.options.max_queue_us > 0 {
             match took {
                 Some(took) => self.queueing.record_response(now, kind, took),
-                None => self.queueing.record_full_queue(self.options.queue * FULL_QUEUE_FACTOR),
+                None => self.queueing.record_full_queue(self.options.max_queue_us * FULL_QUEUE_FACTOR),
             }
         }
     }
@@ -214,9 +221,9 @@
         let lease_end =
             self.budgets.iter().flatten().map(|b| b.ledger.next_change(now)).min().unwrap_or(Micros::MAX);
         let ask = if self.budgets.iter().any(Option::is_some) { self.next_ask } else { Micros::MAX };
-        let has_level = self.options.queue > 0;
+        let has_level = self.options.max_queue_us > 0;
         let level = if has_level { self.next_interval.min(self.next_proposal) } else { Micros::MAX };
-        let gates = if self.circuits() == (0, 0) { Micros::MAX } else { self.next_gate };
+        let gates = if self.circuit_counts() == (0, 0) { Micros::MAX } else { self.next_gate };
         lease_end.min(ask).min(level).min(gates)
     }
 
@@ -231,8 +238,8 @@
             }
         }
         if let Some(tokens) = last.resend_tokens {
-            self.stats.wanted += tokens.requested;
-            self.stats.resent += tokens.taken;
+            self.stats.resends_wanted += tokens.requested;
+            self.stats.resends_made += tokens.taken;
         }
         for (worker, (_, sent)) in last.worker_gates.iter().filter(|(_, (_, sent))| *sent > 0) {
             self.stats.trials += u64::from(self.circuits.as_ref().is_some_and(|c| c.is_open(worker)));
@@ -250,7 +257,7 @@
         let (level, back) = (self.admission.level(), self.admission.retry_delay());
         let view = &self.view;
         let circuits = self.circuits.as_mut().filter(|c| c.open_and_ramping() != (0, 0));
-        let gates = circuits.map(|c| c.gates(now, &view.own, &view.others, (self.workers, view.parts)));
+        let gates = circuits.map(|c| c.gates(now, &view.own, &view.peers, (self.workers, view.parts)));
         let gates = gates.into_iter().flatten().map(|(worker, left)| (worker, (left, 0))).collect();
         Budget {
             worker_gates: gates,
@@ -263,7 +270,7 @@
     }
 
     /// Runs the timers that are due. Returns the messages to be sent, each with its receiver.
-    pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Vec<u8>)> {
+    pub fn advance(&mut self, now: Micros, view: &GroupView) -> Vec<(Arc<str>, Vec<u8>)> {
         let mut messages = Vec::new();
         for shared in self.budgets.iter_mut().flatten() {
             shared.ledger.set_parts(view.parts);
@@ -277,7 +284,7 @@
         let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Message::Tried);
         for word in recovered.chain(failed_trials) {
             let message = word.encode();
-            let to = sample(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
+            let to = sample(&mut self.rng, view.peers.clone(), TRIAL_RESULT_FANOUT);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         if now >= self.next_interval {
@@ -292,7 +299,7 @@
                 self.request_leases(now, place, elapsed, view, &mut messages);
             }
         }
-        if self.options.queue > 0 && now >= self.next_proposal {
+        if self.options.max_queue_us > 0 && now >= self.next_proposal {
             let idle = self.admission.level() == 0 && self.admission.requested_level() == 0;
             let (interval, fanout) = if idle {
                 (IDLE_PROPOSAL_INTERVAL_US, IDLE_PROPOSAL_FANOUT)
@@ -303,7 +310,7 @@
             let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
             self.next_proposal = now + interval - interval / 10 + jitter;
             let message = Message::Wish(self.admission.requested_level()).encode();
-            let to = sample(&mut self.rng, view.others.clone(), fanout);
+            let to = sample(&mut self.rng, view.peers.clone(), fanout);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         messages
@@ -315,7 +322,7 @@
         now: Micros,
         place: usize,
         elapsed: Micros,
-        view: &View,
+        view: &GroupView,
         messages: &mut Vec<(Arc<str>, Vec<u8>)>,
     ) {
         let Some(shared) = self.budgets[place].as_mut() else { return };
@@ -332,7 +339,7 @@
         }
         let missing = wanted - available;
         let has_no_dealings = |name: &&Arc<str>| !shared.ledger.deals_with(now, name);
-        let eligible: Vec<Arc<str>> = view.others.iter().filter(has_no_dealings).cloned().collect();
+        let eligible: Vec<Arc<str>> = view.peers.iter().filter(has_no_dealings).cloned().collect();
         let to = sample(&mut self.rng, eligible, ASK_FANOUT);
         let Some(shared) = self.budgets[place].as_mut() else { return };
         for name in &to {
@@ -344,7 +351,7 @@
     }
 
     /// Takes a message from a peer and returns the reply, if there is one. The content is untrusted: it may be any bytes.
-    pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
+    pub fn handle_message(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
         match Message::decode(bytes)? {
             Message::Ask(place, ask) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
@@ -368,7 +375,7 @@
                 None
             }
             Message::Wish(level) => {
-                if self.options.queue > 0 {
+                if self.options.max_queue_us > 0 {
                     self.admission.record_wish(now, from, level);
                 }
                 None
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -25,7 +25,7 @@
     let stats = overload.stats();
     json!({
         "level": overload.admission.level(), "wish": overload.admission.requested_level(), "heard": overload.admission.wish_count(),
-        "shed": stats.shed, "shed_up_to": stats.shed_up_to, "resends_wanted": stats.wanted, "resends": stats.resent,
+        "shed": stats.shed, "shed_up_to": stats.shed_up_to, "resends_wanted": stats.resends_wanted, "resends": stats.resends_made,
         "budgets": RESOURCES.iter().enumerate().filter_map(budget).collect::<Vec<Value>>(),
     })
 }
--- a/tests/fleet_overload.rs
+++ b/tests/fleet_overload.rs
@@ -2,7 +2,7 @@
 //! what all may spend, and how their levels of admission agree and swing, through loss, a cut and its end.
 
 use ochreward::control::{Budget, Tokens};
-use ochreward::overload::{Options, Overload, View};
+use ochreward::overload::{GroupView, Options, Overload};
 use ochreward_budget::admission::{admits, priority};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -39,14 +39,14 @@
 impl Fleet {
     fn new(count: usize, seed: u64) -> Fleet {
         let options = Options {
-            resends: WHOLE / 1_000,
-            orders: 0,
+            resends_per_s: WHOLE / 1_000,
+            orders_per_s: 0,
             floor: 500,
-            lease: 2_000 * MS,
-            queue: QUEUE,
-            stay: 1_000 * MS,
-            ramp: 0,
-            trial: 250 * MS,
+            lease_us: 2_000 * MS,
+            max_queue_us: QUEUE,
+            level_hold_us: 1_000 * MS,
+            ramp_us: 0,
+            trial_interval_us: 250 * MS,
         };
         let member = |n: usize| Overload::new(options.clone(), seed << 20 | n as u64, 0);
         Fleet {
@@ -89,7 +89,7 @@
         while self.words.peek().is_some_and(|w| w.0.0 <= self.now) {
             let Some(Reverse((_, _, from, to, word))) = self.words.pop() else { break };
             let name = self.names[from].clone();
-            if let Some(answer) = self.members[to].heard(self.now, &name, &word) {
+            if let Some(answer) = self.members[to].handle_message(self.now, &name, &word) {
                 self.post(to, from, answer);
             }
         }
@@ -105,7 +105,7 @@
             // What it sees: answers after the queue and a service time that differs.
             for _ in 0..2 {
                 let took = 20 * MS + waited + self.below(8 * MS);
-                self.members[n].answered(self.now, &worker, 1, Some(took));
+                self.members[n].record_answer(self.now, &worker, 1, Some(took));
             }
             let wanted = wants(n);
             let tokens = Tokens { requested: wanted, ..Tokens::default() };
@@ -116,8 +116,10 @@
                     .filter(|o| *o != n && !self.apart(n, *o))
                     .map(|o| self.names[o].clone())
                     .collect();
-                let words = self.members[n]
-                    .advance(self.now, &View { own: self.names[n].clone(), parts: count, others });
+                let words = self.members[n].advance(
+                    self.now,
+                    &GroupView { own: self.names[n].clone(), parts: count, peers: others },
+                );
                 for (to, word) in words {
                     let to = to[1..].parse().expect("a number");
                     self.post(n, to, word);
@@ -126,7 +128,7 @@
         }
         self.queue = (self.queue + (admitted - 1.0) * STEP as f64).clamp(0.0, 5e6);
         self.queues.push(self.queue);
-        let sum: u64 = self.members.iter().map(|m| m.spendable(0, self.now)).sum();
+        let sum: u64 = self.members.iter().map(|m| m.spendable_rate(0, self.now)).sum();
         assert!(sum <= WHOLE, "at {} us all may spend {sum} of {WHOLE}", self.now);
     }
 
@@ -209,12 +211,15 @@
     for step in 0..1_500 {
         fleet.cut = (700..1_100).contains(&step).then_some(50);
         fleet.step(wants);
-        let least = (0..4).map(|n| fleet.members[n].spendable(0, fleet.now)).min().unwrap_or(0);
+        let least = (0..4).map(|n| fleet.members[n].spendable_rate(0, fleet.now)).min().unwrap_or(0);
         if step > 150 && least >= 5 * own && reached.is_none() {
             reached = Some(step);
         }
         for n in 0..100 {
-            assert!(fleet.members[n].spendable(0, fleet.now) >= own / 2 || step < 200, "the floor stays");
+            assert!(
+                fleet.members[n].spendable_rate(0, fleet.now) >= own / 2 || step < 200,
+                "the floor stays"
+            );
         }
     }
     let after = reached.expect("each of the four has five parts in the end") as u64 * STEP / MS;
