--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -346,7 +346,7 @@
         let mut zones = Zones::new(&operator.zones.clone().expect("[zones]"), module, &setup.zone, now);
         let names: BTreeSet<String> = setup.workers.iter().map(|(_, _, zone)| zone.clone()).collect();
         let executors: Vec<Executor> = setup.workers.iter().map(executor).collect();
-        zones.listed(&executors, &names.into_iter().collect::<Vec<_>>());
+        zones.set_executors(&executors, &names.into_iter().collect::<Vec<_>>());
         Member {
             machine: Membership::new(own, settings, Vec::new(), seed, now),
             socket,
@@ -389,7 +389,7 @@
                         self.machine.send_message(now, &note.from, overload::CHANNEL, answer);
                     }
                 }
-                zones::CHANNEL => self.zones.heard(now, &note.from, &note.bytes),
+                zones::CHANNEL => self.zones.handle_report(now, &note.from, &note.bytes),
                 _ => {}
             }
         }
@@ -452,8 +452,8 @@
                 if gone { (Outcome::ConnectFailed, 0, None) } else { (Outcome::Ok, 0, Some(ANSWER_US)) };
             let sent = now.saturating_sub(ANSWER_US);
             let worker: Arc<str> = name.as_str().into();
-            self.zones.seen(now, AttemptTrace { worker: worker.clone(), sent, end: None });
-            self.zones.seen(now, AttemptTrace { worker, sent, end: Some(end) });
+            self.zones.record_attempt(now, AttemptTrace { worker: worker.clone(), sent, end: None });
+            self.zones.record_attempt(now, AttemptTrace { worker, sent, end: Some(end) });
         }
     }
 
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -265,9 +265,9 @@
 fn read_zones(key: &Key) -> zones::Options {
     key.only(&["silent_ms", "stay_ms", "dwell_ms"]);
     zones::Options {
-        silent: key.get("silent_ms").between(50, 60_000, 1_000) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 2_000) * 1_000,
-        dwell: key.get("dwell_ms").between(50, 600_000, 500) * 1_000,
+        silence_us: key.get("silent_ms").between(50, 60_000, 1_000) * 1_000,
+        leave_us: key.get("stay_ms").between(100, 600_000, 2_000) * 1_000,
+        step_interval_us: key.get("dwell_ms").between(50, 600_000, 500) * 1_000,
     }
 }
 
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -62,7 +62,7 @@
             overload.set_workers(executors.iter().map(|e| e.id.clone()).collect());
         }
         if let Some(zones) = &mut self.zones {
-            zones.listed(&executors, &self.settings.vocabulary.zones);
+            zones.set_executors(&executors, &self.settings.vocabulary.zones);
         }
         self.engine.set_workers(self.now, entries);
     }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -60,7 +60,7 @@
                 },
                 AdminCommand::Zones => match &mut self.zones {
                     Some(zones) => (200, crate::zones::report(zones, self.now).to_string()),
-                    None => (404, crate::zones::ZoneError::Off.to_string()),
+                    None => (404, crate::zones::ZoneError::Disabled.to_string()),
                 },
                 AdminCommand::Zone(zone, order) => self.order_zone(&zone, order),
                 AdminCommand::Detach(id) => self.detach(&id),
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -21,7 +21,9 @@
                         peers.send_note(self.now, &from, overload::CHANNEL, answer);
                     }
                 }
-                zones::CHANNEL => self.zones.iter_mut().for_each(|z| z.heard(self.now, &from, &bytes)),
+                zones::CHANNEL => {
+                    self.zones.iter_mut().for_each(|z| z.handle_report(self.now, &from, &bytes))
+                }
                 _ => {}
             }
         }
@@ -35,7 +37,7 @@
         let previous = self.engine.replace_budget(Budget::default());
         let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &previous)).unwrap_or_default();
         if let Some(zones) = &mut self.zones {
-            next.zone_gates = zones.gates(self.now, &previous.zone_gates);
+            next.zone_gates = zones.request_gates(self.now, &previous.zone_gates);
         }
         self.engine.replace_budget(next);
         self.export_overload_counters();
--- a/src/node/zones.rs
+++ b/src/node/zones.rs
@@ -11,7 +11,7 @@
     pub(super) fn advance_zones(&mut self) {
         let Some(zones) = &mut self.zones else { return };
         for trace in self.engine.traces.drain(..) {
-            zones.seen(self.now, trace);
+            zones.record_attempt(self.now, trace);
         }
         if zones.due() <= self.now {
             let share = |parts: usize| 1_000_000 / parts.max(1) as u64;
@@ -32,7 +32,7 @@
                 }
             }
         }
-        let (left, moves) = zones.counts();
+        let (left, moves) = zones.restricted_zones_and_step_changes();
         self.counters.zones_left.set(left);
         self.counters.zones_moves.set(moves);
     }
@@ -40,8 +40,8 @@
     /// Carries out an operator's order on a zone; returns the status and text of the answer.
     pub(super) fn order_zone(&mut self, zone: &str, order: Option<(Order, u64)>) -> (u16, String) {
         let said = match &mut self.zones {
-            Some(zones) => zones.say(self.now, zone, order),
-            None => Err(ZoneError::Off),
+            Some(zones) => zones.set_order(self.now, zone, order),
+            None => Err(ZoneError::Disabled),
         };
         match said {
             Ok(()) => (200, "done".to_string()),
--- a/src/zones/mod.rs
+++ b/src/zones/mod.rs
@@ -30,10 +30,10 @@
 pub enum ZoneError {
     /// No executor is listed in the zone.
     #[error("no executor is listed in zone '{0}': `GET /_zones` names those that are")]
-    Unknown(String),
+    UnknownZone(String),
     /// Zone handling is disabled.
     #[error("zone handling is disabled: add [zones] to this dispatcher's operator's file and restart it")]
-    Off,
+    Disabled,
 }
 
 /// The state of the zones at one dispatcher.
@@ -54,7 +54,7 @@
     }
 
     /// Takes a new list of executors; `names` are the zones of the settings in order.
-    pub fn listed(&mut self, executors: &[Executor], names: &[String]) {
+    pub fn set_executors(&mut self, executors: &[Executor], names: &[String]) {
         let index = |e: &Executor| names.iter().position(|n| *n == e.zone).unwrap_or(names.len());
         self.indices = executors.iter().map(|e| (Arc::from(e.zone.as_str()), index(e))).collect();
         let list: Vec<(WorkerId, Arc<str>)> =
@@ -63,7 +63,7 @@
     }
 
     /// Records the start or the end of an attempt.
-    pub fn seen(&mut self, now: Micros, trace: AttemptTrace) {
+    pub fn record_attempt(&mut self, now: Micros, trace: AttemptTrace) {
         let AttemptTrace { worker, sent, end } = trace;
         let Some((outcome, kind, took)) = end else { return self.fleet_state.record_sent(now, &worker) };
         let end = match outcome {
@@ -79,7 +79,7 @@
     }
 
     /// Takes a report from a peer. The content is untrusted: it may be any bytes.
-    pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) {
+    pub fn handle_report(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) {
         if let Some(report) = Report::decode(bytes) {
             self.fleet_state.record_report(now, from, report);
         }
@@ -107,7 +107,11 @@
 
     /// Returns the number of requests that may go to each restricted zone now, by the zone's index in the settings;
     /// `last` is what the decision module sent through the previous gates.
-    pub fn gates(&mut self, now: Micros, last: &BTreeMap<usize, ZoneGate>) -> BTreeMap<usize, ZoneGate> {
+    pub fn request_gates(
+        &mut self,
+        now: Micros,
+        last: &BTreeMap<usize, ZoneGate>,
+    ) -> BTreeMap<usize, ZoneGate> {
         let mut gates = BTreeMap::new();
         for (zone, index) in &self.indices {
             if let Some(gate) = last.get(index).filter(|g| g.sent > 0) {
@@ -124,14 +128,19 @@
     }
 
     /// Applies an operator's order to a zone for a limited time; `None` cancels the order in force.
-    pub fn say(&mut self, now: Micros, zone: &str, order: Option<(Order, Micros)>) -> Result<(), ZoneError> {
+    pub fn set_order(
+        &mut self,
+        now: Micros,
+        zone: &str,
+        order: Option<(Order, Micros)>,
+    ) -> Result<(), ZoneError> {
         let until = order.map(|(order, duration)| (order, now + duration.min(MOST_ORDER)));
         let known = self.fleet_state.set_order(zone, until);
-        known.then_some(()).ok_or_else(|| ZoneError::Unknown(zone.to_string()))
+        known.then_some(()).ok_or_else(|| ZoneError::UnknownZone(zone.to_string()))
     }
 
     /// Returns the number of zones that receive less than their usual traffic, and the number of step changes.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn restricted_zones_and_step_changes(&self) -> (u64, u64) {
         let is_restricted = |(zone, restricted): (&Arc<str>, bool)| {
             restricted || self.fleet_state.state(zone).is_some_and(|p| p.step < TOP_STEP)
         };
