--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -1,7 +1,7 @@
 //! The admin protocol between the command line and a running service: the framing of the stream with other messages, and
 //! one request per connection. [`Client`] is its blocking client.
 
-use ochreward_stream::wire::{self, Fault, MOST_FRAME};
+use ochreward_stream::wire::{self, Fault, MAX_FRAME_BYTES};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::io::{self, Read, Write};
@@ -117,19 +117,19 @@
     }
 
     fn send(&mut self, ask: &Ask) -> Result<(), Error> {
-        Ok(self.stream.write_all(&wire::frame(ask))?)
+        Ok(self.stream.write_all(&wire::encode_frame(ask))?)
     }
 
     fn receive(&mut self) -> Result<Answer, Error> {
         let mut header = [0; 4];
         self.stream.read_exact(&mut header)?;
         let length = u32::from_be_bytes(header) as usize;
-        if length > MOST_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(Error::Nonsense);
         }
         let mut body = vec![0; length];
         self.stream.read_exact(&mut body)?;
-        wire::parse(&body).map_err(|_| Error::Nonsense)
+        wire::decode(&body).map_err(|_| Error::Nonsense)
     }
 
     /// Sends a request, preceded by its document if there is one, and returns the answer.
@@ -137,7 +137,7 @@
         let document = document.unwrap_or_default();
         let mut from = 0;
         while from < document.len() {
-            let text = wire::piece(document, from).to_string();
+            let text = wire::next_piece(document, from).to_string();
             from += text.len();
             self.send(&Ask::Piece { text })?;
         }
--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -127,7 +127,7 @@
             return Some(snapshot.clone());
         }
         let mut merged = json!({});
-        layers.iter().for_each(|(_, layer)| overlay::lay(&mut merged, layer));
+        layers.iter().for_each(|(_, layer)| overlay::merge(&mut merged, layer));
         let mut snapshot = Snapshot { version: published.version, resources: BTreeMap::new() };
         for kind in Kind::ALL {
             if let Some(value) = merged.get(kind.name()).filter(|v| !v.is_null()) {
@@ -154,8 +154,8 @@
         let published = self.versions.get(&number)?;
         let (mut merged, mut sources) = (json!({}), BTreeMap::new());
         for (name, layer) in layers(&published.document, instance, labels) {
-            overlay::lay(&mut merged, layer);
-            overlay::sources(layer, &name, &mut sources);
+            overlay::merge(&mut merged, layer);
+            overlay::record_sources(layer, &name, &mut sources);
         }
         let value =
             |path: &str| path.split('.').try_fold(&merged, |value, member| value.get(member)).cloned();
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -13,7 +13,7 @@
     Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring,
     SignalRequest, Signals,
 };
-use ochreward_stream::wire::{self, Entry, Fault, FromService, MOST_FRAME, ToService};
+use ochreward_stream::wire::{self, Entry, Fault, FromService, MAX_FRAME_BYTES, ToService};
 use ochreward_stream::{Kind, Snapshot};
 use serde_json::{Value, json};
 use slab::Slab;
@@ -28,8 +28,8 @@
 const CONNECTIONS: u8 = 2;
 
 /// The capacities of a connection's input and output rings, in bytes.
-const INPUT_RING_BYTES: usize = 2 * (MOST_FRAME + 4);
-const OUTPUT_RING_BYTES: usize = 4 * (MOST_FRAME + 4);
+const INPUT_RING_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
+const OUTPUT_RING_BYTES: usize = 4 * (MAX_FRAME_BYTES + 4);
 /// A connection that is neither a subscriber's nor a watching client's after this long is closed, in microseconds.
 const IDENTIFY_TIMEOUT_US: u64 = 5_000_000;
 /// A stream without a message for this number of heartbeat intervals is closed.
@@ -95,9 +95,9 @@
             let bytes = input.contiguous();
             let Some(body) = wire::body(bytes).map_err(|e| Malformed(e.0))? else { return Ok(()) };
             let size = body.len() + 4;
-            let message = match wire::parse(body) {
+            let message = match wire::decode(body) {
                 Ok(message) => Incoming::Stream(message),
-                Err(e) => Incoming::Admin(wire::parse(body).map_err(|_| Malformed(e.0))?),
+                Err(e) => Incoming::Admin(wire::decode(body).map_err(|_| Malformed(e.0))?),
             };
             out.push(message);
             input.consume(size);
@@ -312,7 +312,7 @@
         warn!(why, "refused a subscriber");
         self.service.lost(slot);
         if let Some(connection) = self.connections.get_mut(slot) {
-            let _ = connection.link.io.queue(&wire::frame(&FromService::Refused { why }));
+            let _ = connection.link.io.queue(&wire::encode_frame(&FromService::Refused { why }));
             (connection.closing, connection.outgoing, connection.link.handler.discard) = (true, None, true);
         }
     }
@@ -358,8 +358,8 @@
                 let Some(connection) = self.connections.get_mut(slot) else { return };
                 // A heartbeat that does not fit is dropped rather than closing the connection: a full output ring means
                 // that other data is being sent. Between two parts of an offer a heartbeat is harmless.
-                let fits = connection.link.io.queue(&wire::frame(&message));
-                if !fits && !matches!(message, FromService::Beat {}) {
+                let fits = connection.link.io.queue(&wire::encode_frame(&message));
+                if !fits && !matches!(message, FromService::Heartbeat {}) {
                     return self.close(slot);
                 }
                 self.send_pending(slot);
@@ -368,7 +368,7 @@
             Action::Close(slot) => self.close(slot),
             Action::Notify(event) => {
                 info!(target: "ochreward_control", "{event}");
-                let frame = wire::frame(&Answer::Event { event });
+                let frame = wire::encode_frame(&Answer::Event { event });
                 let watching: Vec<usize> = self
                     .connections
                     .iter()
@@ -403,7 +403,7 @@
         let entries: Vec<Entry> = snapshot.resources.iter().map(entry).collect();
         let kinds = entries.iter().filter(|e| e.sent).map(|e| e.kind).collect();
         let offer = FromService::Offer { nonce, version: snapshot.version, entries };
-        if !connection.link.io.queue(&wire::frame(&offer)) {
+        if !connection.link.io.queue(&wire::encode_frame(&offer)) {
             return self.close(slot);
         }
         connection.outgoing = Some(Outgoing::Offer { nonce, snapshot, kinds, at: 0 });
@@ -414,7 +414,7 @@
     fn send_pending(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         for _ in 0..MAX_FRAMES_PER_TURN {
-            if connection.link.io.unsent_bytes() + MOST_FRAME + 4 > OUTPUT_RING_BYTES {
+            if connection.link.io.unsent_bytes() + MAX_FRAME_BYTES + 4 > OUTPUT_RING_BYTES {
                 break;
             }
             let Some(outgoing) = &mut connection.outgoing else { break };
@@ -521,22 +521,22 @@
                 let nonce = *nonce;
                 let text = kinds.first().and_then(|k| Some((*k, &snapshot.resources.get(k)?.text)));
                 let Some((kind, text)) = text else {
-                    return (wire::frame(&FromService::End { nonce }), true);
+                    return (wire::encode_frame(&FromService::End { nonce }), true);
                 };
-                let piece = wire::piece(text, *at);
+                let piece = wire::next_piece(text, *at);
                 *at += piece.len();
                 if *at >= text.len() {
                     kinds.remove(0);
                     *at = 0;
                 }
-                (wire::frame(&FromService::Part { nonce, kind, text: piece.to_string() }), false)
+                (wire::encode_frame(&FromService::Part { nonce, kind, text: piece.to_string() }), false)
             }
             Outgoing::Answer { text, at, ok } => {
-                let piece = wire::piece(text, *at).to_string();
+                let piece = wire::next_piece(text, *at).to_string();
                 *at += piece.len();
                 let is_last = piece.is_empty();
                 let answer = if is_last { Answer::Done { ok: *ok } } else { Answer::Piece { text: piece } };
-                (wire::frame(&answer), is_last)
+                (wire::encode_frame(&answer), is_last)
             }
         }
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -322,7 +322,7 @@
         (known.view.last_heard, known.heard_ms) = (now.us, now.unix_ms);
         match message {
             ToService::Hello(_) => return Err(StreamError::SecondHello),
-            ToService::Beat { running, health } => {
+            ToService::Heartbeat { running, health } => {
                 known.health = health;
                 if running != known.running {
                     known.running = running;
@@ -500,7 +500,7 @@
 
     /// Sends a heartbeat to all subscribers.
     pub fn send_heartbeats(&mut self) {
-        self.actions.extend(self.streams.keys().map(|conn| Action::Send(*conn, FromService::Beat {})));
+        self.actions.extend(self.streams.keys().map(|conn| Action::Send(*conn, FromService::Heartbeat {})));
     }
 
     // ---- Versions ----
@@ -621,7 +621,7 @@
                     "running": text(i.running), "target": text(target), "offered": text(i.offered),
                     "acked": text(i.acked), "refused": refused.collect::<Vec<_>>(),
                     "heard_ms_ago": now.unix_ms.saturating_sub(i.heard_ms),
-                    "answers": i.health.answers, "bad": i.health.bad})
+                    "answers": i.health.answers, "bad": i.health.failed})
             })
             .collect();
         let rollout = self.rollout.as_ref().map(|r| {
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -146,7 +146,7 @@
                 self.instance_names.iter().map(|(c, n)| (*c, n.clone())).collect();
             for (conn, name) in conns {
                 let running = self.models[&name].running.as_ref().map(|r| r.version);
-                let beat = ToService::Beat { running, health: Health::default() };
+                let beat = ToService::Heartbeat { running, health: Health::default() };
                 let _ = self.service.received(self.now, conn, beat);
             }
             self.service.advance(self.now);
--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -40,7 +40,7 @@
     fn on_received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
         while let Some(body) = wire::body(input.contiguous()).map_err(|e| Malformed(e.0))? {
             let size = body.len() + 4;
-            out.push(wire::parse(body).map_err(|e| Malformed(e.0))?);
+            out.push(wire::decode(body).map_err(|e| Malformed(e.0))?);
             input.consume(size);
         }
         Ok(())
@@ -144,7 +144,7 @@
                     let _ = events.send(Event::Ran(Instant::now()));
                 }
                 if let Some(link) = &mut connection.link {
-                    let _ = link.io.queue(&wire::frame(&message));
+                    let _ = link.io.queue(&wire::encode_frame(&message));
                     let _ = link.flush(poll);
                 }
             }
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -20,4 +20,4 @@
 pub use backoff::Backoff;
 pub use snapshot::{Assembly, Resource, Snapshot, content_digest};
 pub use subscriber::{Memory, Step, Subscriber};
-pub use version::{Digest, Hasher, Kind, NoVersion, Version};
+pub use version::{Digest, Hasher, Kind, ParseVersionError, Version};
--- a/crates/stream/src/overlay.rs
+++ b/crates/stream/src/overlay.rs
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 
 /// Merges `overlay` into `base`; where both set a key, `overlay` wins.
-pub fn lay(base: &mut Value, overlay: &Value) {
+pub fn merge(base: &mut Value, overlay: &Value) {
     match (base, overlay) {
         (Value::Object(base), Value::Object(overlay)) => {
             for (name, value) in overlay {
-                lay(base.entry(name.clone()).or_insert(Value::Null), value);
+                merge(base.entry(name.clone()).or_insert(Value::Null), value);
             }
         }
         (base, overlay) => *base = overlay.clone(),
@@ -19,7 +19,7 @@
 }
 
 /// Records `layer` in `out` as the source of each key, as a path, that `overlay` sets.
-pub fn sources(overlay: &Value, layer: &str, out: &mut BTreeMap<String, String>) {
+pub fn record_sources(overlay: &Value, layer: &str, out: &mut BTreeMap<String, String>) {
     for_each_leaf(overlay, "", &mut |path, _| {
         // A value that replaces an object also replaces the keys inside it.
         let prefix = format!("{path}.");
--- a/crates/stream/src/overlay/tests.rs
+++ b/crates/stream/src/overlay/tests.rs
@@ -8,8 +8,8 @@
     let instance = json!({"a": {"c": [3]}, "e": {}});
     let (mut merged, mut layer_of_key) = (json!({}), BTreeMap::new());
     for (layer, value) in [("fleet", &fleet), ("zone", &zone), ("instance", &instance)] {
-        lay(&mut merged, value);
-        sources(value, layer, &mut layer_of_key);
+        merge(&mut merged, value);
+        record_sources(value, layer, &mut layer_of_key);
     }
     assert_eq!(merged, json!({"a": {"b": 2, "c": [3]}, "d": "x", "e": {}}));
     let layer_of_key: Vec<(&str, &str)> =
--- a/crates/stream/src/subscriber.rs
+++ b/crates/stream/src/subscriber.rs
@@ -12,7 +12,7 @@
 use crate::backoff::Backoff;
 use crate::snapshot::{Assembly, Snapshot, content_digest};
 use crate::trial::{Rules, TrialMonitor, Verdict};
-use crate::wire::{Code, Entry, Fault, FromService, Health, Hello, MOST_FAULTS, PROTOCOL, ToService};
+use crate::wire::{Code, Entry, Fault, FromService, Health, Hello, MAX_FAULTS, PROTOCOL, ToService};
 use crate::{Digest, Kind, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -265,7 +265,7 @@
             }
             Link::Up { last_received, beat_at, heartbeat } if heartbeat > 0 && now >= beat_at => {
                 self.link = Link::Up { last_received, beat_at: now + heartbeat, heartbeat };
-                self.send(ToService::Beat { running: self.version(), health });
+                self.send(ToService::Heartbeat { running: self.version(), health });
             }
             _ => {}
         }
@@ -321,7 +321,7 @@
             FromService::Offer { nonce, version, entries } => self.on_offer(now, nonce, version, entries),
             FromService::Part { nonce, kind, text } => self.on_part(now, nonce, kind, &text),
             FromService::End { nonce } => self.on_end(now, nonce),
-            FromService::Beat {} => {}
+            FromService::Heartbeat {} => {}
             FromService::Welcome { .. } => self.disconnect(now, Ending::Protocol("a second welcome")),
             FromService::Refused { .. } => self.disconnect(now, Ending::TurnedAway),
         }
@@ -376,7 +376,7 @@
     }
 
     fn nack(&mut self, ticket: Ticket, version: Version, code: Code, mut faults: Vec<Fault>) {
-        faults.truncate(MOST_FAULTS);
+        faults.truncate(MAX_FAULTS);
         self.steps.push_back(Step::TurnedDown(version, code, faults.clone()));
         if ticket.connection == self.connection && matches!(self.link, Link::Up { .. }) {
             self.send(ToService::Nack { nonce: ticket.nonce, version, code, faults });
--- a/crates/stream/src/trial.rs
+++ b/crates/stream/src/trial.rs
@@ -64,19 +64,19 @@
 fn difference(later: Health, earlier: Health) -> Health {
     Health {
         answers: later.answers.saturating_sub(earlier.answers),
-        bad: later.bad.saturating_sub(earlier.bad),
+        failed: later.failed.saturating_sub(earlier.failed),
     }
 }
 
 fn bad_share(health: Health) -> f64 {
-    health.bad as f64 / health.answers.max(1) as f64
+    health.failed as f64 / health.answers.max(1) as f64
 }
 
 /// Returns whether the second share is larger by more than the margin and the difference is significant.
 fn is_worse(before: Health, after: Health, margin: f64) -> bool {
     let beyond_margin = bad_share(after) - bad_share(before) - margin;
     let (answers_before, answers_after) = (before.answers as f64, after.answers as f64);
-    let pooled = (before.bad + after.bad) as f64 / (answers_before + answers_after);
+    let pooled = (before.failed + after.failed) as f64 / (answers_before + answers_after);
     let deviation = (pooled * (1.0 - pooled) * (1.0 / answers_before + 1.0 / answers_after)).sqrt();
     beyond_margin > 0.0 && bad_share(after) - bad_share(before) > SIGNIFICANT_DEVIATIONS * deviation
 }
--- a/crates/stream/src/trial/tests.rs
+++ b/crates/stream/src/trial/tests.rs
@@ -8,13 +8,13 @@
     for bad in before {
         assert_eq!(monitor.sample(now, health), None);
         now += 100;
-        health = Health { answers: health.answers + 100, bad: health.bad + bad };
+        health = Health { answers: health.answers + 100, failed: health.failed + bad };
     }
     monitor.sample(now, health);
     monitor.begin(now, health);
     after.iter().find_map(|bad| {
         now += 100;
-        health = Health { answers: health.answers + 100, bad: health.bad + bad };
+        health = Health { answers: health.answers + 100, failed: health.failed + bad };
         monitor.sample(now, health)
     })
 }
@@ -41,7 +41,7 @@
     assert_eq!(run_trial(&[], &[100; 11]), Some(Verdict::Untested));
     let mut monitor = TrialMonitor::new(RULES);
     monitor.begin(0, Health::default());
-    assert_eq!(monitor.sample(1_000, Health { answers: 10, bad: 10 }), Some(Verdict::Untested));
+    assert_eq!(monitor.sample(1_000, Health { answers: 10, failed: 10 }), Some(Verdict::Untested));
 }
 
 #[test]
@@ -52,10 +52,10 @@
         health.answers += 100;
     }
     monitor.begin(1_200, health);
-    health = Health { answers: health.answers + 40, bad: 40 };
+    health = Health { answers: health.answers + 40, failed: 40 };
     monitor.begin(1_250, health);
     for step in 0..2 {
-        health = Health { answers: health.answers + 100, bad: health.bad + 50 };
+        health = Health { answers: health.answers + 100, failed: health.failed + 50 };
         let verdict = monitor.sample(1_300 + step * 100, health);
         assert_eq!(verdict.is_some(), step == 1, "{verdict:?}");
     }
--- a/crates/stream/src/version.rs
+++ b/crates/stream/src/version.rs
@@ -72,19 +72,19 @@
 /// The error for text that does not parse as a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid version: expected EPOCH.NUMBER, such as 3.17")]
-pub struct NoVersion;
+pub struct ParseVersionError;
 
 impl FromStr for Version {
-    type Err = NoVersion;
+    type Err = ParseVersionError;
 
-    fn from_str(text: &str) -> Result<Version, NoVersion> {
-        let (epoch, number) = text.split_once('.').ok_or(NoVersion)?;
+    fn from_str(text: &str) -> Result<Version, ParseVersionError> {
+        let (epoch, number) = text.split_once('.').ok_or(ParseVersionError)?;
         // `u64::from_str` accepts a leading `+`, which `Display` never writes.
         let parse_digits =
             |text: &str| text.parse().ok().filter(|_| text.bytes().all(|byte| byte.is_ascii_digit()));
         Ok(Version {
-            epoch: parse_digits(epoch).ok_or(NoVersion)?,
-            number: parse_digits(number).ok_or(NoVersion)?,
+            epoch: parse_digits(epoch).ok_or(ParseVersionError)?,
+            number: parse_digits(number).ok_or(ParseVersionError)?,
         })
     }
 }
--- a/crates/stream/src/wire.rs
+++ b/crates/stream/src/wire.rs
@@ -1,5 +1,5 @@
 //! The messages of the configuration stream and their framing: a length of four bytes, big-endian, then a JSON object
-//! of at most [`MOST_FRAME`] bytes.
+//! of at most [`MAX_FRAME_BYTES`] bytes.
 //!
 //! `docs/protocol/control.md` specifies the protocol for implementers.
 
@@ -11,12 +11,12 @@
 /// The protocol version; a peer with another version is refused.
 pub const PROTOCOL: u32 = 1;
 /// The maximum length of a frame's body, in bytes.
-pub const MOST_FRAME: usize = 128 * 1024;
+pub const MAX_FRAME_BYTES: usize = 128 * 1024;
 /// The maximum length of the text in one part, in bytes. JSON escapes a byte to at most six bytes, so that any text of
 /// this length fits a frame.
 pub const PIECE_BYTES: usize = 16 * 1024;
 /// The maximum number of faults in one NACK; further faults are omitted.
-pub const MOST_FAULTS: usize = 50;
+pub const MAX_FAULTS: usize = 50;
 
 /// An error in a version: the faulty key and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -63,7 +63,8 @@
     /// All final answers.
     pub answers: u64,
     /// Final answers that were refusals or failures.
-    pub bad: u64,
+    #[serde(rename = "bad")]
+    pub failed: u64,
 }
 
 /// The resource that a subscriber holds for one type.
@@ -150,7 +151,8 @@
         why: String,
     },
     /// A heartbeat.
-    Beat {
+    #[serde(rename = "beat")]
+    Heartbeat {
         /// The running version.
         running: Option<Version>,
         /// The instance's counts of final answers.
@@ -197,7 +199,8 @@
         nonce: u64,
     },
     /// A heartbeat.
-    Beat {},
+    #[serde(rename = "beat")]
+    Heartbeat {},
     /// The service refuses this subscriber and closes the connection.
     Refused {
         /// The reason.
@@ -208,10 +211,10 @@
 /// The error for bytes that are not a frame of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}: check that both ends run the same version and that the address is the control service's")]
-pub struct BadFrame(pub &'static str);
+pub struct InvalidFrame(pub &'static str);
 
 /// Encodes a message as a frame.
-pub fn frame(message: &impl Serialize) -> Vec<u8> {
+pub fn encode_frame(message: &impl Serialize) -> Vec<u8> {
     let mut out = vec![0; 4];
     // Serialisation can't fail here: writes to memory always succeed and all map keys are strings.
     let _ = serde_json::to_writer(&mut out, message);
@@ -222,22 +225,22 @@
 
 /// Returns the body of the first frame in `bytes`, or `None` while it is incomplete. The frame is 4 bytes longer than
 /// its body.
-pub fn body(bytes: &[u8]) -> Result<Option<&[u8]>, BadFrame> {
+pub fn body(bytes: &[u8]) -> Result<Option<&[u8]>, InvalidFrame> {
     let Some((head, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length == 0 || length > MOST_FRAME {
-        return Err(BadFrame("frame length out of bounds"));
+    if length == 0 || length > MAX_FRAME_BYTES {
+        return Err(InvalidFrame("frame length out of bounds"));
     }
     Ok(rest.get(..length))
 }
 
 /// Parses a frame's body.
-pub fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, BadFrame> {
-    serde_json::from_slice(body).map_err(|_| BadFrame("unreadable message"))
+pub fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, InvalidFrame> {
+    serde_json::from_slice(body).map_err(|_| InvalidFrame("unreadable message"))
 }
 
 /// Returns the piece of `text` that begins at byte `from`, cut at a character boundary.
-pub fn piece(text: &str, from: usize) -> &str {
+pub fn next_piece(text: &str, from: usize) -> &str {
     let mut end = text.len().min(from + PIECE_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
--- a/crates/stream/tests/subscriber.rs
+++ b/crates/stream/tests/subscriber.rs
@@ -3,7 +3,7 @@
 
 use ochreward_stream::subscriber::{Ending, Leader, Options, Ticket};
 use ochreward_stream::trial::Rules;
-use ochreward_stream::wire::{Code, Entry, Fault, FromService, Health, PROTOCOL, ToService, piece};
+use ochreward_stream::wire::{Code, Entry, Fault, FromService, Health, PROTOCOL, ToService, next_piece};
 use ochreward_stream::{Digest, Kind, Memory, Resource, Snapshot, Step, Subscriber, Version};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -56,7 +56,7 @@
     for (kind, r) in of.resources.iter().filter(|_| sent) {
         let mut from = 0;
         while from < r.text.len() {
-            let text = piece(&r.text, from).to_string();
+            let text = next_piece(&r.text, from).to_string();
             from += text.len();
             out.push(FromService::Part { nonce, kind: *kind, text });
         }
@@ -232,7 +232,7 @@
     let serve = |harness: &mut Harness, steps: usize, bad: u64| {
         for _ in 0..steps {
             harness.health.answers += 100;
-            harness.health.bad += bad;
+            harness.health.failed += bad;
             harness.advance_by(10_000);
         }
     };
@@ -258,7 +258,7 @@
         Subscriber::new(options(false), 0, Memory::default(), Some(snapshot(version(1, 1), 1)), None);
     assert!(subscriber.on_trial());
     for step in 0..30 {
-        subscriber.advance(step * 10_000, Health { answers: step * 100, bad: step * 100 });
+        subscriber.advance(step * 10_000, Health { answers: step * 100, failed: step * 100 });
     }
     assert!(subscriber.steps.iter().any(|s| matches!(s, Step::Keep(..))));
 }
@@ -406,7 +406,7 @@
             Op::Advance { time, answers, bad } => {
                 self.now += time;
                 self.health.answers += answers;
-                self.health.bad += bad;
+                self.health.failed += bad;
                 self.subscriber.advance(self.now, self.health);
             }
             Op::Unexpected(what) if self.up => {
@@ -414,7 +414,7 @@
                     0 => FromService::End { nonce: 999 },
                     1 => FromService::Part { nonce: 999, kind: Kind::Bans, text: "{}".into() },
                     2 => welcome(1, "a"),
-                    _ => FromService::Beat {},
+                    _ => FromService::Heartbeat {},
                 };
                 self.subscriber.received(self.now, message);
             }
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -12,7 +12,7 @@
 use ochreward_stream::last_good::LastGood;
 use ochreward_stream::subscriber::{Memory, Options, Step, Subscriber, Ticket};
 use ochreward_stream::trial::{Rules, Verdict};
-use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MOST_FRAME};
+use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MAX_FRAME_BYTES};
 use ochreward_stream::{Snapshot, Version};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -24,8 +24,8 @@
 use tracing::{info, warn};
 
 /// The sizes of the buffers for received and sent messages, in bytes.
-const INPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
-const OUTPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
+const INPUT_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
+const OUTPUT_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
 /// The largest version accepted, whatever the memory limit.
 const MAX_VERSION_BYTES: u64 = 16 << 20;
 /// A version may take the memory limit divided by this.
@@ -43,7 +43,7 @@
                 return Ok(());
             };
             let size = body.len() + 4;
-            out.push(wire::parse(body).map_err(|e| Malformed(e.0))?);
+            out.push(wire::decode(body).map_err(|e| Malformed(e.0))?);
             input.consume(size);
         }
     }
@@ -220,7 +220,7 @@
         }
         let counters = &self.counters;
         let bad = counters.answers_refused.get() + counters.answers_failed.get();
-        let health = Health { answers: counters.answers_served.get() + bad, bad };
+        let health = Health { answers: counters.answers_served.get() + bad, failed: bad };
         self.subscriber.advance(now, health);
         self.run_steps(poll, now);
     }
@@ -351,7 +351,7 @@
                 }
                 Step::Send(message) => {
                     let Some(link) = &mut self.link else { continue };
-                    let frame = wire::frame(&message);
+                    let frame = wire::encode_frame(&message);
                     add(&self.counters.stream_sent_bytes, frame.len());
                     if !link.io.queue(&frame) || link.flush(poll).is_err() {
                         count(&self.counters.stream_closes);
--- a/tests/sockets/versions.rs
+++ b/tests/sockets/versions.rs
@@ -274,7 +274,7 @@
 
 impl Peer {
     fn send(&mut self, message: &FromService) {
-        self.stream.write_all(&wire::frame(message)).expect("sent");
+        self.stream.write_all(&wire::encode_frame(message)).expect("sent");
     }
 
     /// The next message; none once the connection has ended.
@@ -283,7 +283,7 @@
         self.stream.read_exact(&mut head).ok()?;
         let mut body = vec![0; u32::from_be_bytes(head) as usize];
         self.stream.read_exact(&mut body).ok()?;
-        Some(wire::parse(&body).expect("a message"))
+        Some(wire::decode(&body).expect("a message"))
     }
 
     fn messages(&mut self, version: Version, text: &str) -> Vec<FromService> {
@@ -293,7 +293,7 @@
         let mut out = vec![FromService::Offer { nonce, version, entries: vec![entry] }];
         let mut from = 0;
         while from < text.len() {
-            let piece = wire::piece(text, from).to_string();
+            let piece = wire::next_piece(text, from).to_string();
             from += piece.len();
             out.push(FromService::Part { nonce, kind, text: piece });
         }
@@ -314,7 +314,7 @@
             match self.receive().expect("an answer") {
                 ToService::Ack { nonce, .. } if nonce == self.nonce => return None,
                 ToService::Nack { nonce, code, .. } if nonce == self.nonce => return Some(code),
-                ToService::Beat { .. } | ToService::Reverted { .. } => {}
+                ToService::Heartbeat { .. } | ToService::Reverted { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -356,7 +356,7 @@
     // Truncated: the connection ends in the middle of a version, and the next one is another's.
     let messages = peer.messages(v(1, 10), &bound(800));
     peer.send(&messages[0]);
-    let half = wire::frame(&messages[1]);
+    let half = wire::encode_frame(&messages[1]);
     peer.stream.write_all(&half[..half.len() / 2]).expect("sent");
     drop(peer);
     // Oversize: what is announced is never allocated, what is no frame ends the connection.
@@ -656,7 +656,7 @@
     // It says hello and then takes its version slowly; its rings stay bounded, and others are served.
     let mut slow = TcpStream::connect(control.program.address).expect("a connection");
     let hello = json!({"type": "hello", "protocol": PROTOCOL, "instance": "slow", "running": null});
-    slow.write_all(&wire::frame(&hello)).expect("sent");
+    slow.write_all(&wire::encode_frame(&hello)).expect("sent");
     until("known", || (control.status()["instances"].as_array()?.len() == 1).then_some(()));
     let program = bed.start(&[control.program.address], "trial_ms = 0");
     let ids: Vec<String> = (0..4_000).map(|n| format!("{n:0100}")).collect();
