--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -5,7 +5,7 @@
 use ochreward_stream::subscriber::Options;
 use ochreward_stream::trial::Rules;
 use ochreward_stream::wire::{self, FromService, Health, ToService};
-use ochreward_stream::{Memory, Step, Subscriber};
+use ochreward_stream::{Action, Subscriber, SubscriberState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -75,7 +75,7 @@
                 seed: n as u64,
             };
             SubscriberConnection {
-                subscriber: Subscriber::new(options, 0, Memory::default(), None, None),
+                subscriber: Subscriber::new(options, 0, SubscriberState::default(), None, None),
                 link: None,
             }
         };
@@ -102,18 +102,18 @@
                 let ended =
                     link.handle_event(&mut self.poll, ready, &mut messages).is_err() || link.io.read_closed;
                 if was_connecting && !ended && !link.io.connecting() {
-                    connection.subscriber.connected_now(now);
+                    connection.subscriber.on_connected(now);
                     let _ = events.send(Event::Up(Instant::now()));
                 }
-                messages.into_iter().for_each(|m| connection.subscriber.received(now, m));
+                messages.into_iter().for_each(|m| connection.subscriber.on_message(now, m));
                 if ended {
                     connection.link = None;
-                    connection.subscriber.lost(now);
+                    connection.subscriber.on_connection_lost(now);
                 }
             }
             for slot in 0..self.streams.len() {
                 let connection = &mut self.streams[slot];
-                if now >= connection.subscriber.due() {
+                if now >= connection.subscriber.next_due() {
                     connection.subscriber.advance(now, Health::default());
                 }
                 perform_steps(&mut self.poll, connection, slot, now, events);
@@ -131,15 +131,15 @@
 ) {
     while let Some(step) = connection.subscriber.steps.pop_front() {
         match step {
-            Step::Connect(to) => {
+            Action::Connect(to) => {
                 let token = poll.token(0, slot);
                 match Connection::connect(poll, to, token, FrameParser, (1 << 19, 1 << 19)) {
                     Ok(link) => connection.link = Some(link),
-                    Err(_) => connection.subscriber.lost(now),
+                    Err(_) => connection.subscriber.on_connection_lost(now),
                 }
             }
-            Step::Disconnect(_) => connection.link = None,
-            Step::Send(message) => {
+            Action::Disconnect(_) => connection.link = None,
+            Action::Send(message) => {
                 if matches!(message, ToService::Ack { .. }) {
                     let _ = events.send(Event::Ran(Instant::now()));
                 }
@@ -148,8 +148,8 @@
                     let _ = link.flush(poll);
                 }
             }
-            Step::Check(ticket, _) => connection.subscriber.checked(ticket, Ok(())),
-            Step::Apply(ticket, _) => connection.subscriber.applied(now, ticket, Ok(())),
+            Action::Check(ticket, _) => connection.subscriber.on_checked(ticket, Ok(())),
+            Action::Apply(ticket, _) => connection.subscriber.on_applied(now, ticket, Ok(())),
             _ => {}
         }
     }
--- a/crates/stream/src/last_good.rs
+++ b/crates/stream/src/last_good.rs
@@ -1,12 +1,12 @@
 //! The versions that a subscriber stores on disk: the last good one, the previous good one, the one on trial, and the
-//! subscriber's [`Memory`].
+//! subscriber's [`SubscriberState`].
 //!
 //! Each has its own file, which is written under a temporary name, synced and renamed into place, so that a crash or
 //! power failure leaves either the old or the new file. The layout is magic (8 bytes), format version and CRC-32 of the
 //! body (4 bytes each, little-endian), length of the body (8 bytes, little-endian), and the body, a JSON object. A file
 //! that is truncated, foreign, damaged or of a later format is never used.
 
-use crate::subscriber::Memory;
+use crate::subscriber::SubscriberState;
 use crate::{Snapshot, Version};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -220,12 +220,12 @@
     }
 
     /// Stores the subscriber's memory.
-    pub fn remember(&self, memory: &Memory) -> io::Result<()> {
+    pub fn remember(&self, memory: &SubscriberState) -> io::Result<()> {
         self.write(MEMORY, memory)
     }
 
     /// Loads the subscriber's memory.
-    pub fn memory(&self) -> Result<Memory, Unusable> {
+    pub fn memory(&self) -> Result<SubscriberState, Unusable> {
         self.read(MEMORY)
     }
 }
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -19,5 +19,5 @@
 
 pub use backoff::Backoff;
 pub use snapshot::{Assembly, Resource, Snapshot, content_digest};
-pub use subscriber::{Memory, Step, Subscriber};
+pub use subscriber::{Action, Subscriber, SubscriberState};
 pub use version::{Digest, Hasher, Kind, ParseVersionError, Version};
--- a/crates/stream/src/subscriber.rs
+++ b/crates/stream/src/subscriber.rs
@@ -1,7 +1,7 @@
 //! The subscriber's state machine: decides which service to follow and which version to accept, reject, keep or roll
 //! back.
 //!
-//! Its inputs are events (connections, messages, results of checks, the passing of time); its outputs are [`Step`]s for
+//! Its inputs are events (connections, messages, results of checks, the passing of time); its outputs are [`Action`]s for
 //! the caller to carry out. It uses no socket, no disk and no clock. Whatever the service sends, these invariants hold:
 //!
 //! - only a version that was checked is applied;
@@ -50,7 +50,7 @@
 
 /// A control service that this subscriber has followed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leader {
+pub struct FollowedService {
     /// The service's epoch.
     pub epoch: u64,
     /// The id of the service's store.
@@ -59,9 +59,9 @@
 
 /// The state that must survive a restart of the process, besides the versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct SubscriberState {
     /// The service with the highest epoch that has been followed.
-    pub leader: Leader,
+    pub leader: FollowedService,
     /// The highest version that has run.
     pub highest: Version,
     /// The content digest of that version.
@@ -72,7 +72,7 @@
 
 /// Identifies an offer: the connection on which it arrived, and its nonce on that connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket {
+pub struct OfferId {
     /// The number of the connection, counted from 1.
     pub connection: u64,
     /// The offer's nonce.
@@ -81,7 +81,7 @@
 
 /// The reason why the subscriber closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CloseReason {
     /// The connection was not established in time.
     NeverUp,
     /// No message arrived for too long.
@@ -98,25 +98,25 @@
 
 /// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Action {
     /// Connect to a service.
     Connect(SocketAddr),
     /// Close the connection.
-    Disconnect(Ending),
+    Disconnect(CloseReason),
     /// Send a message.
     Send(ToService),
     /// Check a version, store it as the one on trial, and report the result with `checked`.
-    Check(Ticket, Arc<Snapshot>),
+    Check(OfferId, Arc<Snapshot>),
     /// Apply a version that was checked, and report the result with `applied`.
-    Apply(Ticket, Arc<Snapshot>),
+    Apply(OfferId, Arc<Snapshot>),
     /// Promote the version on trial to the last good one.
-    Keep(Version, Verdict),
+    Promote(Version, Verdict),
     /// Roll back from the given version to the last good one, or with `None` to the instance's own file.
-    Return(Option<Arc<Snapshot>>, Version, Verdict),
+    RollBack(Option<Arc<Snapshot>>, Version, Verdict),
     /// Store the memory.
-    Remember(Memory),
+    StoreState(SubscriberState),
     /// Log that a version was rejected.
-    TurnedDown(Version, Code, Vec<Fault>),
+    Rejected(Version, Code, Vec<Fault>),
 }
 
 /// The state of the connection to a service.
@@ -139,7 +139,7 @@
     service_index: usize,
     connection: u64,
     backoff: Backoff,
-    memory: Memory,
+    memory: SubscriberState,
     running: Option<Arc<Snapshot>>,
     last_good: Option<Arc<Snapshot>>,
     last_nonce: u64,
@@ -147,14 +147,14 @@
     /// The nonce of a rejected offer whose parts are still arriving.
     rejected_nonce: Option<u64>,
     /// The version that is being checked, or was checked and is being applied.
-    checking: Option<(Ticket, Arc<Snapshot>)>,
+    checking: Option<(OfferId, Arc<Snapshot>)>,
     /// The complete version that is checked next.
-    pending_check: Option<(Ticket, Arc<Snapshot>)>,
+    pending_check: Option<(OfferId, Arc<Snapshot>)>,
     trial: TrialMonitor,
     health: Health,
     last_service_message_at: Option<u64>,
     /// The actions to carry out, in order.
-    pub steps: VecDeque<Step>,
+    pub steps: VecDeque<Action>,
 }
 
 impl Subscriber {
@@ -163,7 +163,7 @@
     pub fn new(
         options: Options,
         now: u64,
-        memory: Memory,
+        memory: SubscriberState,
         running: Option<Snapshot>,
         good: Option<Snapshot>,
     ) -> Subscriber {
@@ -211,7 +211,7 @@
     }
 
     /// Returns the last good version.
-    pub fn good(&self) -> Option<Version> {
+    pub fn last_good_version(&self) -> Option<Version> {
         self.last_good.as_ref().map(|g| g.version)
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Returns the state that must survive a restart.
-    pub fn memory(&self) -> &Memory {
+    pub fn memory(&self) -> &SubscriberState {
         &self.memory
     }
 
@@ -236,7 +236,7 @@
     }
 
     /// Returns when `advance` next has something to do.
-    pub fn due(&self) -> u64 {
+    pub fn next_due(&self) -> u64 {
         let times_out = |since: u64| since + self.options.silence;
         let link = match self.link {
             Link::Down { retry_at } => retry_at,
@@ -255,13 +255,13 @@
             Link::Down { retry_at } if now >= retry_at && !self.options.services.is_empty() => {
                 self.link = Link::Connecting { since: now };
                 self.connection += 1;
-                self.steps.push_back(Step::Connect(self.options.services[self.service_index]));
+                self.steps.push_back(Action::Connect(self.options.services[self.service_index]));
             }
             Link::Connecting { since } if now >= since + self.options.silence => {
-                self.disconnect(now, Ending::NeverUp)
+                self.disconnect(now, CloseReason::NeverUp)
             }
             Link::Up { last_received, .. } if now >= last_received + self.options.silence => {
-                self.disconnect(now, Ending::Silent)
+                self.disconnect(now, CloseReason::Silent)
             }
             Link::Up { last_received, beat_at, heartbeat } if heartbeat > 0 && now >= beat_at => {
                 self.link = Link::Up { last_received, beat_at: now + heartbeat, heartbeat };
@@ -275,13 +275,13 @@
     }
 
     fn send(&mut self, message: ToService) {
-        self.steps.push_back(Step::Send(message));
+        self.steps.push_back(Action::Send(message));
     }
 
     // ---- The connection ----
 
     /// Handles an established connection: sends the `Hello`.
-    pub fn connected_now(&mut self, now: u64) {
+    pub fn on_connected(&mut self, now: u64) {
         self.link = Link::Up { last_received: now, beat_at: u64::MAX, heartbeat: 0 };
         (self.last_nonce, self.assembly, self.rejected_nonce) = (0, None, None);
         self.send(ToService::Hello(Hello {
@@ -297,20 +297,20 @@
     }
 
     /// Handles a connection that was lost or could not be established: the next service is tried after a backoff.
-    pub fn lost(&mut self, now: u64) {
+    pub fn on_connection_lost(&mut self, now: u64) {
         // A check in progress continues, and its version may still be applied; only its ACK can't be sent any more.
         (self.assembly, self.rejected_nonce, self.pending_check) = (None, None, None);
         self.service_index = (self.service_index + 1) % self.options.services.len().max(1);
         self.link = Link::Down { retry_at: now + self.backoff.next_wait() };
     }
 
-    fn disconnect(&mut self, now: u64, why: Ending) {
-        self.steps.push_back(Step::Disconnect(why));
-        self.lost(now);
+    fn disconnect(&mut self, now: u64, why: CloseReason) {
+        self.steps.push_back(Action::Disconnect(why));
+        self.on_connection_lost(now);
     }
 
     /// Handles a message from the service.
-    pub fn received(&mut self, now: u64, message: FromService) {
+    pub fn on_message(&mut self, now: u64, message: FromService) {
         let Link::Up { beat_at, heartbeat, .. } = self.link else { return };
         self.link = Link::Up { last_received: now, beat_at, heartbeat };
         if heartbeat == 0 {
@@ -322,8 +322,8 @@
             FromService::Part { nonce, kind, text } => self.on_part(now, nonce, kind, &text),
             FromService::End { nonce } => self.on_end(now, nonce),
             FromService::Heartbeat {} => {}
-            FromService::Welcome { .. } => self.disconnect(now, Ending::Protocol("a second welcome")),
-            FromService::Refused { .. } => self.disconnect(now, Ending::TurnedAway),
+            FromService::Welcome { .. } => self.disconnect(now, CloseReason::Protocol("a second welcome")),
+            FromService::Refused { .. } => self.disconnect(now, CloseReason::TurnedAway),
         }
     }
 
@@ -332,23 +332,23 @@
     fn on_first_message(&mut self, now: u64, message: FromService) {
         let FromService::Welcome { protocol, store, epoch, heartbeat_us } = message else {
             let refused = matches!(message, FromService::Refused { .. });
-            let why = if refused { Ending::TurnedAway } else { Ending::Protocol("no welcome") };
+            let why = if refused { CloseReason::TurnedAway } else { CloseReason::Protocol("no welcome") };
             return self.disconnect(now, why);
         };
         let leader = &self.memory.leader;
         let why = if protocol != PROTOCOL || heartbeat_us == 0 {
-            Some(Ending::Protocol("another version of the protocol"))
+            Some(CloseReason::Protocol("another version of the protocol"))
         } else if epoch < leader.epoch {
-            Some(Ending::OlderEpoch)
+            Some(CloseReason::OlderEpoch)
         } else if epoch == leader.epoch && store != leader.store && !leader.store.is_empty() {
-            Some(Ending::Rival)
+            Some(CloseReason::Rival)
         } else {
             None
         };
         if let Some(why) = why {
             return self.disconnect(now, why);
         }
-        let leader = Leader { epoch, store };
+        let leader = FollowedService { epoch, store };
         if leader != self.memory.leader {
             self.memory.leader = leader;
             self.remember();
@@ -360,24 +360,24 @@
     }
 
     fn remember(&mut self) {
-        self.steps.push_back(Step::Remember(self.memory.clone()));
+        self.steps.push_back(Action::StoreState(self.memory.clone()));
     }
 
     // ---- Versions ----
 
-    fn ticket(&self, nonce: u64) -> Ticket {
-        Ticket { connection: self.connection, nonce }
+    fn ticket(&self, nonce: u64) -> OfferId {
+        OfferId { connection: self.connection, nonce }
     }
 
-    fn ack(&mut self, ticket: Ticket, version: Version) {
+    fn ack(&mut self, ticket: OfferId, version: Version) {
         if ticket.connection == self.connection && matches!(self.link, Link::Up { .. }) {
             self.send(ToService::Ack { nonce: ticket.nonce, version });
         }
     }
 
-    fn nack(&mut self, ticket: Ticket, version: Version, code: Code, mut faults: Vec<Fault>) {
+    fn nack(&mut self, ticket: OfferId, version: Version, code: Code, mut faults: Vec<Fault>) {
         faults.truncate(MAX_FAULTS);
-        self.steps.push_back(Step::TurnedDown(version, code, faults.clone()));
+        self.steps.push_back(Action::Rejected(version, code, faults.clone()));
         if ticket.connection == self.connection && matches!(self.link, Link::Up { .. }) {
             self.send(ToService::Nack { nonce: ticket.nonce, version, code, faults });
         }
@@ -401,7 +401,7 @@
 
     fn on_offer(&mut self, now: u64, nonce: u64, version: Version, entries: Vec<Entry>) {
         if nonce <= self.last_nonce {
-            return self.disconnect(now, Ending::Protocol("a nonce that does not go up"));
+            return self.disconnect(now, CloseReason::Protocol("a nonce that does not go up"));
         }
         self.last_nonce = nonce;
         self.rejected_nonce = None;
@@ -437,7 +437,7 @@
             return;
         }
         let Some(assembly) = self.assembly.as_mut().filter(|a| a.nonce == nonce) else {
-            return self.disconnect(now, Ending::Protocol("a part of nothing"));
+            return self.disconnect(now, CloseReason::Protocol("a part of nothing"));
         };
         if let Err((code, fault)) = assembly.add_part(kind, text) {
             let version = assembly.version;
@@ -452,7 +452,7 @@
             return;
         }
         let Some(assembly) = self.assembly.take_if(|a| a.nonce == nonce) else {
-            return self.disconnect(now, Ending::Protocol("an end of nothing"));
+            return self.disconnect(now, CloseReason::Protocol("an end of nothing"));
         };
         let (ticket, version) = (self.ticket(nonce), assembly.version);
         match assembly.finish() {
@@ -484,27 +484,27 @@
             return self.ack(ticket, snapshot.version);
         }
         self.checking = Some((ticket, snapshot.clone()));
-        self.steps.push_back(Step::Check(ticket, snapshot));
+        self.steps.push_back(Action::Check(ticket, snapshot));
     }
 
-    /// Handles the result of [`Step::Check`]: the check of a version and its storage on disk.
-    pub fn checked(&mut self, ticket: Ticket, result: Result<(), (Code, Vec<Fault>)>) {
+    /// Handles the result of [`Action::Check`]: the check of a version and its storage on disk.
+    pub fn on_checked(&mut self, ticket: OfferId, result: Result<(), (Code, Vec<Fault>)>) {
         let Some((_, snapshot)) = self.checking.as_ref().filter(|(t, _)| *t == ticket) else { return };
         match result {
-            Ok(()) => self.steps.push_back(Step::Apply(ticket, snapshot.clone())),
+            Ok(()) => self.steps.push_back(Action::Apply(ticket, snapshot.clone())),
             Err((code, faults)) => self.reject_checked(ticket, code, faults),
         }
     }
 
-    fn reject_checked(&mut self, ticket: Ticket, code: Code, faults: Vec<Fault>) {
+    fn reject_checked(&mut self, ticket: OfferId, code: Code, faults: Vec<Fault>) {
         if let Some((_, snapshot)) = self.checking.take() {
             self.nack(ticket, snapshot.version, code, faults);
         }
         self.check_next();
     }
 
-    /// Handles the result of [`Step::Apply`]: the version is in use, or could not be applied.
-    pub fn applied(&mut self, now: u64, ticket: Ticket, result: Result<(), (Code, Vec<Fault>)>) {
+    /// Handles the result of [`Action::Apply`]: the version is in use, or could not be applied.
+    pub fn on_applied(&mut self, now: u64, ticket: OfferId, result: Result<(), (Code, Vec<Fault>)>) {
         if self.checking.as_ref().is_none_or(|(t, _)| *t != ticket) {
             return;
         }
@@ -535,7 +535,7 @@
         // Without a version or a file to roll back to, a worse version is better than none.
         if !worse || (self.last_good.is_none() && !self.options.has_base) {
             self.last_good = Some(running);
-            return self.steps.push_back(Step::Keep(version, verdict));
+            return self.steps.push_back(Action::Promote(version, verdict));
         }
         self.running = self.last_good.clone();
         self.memory.refused.push_back(version);
@@ -550,7 +550,7 @@
             ),
             Verdict::Passed | Verdict::Untested => String::new(),
         };
-        self.steps.push_back(Step::Return(self.running.clone(), version, verdict));
+        self.steps.push_back(Action::RollBack(self.running.clone(), version, verdict));
         self.remember();
         if self.connected() {
             self.send(ToService::Reverted { version, running: self.version(), why });
@@ -558,7 +558,7 @@
     }
 
     /// Takes over the versions and memory that another process of this dispatcher has applied.
-    pub fn follow(&mut self, running: Option<Snapshot>, good: Option<Snapshot>, memory: Memory) {
+    pub fn adopt(&mut self, running: Option<Snapshot>, good: Option<Snapshot>, memory: SubscriberState) {
         let version = running.as_ref().map(|r| r.version).unwrap_or_default();
         (self.running, self.last_good) = (running.map(Arc::new), good.map(Arc::new));
         self.memory = memory;
--- a/crates/stream/tests/last_good.rs
+++ b/crates/stream/tests/last_good.rs
@@ -2,7 +2,7 @@
 //! steps of an update.
 
 use ochreward_stream::last_good::{LastGood, Unusable, decode_file, encode_file};
-use ochreward_stream::{Digest, Kind, Memory, Resource, Snapshot, Version};
+use ochreward_stream::{Digest, Kind, Resource, Snapshot, SubscriberState, Version};
 use std::collections::BTreeMap;
 use std::fs;
 
@@ -98,7 +98,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let files = LastGood::open(folder.path().into(), "n0").expect("files");
     assert_eq!(files.memory(), Err(Unusable::Missing));
-    let memory = Memory { highest: Version::new(2, 9), ..Memory::default() };
+    let memory = SubscriberState { highest: Version::new(2, 9), ..SubscriberState::default() };
     files.remember(&memory).expect("written");
     assert_eq!(files.memory(), Ok(memory));
     let bytes = fs::read(folder.path().join("memory")).expect("a file");
--- a/crates/stream/tests/subscriber.rs
+++ b/crates/stream/tests/subscriber.rs
@@ -1,10 +1,10 @@
 //! The subscriber's state machine: each documented outcome on its own, and a comparison with a small reference model
 //! under random sequences of events. A failure prints the shortest sequence that causes it.
 
-use ochreward_stream::subscriber::{Ending, Leader, Options, Ticket};
+use ochreward_stream::subscriber::{CloseReason, FollowedService, OfferId, Options};
 use ochreward_stream::trial::Rules;
 use ochreward_stream::wire::{Code, Entry, Fault, FromService, Health, PROTOCOL, ToService, next_piece};
-use ochreward_stream::{Digest, Kind, Memory, Resource, Snapshot, Step, Subscriber, Version};
+use ochreward_stream::{Action, Digest, Kind, Resource, Snapshot, Subscriber, SubscriberState, Version};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -77,20 +77,21 @@
 
 impl Harness {
     fn new(running: Option<Snapshot>) -> Harness {
-        let subscriber = Subscriber::new(options(true), 0, Memory::default(), running.clone(), running);
+        let subscriber =
+            Subscriber::new(options(true), 0, SubscriberState::default(), running.clone(), running);
         let mut harness = Harness { subscriber, now: 0, nonce: 0, health: Health::default() };
         harness.connect(welcome(1, "a"));
         harness
     }
 
-    fn connect(&mut self, hello: FromService) -> Vec<Step> {
-        while !self.subscriber.steps.iter().any(|s| matches!(s, Step::Connect(_))) {
+    fn connect(&mut self, hello: FromService) -> Vec<Action> {
+        while !self.subscriber.steps.iter().any(|s| matches!(s, Action::Connect(_))) {
             self.advance_by(SILENCE / 10);
         }
         self.nonce = 0;
         self.subscriber.steps.clear();
-        self.subscriber.connected_now(self.now);
-        self.subscriber.received(self.now, hello);
+        self.subscriber.on_connected(self.now);
+        self.subscriber.on_message(self.now, hello);
         self.subscriber.steps.drain(..).collect()
     }
 
@@ -102,7 +103,7 @@
     /// Offers a version and accepts all checks; returns the code of the NACK, or `None` for an ACK.
     fn offer(&mut self, of: &Snapshot) -> Option<Code> {
         self.nonce += 1;
-        offer(self.nonce, of, true).into_iter().for_each(|m| self.subscriber.received(self.now, m));
+        offer(self.nonce, of, true).into_iter().for_each(|m| self.subscriber.on_message(self.now, m));
         self.answer()
     }
 
@@ -111,10 +112,10 @@
         let mut answers = Vec::new();
         while let Some(step) = self.subscriber.steps.pop_front() {
             match step {
-                Step::Check(ticket, _) => self.subscriber.checked(ticket, Ok(())),
-                Step::Apply(ticket, _) => self.subscriber.applied(self.now, ticket, Ok(())),
-                Step::Send(ToService::Ack { nonce, .. }) if nonce == self.nonce => answers.push(None),
-                Step::Send(ToService::Nack { nonce, code, .. }) if nonce == self.nonce => {
+                Action::Check(ticket, _) => self.subscriber.on_checked(ticket, Ok(())),
+                Action::Apply(ticket, _) => self.subscriber.on_applied(self.now, ticket, Ok(())),
+                Action::Send(ToService::Ack { nonce, .. }) if nonce == self.nonce => answers.push(None),
+                Action::Send(ToService::Nack { nonce, code, .. }) if nonce == self.nonce => {
                     answers.push(Some(code))
                 }
                 _ => {}
@@ -144,14 +145,14 @@
 #[test]
 fn only_a_service_with_a_higher_epoch_or_the_same_store_is_followed() {
     let mut harness = Harness::new(None);
-    harness.subscriber.lost(harness.now);
-    assert!(harness.connect(welcome(3, "a")).iter().any(|s| matches!(s, Step::Remember(_))));
-    for (hello, why) in [(welcome(2, "a"), Ending::OlderEpoch), (welcome(3, "b"), Ending::Rival)] {
-        harness.subscriber.lost(harness.now);
-        assert!(harness.connect(hello).contains(&Step::Disconnect(why)));
+    harness.subscriber.on_connection_lost(harness.now);
+    assert!(harness.connect(welcome(3, "a")).iter().any(|s| matches!(s, Action::StoreState(_))));
+    for (hello, why) in [(welcome(2, "a"), CloseReason::OlderEpoch), (welcome(3, "b"), CloseReason::Rival)] {
+        harness.subscriber.on_connection_lost(harness.now);
+        assert!(harness.connect(hello).contains(&Action::Disconnect(why)));
     }
-    assert!(!harness.connect(welcome(4, "b")).iter().any(|s| matches!(s, Step::Disconnect(_))));
-    assert_eq!(harness.subscriber.memory().leader, Leader { epoch: 4, store: "b".into() });
+    assert!(!harness.connect(welcome(4, "b")).iter().any(|s| matches!(s, Action::Disconnect(_))));
+    assert_eq!(harness.subscriber.memory().leader, FollowedService { epoch: 4, store: "b".into() });
     // The epoch is compared first: a higher number under a lower epoch is a lower version.
     assert_eq!(harness.offer(&snapshot(version(4, 2), 1)), None);
     assert_eq!(harness.offer(&snapshot(version(3, 9), 1)), Some(Code::OutOfOrder));
@@ -162,12 +163,12 @@
     let mut harness = Harness::new(None);
     let first = snapshot(version(1, 1), 1);
     harness.nonce += 1;
-    offer(1, &first, false).into_iter().for_each(|m| harness.subscriber.received(0, m));
+    offer(1, &first, false).into_iter().for_each(|m| harness.subscriber.on_message(0, m));
     assert_eq!(harness.answer(), Some(Code::Gap));
     assert_eq!(harness.offer(&first), None);
     let same = Snapshot { version: version(1, 2), ..first };
     harness.nonce += 1;
-    offer(harness.nonce, &same, false).into_iter().for_each(|m| harness.subscriber.received(0, m));
+    offer(harness.nonce, &same, false).into_iter().for_each(|m| harness.subscriber.on_message(0, m));
     assert_eq!(harness.answer(), None);
     assert_eq!(harness.subscriber.version(), Some(version(1, 2)));
 }
@@ -218,7 +219,7 @@
         harness.nonce += 1;
         let mut messages = offer(harness.nonce, &good, true);
         corrupt(&mut messages);
-        messages.into_iter().for_each(|m| harness.subscriber.received(harness.now, m));
+        messages.into_iter().for_each(|m| harness.subscriber.on_message(harness.now, m));
         assert_eq!(harness.answer(), Some(code), "{text}");
         assert!(harness.subscriber.connected());
     }
@@ -239,34 +240,42 @@
     serve(&mut harness, 12, 1);
     assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), None);
     serve(&mut harness, 3, 60);
-    let steps: Vec<Step> = harness.subscriber.steps.drain(..).collect();
-    let to =
-        steps.iter().find_map(|s| if let Step::Return(to, from, _) = s { Some((to, *from)) } else { None });
+    let steps: Vec<Action> = harness.subscriber.steps.drain(..).collect();
+    let to = steps
+        .iter()
+        .find_map(|s| if let Action::RollBack(to, from, _) = s { Some((to, *from)) } else { None });
     assert_eq!(to, Some((&Some(Arc::new(good)), version(1, 2))));
-    assert!(steps.iter().any(|s| matches!(s, Step::Send(ToService::Reverted { .. }))));
+    assert!(steps.iter().any(|s| matches!(s, Action::Send(ToService::Reverted { .. }))));
     assert_eq!(harness.subscriber.version(), Some(version(1, 1)));
     assert_eq!(harness.offer(&snapshot(version(1, 2), 2)), Some(Code::Refused));
     assert_eq!(harness.offer(&snapshot(version(1, 3), 3)), None);
     serve(&mut harness, 12, 1);
-    assert!(harness.subscriber.steps.iter().any(|s| matches!(s, Step::Keep(v, _) if *v == version(1, 3))));
-    assert_eq!(harness.subscriber.good(), Some(version(1, 3)));
+    assert!(
+        harness.subscriber.steps.iter().any(|s| matches!(s, Action::Promote(v, _) if *v == version(1, 3)))
+    );
+    assert_eq!(harness.subscriber.last_good_version(), Some(version(1, 3)));
 }
 
 #[test]
 fn without_a_version_to_roll_back_to_a_worse_version_is_kept() {
-    let mut subscriber =
-        Subscriber::new(options(false), 0, Memory::default(), Some(snapshot(version(1, 1), 1)), None);
+    let mut subscriber = Subscriber::new(
+        options(false),
+        0,
+        SubscriberState::default(),
+        Some(snapshot(version(1, 1), 1)),
+        None,
+    );
     assert!(subscriber.on_trial());
     for step in 0..30 {
         subscriber.advance(step * 10_000, Health { answers: step * 100, failed: step * 100 });
     }
-    assert!(subscriber.steps.iter().any(|s| matches!(s, Step::Keep(..))));
+    assert!(subscriber.steps.iter().any(|s| matches!(s, Action::Promote(..))));
 }
 
 #[test]
 fn after_a_restart_during_a_trial_the_same_version_is_accepted_only_with_the_same_content() {
-    let memory = Memory {
-        leader: Leader { epoch: 1, store: "a".into() },
+    let memory = SubscriberState {
+        leader: FollowedService { epoch: 1, store: "a".into() },
         highest: version(1, 5),
         content: Some(snapshot(version(1, 5), 5).content_digest()),
         refused: VecDeque::new(),
@@ -281,35 +290,35 @@
 
 #[test]
 fn a_silent_or_unestablished_connection_is_closed_and_the_next_service_is_tried() {
-    let mut subscriber = Subscriber::new(options(true), 0, Memory::default(), None, None);
+    let mut subscriber = Subscriber::new(options(true), 0, SubscriberState::default(), None, None);
     let mut now = 0;
     let mut services = Vec::new();
     for _ in 0..6 {
         while subscriber.steps.is_empty() {
-            now = subscriber.due().max(now + 1);
+            now = subscriber.next_due().max(now + 1);
             subscriber.advance(now, Health::default());
         }
         match subscriber.steps.pop_front() {
-            Some(Step::Connect(to)) => services.push(to.port()),
-            Some(Step::Disconnect(why)) => assert_eq!(why, Ending::NeverUp),
+            Some(Action::Connect(to)) => services.push(to.port()),
+            Some(Action::Disconnect(why)) => assert_eq!(why, CloseReason::NeverUp),
             other => panic!("{other:?}"),
         }
     }
     assert_eq!(services, [1, 2, 1]);
-    while !matches!(subscriber.steps.pop_front(), Some(Step::Connect(_))) {
-        now = subscriber.due().max(now + 1);
+    while !matches!(subscriber.steps.pop_front(), Some(Action::Connect(_))) {
+        now = subscriber.next_due().max(now + 1);
         subscriber.advance(now, Health::default());
     }
-    subscriber.connected_now(now);
-    subscriber.received(now, welcome(1, "a"));
+    subscriber.on_connected(now);
+    subscriber.on_message(now, welcome(1, "a"));
     subscriber.steps.clear();
     let heard = now;
-    while !subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_))) {
-        now = subscriber.due().max(now + 1);
+    while !subscriber.steps.iter().any(|s| matches!(s, Action::Disconnect(_))) {
+        now = subscriber.next_due().max(now + 1);
         subscriber.advance(now, Health::default());
     }
     assert_eq!(now, heard + SILENCE);
-    assert!(subscriber.steps.contains(&Step::Disconnect(Ending::Silent)));
+    assert!(subscriber.steps.contains(&Action::Disconnect(CloseReason::Silent)));
 }
 
 // ---- Random sequences of events ----
@@ -364,7 +373,7 @@
     undelivered: VecDeque<FromService>,
     /// Nonces offered on this connection and not yet answered.
     unanswered: BTreeSet<u64>,
-    pending: VecDeque<Step>,
+    pending: VecDeque<Action>,
     approved: Vec<Snapshot>,
     running: Option<Version>,
     highest: Version,
@@ -375,15 +384,15 @@
         match op {
             Op::Connect { epoch, store } if !self.up => {
                 let began = self.now;
-                while !self.take_steps().iter().any(|s| matches!(s, Step::Connect(_))) {
-                    self.now = self.subscriber.due().max(self.now);
+                while !self.take_steps().iter().any(|s| matches!(s, Action::Connect(_))) {
+                    self.now = self.subscriber.next_due().max(self.now);
                     assert!(self.now < began + 60 * SILENCE, "the subscriber never connects");
                     self.subscriber.advance(self.now, self.health);
                 }
                 (self.up, self.nonce) = (true, 0);
                 self.unanswered.clear();
                 self.undelivered.clear();
-                self.subscriber.connected_now(self.now);
+                self.subscriber.on_connected(self.now);
                 self.undelivered.push_back(welcome(*epoch, if *store { "a" } else { "b" }));
             }
             Op::LoseConnection if self.up => self.lose_connection(),
@@ -398,7 +407,7 @@
                     if let FromService::Offer { nonce, .. } = &message {
                         self.unanswered.insert(*nonce);
                     }
-                    self.subscriber.received(self.now, message);
+                    self.subscriber.on_message(self.now, message);
                     self.take_steps();
                 }
             }
@@ -416,7 +425,7 @@
                     2 => welcome(1, "a"),
                     _ => FromService::Heartbeat {},
                 };
-                self.subscriber.received(self.now, message);
+                self.subscriber.on_message(self.now, message);
             }
             _ => {}
         }
@@ -424,7 +433,7 @@
     }
 
     fn lose_connection(&mut self) {
-        self.subscriber.lost(self.now);
+        self.subscriber.on_connection_lost(self.now);
         self.connection_ended();
     }
 
@@ -439,20 +448,20 @@
     fn resolve(&mut self, accept: bool) {
         let rejection = || Err((Code::Invalid, vec![Fault { key: "k".into(), why: "w".into() }]));
         match self.pending.pop_front() {
-            Some(Step::Check(ticket, snapshot)) => {
+            Some(Action::Check(ticket, snapshot)) => {
                 if accept {
                     self.approved.push((*snapshot).clone());
                 }
-                self.subscriber.checked(ticket, if accept { Ok(()) } else { rejection() });
+                self.subscriber.on_checked(ticket, if accept { Ok(()) } else { rejection() });
             }
-            Some(Step::Apply(ticket, snapshot)) => {
+            Some(Action::Apply(ticket, snapshot)) => {
                 // Only a checked version is applied, and none lower than a version that has run.
                 assert!(self.approved.contains(&snapshot), "{snapshot:?} was never checked");
                 assert!(snapshot.version >= self.highest, "{} after {}", snapshot.version, self.highest);
                 if accept {
                     (self.running, self.highest) = (Some(snapshot.version), snapshot.version);
                 }
-                self.subscriber.applied(self.now, ticket, if accept { Ok(()) } else { rejection() });
+                self.subscriber.on_applied(self.now, ticket, if accept { Ok(()) } else { rejection() });
             }
             _ => {}
         }
@@ -460,23 +469,23 @@
     }
 
     /// Takes the steps and checks them against the state machine's invariants.
-    fn take_steps(&mut self) -> Vec<Step> {
-        let steps: Vec<Step> = self.subscriber.steps.drain(..).collect();
+    fn take_steps(&mut self) -> Vec<Action> {
+        let steps: Vec<Action> = self.subscriber.steps.drain(..).collect();
         for step in &steps {
             match step {
-                Step::Check(..) | Step::Apply(..) => self.pending.push_back(step.clone()),
-                Step::Send(ToService::Ack { nonce, version }) => {
+                Action::Check(..) | Action::Apply(..) => self.pending.push_back(step.clone()),
+                Action::Send(ToService::Ack { nonce, version }) => {
                     assert!(self.unanswered.remove(nonce), "a second answer to {nonce}");
                     assert_eq!(self.running, Some(*version), "an ACK of a version that does not run");
                 }
-                Step::Send(ToService::Nack { nonce, .. }) => {
+                Action::Send(ToService::Nack { nonce, .. }) => {
                     assert!(self.unanswered.remove(nonce), "a second answer to {nonce}");
                 }
-                Step::Return(to, from, _) => {
+                Action::RollBack(to, from, _) => {
                     assert_eq!(self.running, Some(*from));
                     self.running = to.as_ref().map(|s| s.version);
                 }
-                Step::Disconnect(_) => self.connection_ended(),
+                Action::Disconnect(_) => self.connection_ended(),
                 _ => {}
             }
         }
@@ -490,7 +499,7 @@
 
     #[test]
     fn invariants_hold_under_any_sequence_of_events(ops in prop::collection::vec(op(), 1..120)) {
-        let subscriber = Subscriber::new(options(true), 0, Memory::default(), None, None);
+        let subscriber = Subscriber::new(options(true), 0, SubscriberState::default(), None, None);
         let mut model = Model {
             subscriber, now: 0, health: Health::default(), up: false, nonce: 0, undelivered: VecDeque::new(),
             unanswered: BTreeSet::new(), pending: VecDeque::new(), approved: Vec::new(), running: None,
@@ -511,8 +520,8 @@
 #[test]
 fn a_result_for_an_unknown_ticket_is_ignored() {
     let mut harness = Harness::new(None);
-    let stray = Ticket { connection: 9, nonce: 9 };
-    harness.subscriber.checked(stray, Ok(()));
-    harness.subscriber.applied(0, stray, Ok(()));
+    let stray = OfferId { connection: 9, nonce: 9 };
+    harness.subscriber.on_checked(stray, Ok(()));
+    harness.subscriber.on_applied(0, stray, Ok(()));
     assert_eq!((harness.subscriber.version(), harness.subscriber.steps.len()), (None, 0));
 }
--- a/src/versions/keeper.rs
+++ b/src/versions/keeper.rs
@@ -5,9 +5,9 @@
 use crate::config::version::{Effective, effective};
 use crate::net::{BackgroundThread, Poll};
 use ochreward_stream::last_good::LastGood;
-use ochreward_stream::subscriber::Ticket;
+use ochreward_stream::subscriber::OfferId;
 use ochreward_stream::wire::{Code, Fault};
-use ochreward_stream::{Memory, Snapshot, Version};
+use ochreward_stream::{Snapshot, SubscriberState, Version};
 use serde_json::Value;
 use std::io;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 /// A job for the thread.
 pub enum Job {
     /// Read a version over the instance's own file, check it against the rules, and store it as the one on trial.
-    Check(Ticket, Arc<Snapshot>, Arc<Value>, Box<CheckContext>),
+    Check(OfferId, Arc<Snapshot>, Arc<Value>, Box<CheckContext>),
     /// Read the version to roll back to, and delete the one on trial.
     RollBack(Option<Arc<Snapshot>>, Arc<Value>),
     /// Store the version on trial as the last good one.
     Promote(Version),
     /// Store the subscriber's memory.
-    SaveMemory(Memory),
+    SaveMemory(SubscriberState),
 }
 
 /// The outcome of a check: the configuration to run, or why the version is refused.
@@ -30,7 +30,7 @@
 /// The result of a job.
 pub enum JobResult {
     /// The outcome of a check, with the own file that the version was read over.
-    Checked(Ticket, Arc<Snapshot>, Arc<Value>, CheckOutcome),
+    Checked(OfferId, Arc<Snapshot>, Arc<Value>, CheckOutcome),
     /// The configuration to roll back to.
     RolledBack(Result<Box<Effective>, Vec<Fault>>),
     /// A file could not be written: what it holds, and why.
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -10,7 +10,7 @@
 use crate::counters::{Counters, add, count};
 use crate::net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_stream::last_good::LastGood;
-use ochreward_stream::subscriber::{Memory, Options, Step, Subscriber, Ticket};
+use ochreward_stream::subscriber::{Action, OfferId, Options, Subscriber, SubscriberState};
 use ochreward_stream::trial::{Rules, Verdict};
 use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MAX_FRAME_BYTES};
 use ochreward_stream::{Snapshot, Version};
@@ -52,9 +52,9 @@
 /// An action for the caller.
 pub enum StreamEvent {
     /// A version has arrived: call `check` with what it is to be checked against.
-    Check(Ticket, Arc<Snapshot>),
+    Check(OfferId, Arc<Snapshot>),
     /// Check a version against the rules as of now, take it into use, and report the result with `applied`.
-    Apply(Ticket, Box<Effective>),
+    Apply(OfferId, Box<Effective>),
     /// Roll back to this configuration without checking it.
     RollBack(Box<Effective>),
 }
@@ -93,7 +93,7 @@
     file_stamps: Vec<Option<(SystemTime, u64)>>,
     folder: Option<PathBuf>,
     /// Versions that passed the check, in the order in which they are to be applied.
-    checked: VecDeque<(Ticket, Box<Effective>)>,
+    checked: VecDeque<(OfferId, Box<Effective>)>,
     /// The buffer for received messages, kept for its capacity.
     received: Vec<FromService>,
     /// The current content of the instance's own file.
@@ -137,9 +137,9 @@
             Some(Ok(memory)) => memory,
             Some(Err(why)) if why != ochreward_stream::last_good::Unusable::Missing => {
                 warn!(instance = start.name, %why, "the stored state of the subscription is not used");
-                Memory::default()
+                SubscriberState::default()
             }
-            _ => Memory::default(),
+            _ => SubscriberState::default(),
         };
         if !start.standby
             && let Some(files) = &files
@@ -190,15 +190,18 @@
     /// Discards the stored version, which is invalid over the instance's own file: the stream continues as if there were
     /// none.
     pub fn discard_stored_version(&mut self, now: u64) {
-        let memory =
-            Memory { highest: Version::default(), content: None, ..self.subscriber.memory().clone() };
+        let memory = SubscriberState {
+            highest: Version::default(),
+            content: None,
+            ..self.subscriber.memory().clone()
+        };
         self.subscriber = Subscriber::new(self.options.clone(), now, memory, None, None);
         self.update_gauges();
     }
 
     /// Returns when `advance` is next due.
     pub fn due(&self) -> u64 {
-        if self.standby { u64::MAX } else { self.subscriber.due() }
+        if self.standby { u64::MAX } else { self.subscriber.next_due() }
     }
 
     /// Sets the counters of the running version.
@@ -236,7 +239,7 @@
             let mut result = link.handle_event(poll, ready, &mut received);
             add(&self.counters.stream_received_bytes, (link.io.received - before) as usize);
             if was_connecting && result.is_ok() && !link.io.connecting() {
-                self.subscriber.connected_now(now);
+                self.subscriber.on_connected(now);
             }
             if link.io.read_closed && result.is_ok() {
                 result = Err(crate::net::Closed::Broken);
@@ -245,11 +248,11 @@
                 if let FromService::Refused { why } = &message {
                     warn!(instance = self.options.instance, why, "the control service refused this instance");
                 }
-                self.subscriber.received(now, message);
+                self.subscriber.on_message(now, message);
             }
             self.received = received;
             // The subscriber may have decided to disconnect already.
-            let disconnecting = self.subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_)));
+            let disconnecting = self.subscriber.steps.iter().any(|s| matches!(s, Action::Disconnect(_)));
             if let Err(why) = result
                 && !disconnecting
             {
@@ -262,7 +265,7 @@
                 );
                 count(&self.counters.stream_closes);
                 self.link = None;
-                self.subscriber.lost(now);
+                self.subscriber.on_connection_lost(now);
             }
         }
         self.run_steps(poll, now);
@@ -280,9 +283,9 @@
                 }
                 JobResult::Checked(ticket, _, _, Ok(effective)) => {
                     self.checked.push_back((ticket, effective));
-                    self.subscriber.checked(ticket, Ok(()));
+                    self.subscriber.on_checked(ticket, Ok(()));
                 }
-                JobResult::Checked(ticket, _, _, Err(why)) => self.subscriber.checked(ticket, Err(why)),
+                JobResult::Checked(ticket, _, _, Err(why)) => self.subscriber.on_checked(ticket, Err(why)),
                 JobResult::RolledBack(Ok(effective)) => self.events.push(StreamEvent::RollBack(effective)),
                 JobResult::RolledBack(Err(faults)) => {
                     warn!(fault = ?faults.first(), "the version to roll back to can't be read; the running one stays")
@@ -293,7 +296,7 @@
     }
 
     /// Has the version thread check a version against the context.
-    pub fn check(&self, ticket: Ticket, snapshot: Arc<Snapshot>, context: CheckContext) {
+    pub fn check(&self, ticket: OfferId, snapshot: Arc<Snapshot>, context: CheckContext) {
         self.thread.submit(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
     }
 
@@ -312,11 +315,11 @@
         &mut self,
         poll: &mut Poll,
         now: u64,
-        ticket: Ticket,
+        ticket: OfferId,
         result: Result<(), (Code, Vec<Fault>)>,
     ) {
         let succeeded = result.is_ok();
-        self.subscriber.applied(now, ticket, result);
+        self.subscriber.on_applied(now, ticket, result);
         if succeeded {
             count(&self.counters.versions_applied);
             let version = self.version().unwrap_or_default();
@@ -330,15 +333,15 @@
     fn run_steps(&mut self, poll: &mut Poll, now: u64) {
         while let Some(step) = self.subscriber.steps.pop_front() {
             match step {
-                Step::Connect(to) => {
+                Action::Connect(to) => {
                     count(&self.counters.stream_connects);
                     let token = poll.token(self.owner, 0);
                     match Connection::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
                         Ok(link) => self.link = Some(link),
-                        Err(_) => self.subscriber.lost(now),
+                        Err(_) => self.subscriber.on_connection_lost(now),
                     }
                 }
-                Step::Disconnect(why) => {
+                Action::Disconnect(why) => {
                     count(&self.counters.stream_closes);
                     let stale_ms = self.subscriber.stale_for(now).map(|us| us / 1000);
                     info!(
@@ -349,19 +352,19 @@
                     );
                     self.link = None;
                 }
-                Step::Send(message) => {
+                Action::Send(message) => {
                     let Some(link) = &mut self.link else { continue };
                     let frame = wire::encode_frame(&message);
                     add(&self.counters.stream_sent_bytes, frame.len());
                     if !link.io.queue(&frame) || link.flush(poll).is_err() {
                         count(&self.counters.stream_closes);
                         self.link = None;
-                        self.subscriber.lost(now);
+                        self.subscriber.on_connection_lost(now);
                     }
                 }
-                Step::Check(ticket, snapshot) => self.events.push(StreamEvent::Check(ticket, snapshot)),
+                Action::Check(ticket, snapshot) => self.events.push(StreamEvent::Check(ticket, snapshot)),
                 // What is applied is the configuration that the version thread has read and checked.
-                Step::Apply(ticket, _) => {
+                Action::Apply(ticket, _) => {
                     while let Some((checked_ticket, effective)) = self.checked.pop_front() {
                         if checked_ticket == ticket {
                             self.events.push(StreamEvent::Apply(ticket, effective));
@@ -369,21 +372,21 @@
                         }
                     }
                 }
-                Step::Keep(version, verdict) => {
+                Action::Promote(version, verdict) => {
                     let untested = verdict == Verdict::Untested;
                     info!(instance = self.options.instance, %version, untested, "the version on trial is kept as the last good one");
                     count(&self.counters.versions_kept);
                     self.thread.submit(Job::Promote(version));
                 }
-                Step::Return(to, from, verdict) => {
+                Action::RollBack(to, from, verdict) => {
                     let running = self.version().map_or_else(|| "none".to_string(), |v| v.to_string());
                     warn!(instance = self.options.instance, %from, running, ?verdict, "the version on trial is rolled back");
                     count(&self.counters.versions_returned);
                     self.update_gauges();
                     self.thread.submit(Job::RollBack(to, self.own_file.clone()));
                 }
-                Step::Remember(memory) => self.thread.submit(Job::SaveMemory(memory)),
-                Step::TurnedDown(version, code, faults) => {
+                Action::StoreState(memory) => self.thread.submit(Job::SaveMemory(memory)),
+                Action::Rejected(version, code, faults) => {
                     count(&self.counters.versions_refused);
                     let fault = faults.first().map(Fault::to_string).unwrap_or_default();
                     warn!(instance = self.options.instance, %version, ?code, faults = faults.len(), fault, "a version was refused");
@@ -419,7 +422,7 @@
         }
         let good = files.load().snapshot.map(|(s, _)| s);
         let memory = files.memory().unwrap_or_else(|_| self.subscriber.memory().clone());
-        self.subscriber.follow(running.clone(), good, memory);
+        self.subscriber.adopt(running.clone(), good, memory);
         self.update_gauges();
         Some(running)
     }
