--- a/crates/stream/src/last_good.rs
+++ b/crates/stream/src/last_good.rs
@@ -40,7 +40,7 @@
     #[error(
         "is truncated or too long: nothing to do, the previous version is used; check that the disk is not full"
     )]
-    Torn,
+    Truncated,
     /// The file was written by another program or for another instance.
     #[error("belongs to another program or instance: give each instance its own folder")]
     Foreign,
@@ -48,7 +48,7 @@
     #[error(
         "has format {0}, this program reads format {FORMAT_VERSION}: start the newer program again, or delete the file"
     )]
-    FutureForm(u32),
+    UnknownFormat(u32),
     /// The checksum, or the digest of a resource, does not match.
     #[error("is damaged: nothing to do, the previous version is used; check the disk for errors")]
     Damaged,
@@ -69,12 +69,12 @@
     /// The version to run, and the file that it was read from.
     pub snapshot: Option<(Snapshot, &'static str)>,
     /// Files that could not be used, each with the reason.
-    pub passed_over: Vec<(&'static str, Unusable)>,
+    pub unusable_files: Vec<(&'static str, Unusable)>,
 }
 
 /// The files of one instance.
 #[derive(Clone, Debug)]
-pub struct LastGood {
+pub struct VersionStore {
     folder: PathBuf,
     instance: String,
 }
@@ -96,17 +96,17 @@
         return Err(Unusable::Foreign);
     }
     if bytes.len() < HEADER_BYTES {
-        return Err(Unusable::Torn);
+        return Err(Unusable::Truncated);
     }
     let u32_at = |offset: usize| {
         u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
     };
     if u32_at(8) != FORMAT_VERSION {
-        return Err(Unusable::FutureForm(u32_at(8)));
+        return Err(Unusable::UnknownFormat(u32_at(8)));
     }
     let (length, body) = (u64::from(u32_at(16)) | u64::from(u32_at(20)) << 32, &bytes[HEADER_BYTES..]);
     if body.len() as u64 != length {
-        return Err(Unusable::Torn);
+        return Err(Unusable::Truncated);
     }
     if crc32fast::hash(body) != u32_at(12) { Err(Unusable::Damaged) } else { Ok(body) }
 }
@@ -116,11 +116,11 @@
     File::open(folder)?.sync_all()
 }
 
-impl LastGood {
+impl VersionStore {
     /// Opens the files of an instance in a folder, which is created if it does not exist.
-    pub fn open(folder: PathBuf, instance: &str) -> io::Result<LastGood> {
+    pub fn open(folder: PathBuf, instance: &str) -> io::Result<VersionStore> {
         fs::create_dir_all(&folder)?;
-        Ok(LastGood { folder, instance: instance.to_string() })
+        Ok(VersionStore { folder, instance: instance.to_string() })
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -167,7 +167,7 @@
                     break;
                 }
                 Err(Unusable::Missing) => {}
-                Err(why) => loaded.passed_over.push((name, why)),
+                Err(why) => loaded.unusable_files.push((name, why)),
             }
         }
         loaded
@@ -220,12 +220,12 @@
     }
 
     /// Stores the subscriber's memory.
-    pub fn remember(&self, memory: &SubscriberState) -> io::Result<()> {
+    pub fn store_memory(&self, memory: &SubscriberState) -> io::Result<()> {
         self.write(MEMORY, memory)
     }
 
     /// Loads the subscriber's memory.
-    pub fn memory(&self) -> Result<SubscriberState, Unusable> {
+    pub fn load_memory(&self) -> Result<SubscriberState, Unusable> {
         self.read(MEMORY)
     }
 }
--- a/src/versions/keeper.rs
+++ b/src/versions/keeper.rs
@@ -4,7 +4,7 @@
 use super::rules::{self, CheckContext};
 use crate::config::version::{Effective, effective};
 use crate::net::{BackgroundThread, Poll};
-use ochreward_stream::last_good::LastGood;
+use ochreward_stream::last_good::VersionStore;
 use ochreward_stream::subscriber::OfferId;
 use ochreward_stream::wire::{Code, Fault};
 use ochreward_stream::{Snapshot, SubscriberState, Version};
@@ -41,12 +41,12 @@
 pub type VersionThread = BackgroundThread<Job, JobResult>;
 
 /// Starts the thread.
-pub fn start(poll: &mut Poll, owner: u8, files: Option<LastGood>) -> io::Result<VersionThread> {
+pub fn start(poll: &mut Poll, owner: u8, files: Option<VersionStore>) -> io::Result<VersionThread> {
     BackgroundThread::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
 }
 
 /// Runs one job; returns its result if the loop has to act on it.
-fn run_job(files: Option<&LastGood>, job: Job) -> Option<JobResult> {
+fn run_job(files: Option<&VersionStore>, job: Job) -> Option<JobResult> {
     let write_failed = |what, result: io::Result<()>| result.err().map(|e| JobResult::WriteFailed(what, e));
     match job {
         Job::Check(ticket, snapshot, own_file, context) => {
@@ -62,16 +62,17 @@
             Some(JobResult::Checked(ticket, snapshot, own_file, checked))
         }
         Job::RollBack(snapshot, own_file) => {
-            let discarded = files.map_or(Ok(()), LastGood::discard_trial);
+            let discarded = files.map_or(Ok(()), VersionStore::discard_trial);
             if let Err(e) = discarded {
                 tracing::warn!(reason = %e, "the file of the version on trial could not be removed");
             }
             Some(JobResult::RolledBack(read(snapshot.as_deref(), &own_file)))
         }
-        Job::Promote(_) => write_failed("the last good version", files.map_or(Ok(()), LastGood::promote)),
-        Job::SaveMemory(memory) => {
-            write_failed("what is remembered of the service", files.map_or(Ok(()), |f| f.remember(&memory)))
-        }
+        Job::Promote(_) => write_failed("the last good version", files.map_or(Ok(()), VersionStore::promote)),
+        Job::SaveMemory(memory) => write_failed(
+            "what is remembered of the service",
+            files.map_or(Ok(()), |f| f.store_memory(&memory)),
+        ),
     }
 }
 
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -9,7 +9,7 @@
 use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
 use crate::net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
-use ochreward_stream::last_good::LastGood;
+use ochreward_stream::last_good::VersionStore;
 use ochreward_stream::subscriber::{Action, OfferId, Options, Subscriber, SubscriberState};
 use ochreward_stream::trial::{Rules, Verdict};
 use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MAX_FRAME_BYTES};
@@ -86,7 +86,7 @@
     link: Option<Connection<FrameParser>>,
     owner: u8,
     thread: VersionThread,
-    files: Option<LastGood>,
+    files: Option<VersionStore>,
     /// Whether another process of the instance has the stream.
     standby: bool,
     /// The modification times and sizes of the files when they were last read on standby.
@@ -117,7 +117,7 @@
         let configured = config.folder.as_ref().map(|f| f.join(start.name));
         let folder = configured.or(start.folder.map(|f| f.join("versions")));
         let files = folder.clone().and_then(|folder| {
-            let opened = LastGood::open(folder, start.name);
+            let opened = VersionStore::open(folder, start.name);
             opened
                 .inspect_err(
                     |e| warn!(reason = %e, "versions can't be stored; they are lost when the process ends"),
@@ -129,10 +129,10 @@
             (Some(files), true) => files.load_running(),
             (Some(files), false) => files.load(),
         };
-        for (file, why) in &loaded.passed_over {
+        for (file, why) in &loaded.unusable_files {
             warn!(instance = start.name, file, %why, "a stored version is not used");
         }
-        let memory = files.as_ref().map(LastGood::memory);
+        let memory = files.as_ref().map(VersionStore::load_memory);
         let memory = match memory {
             Some(Ok(memory)) => memory,
             Some(Err(why)) if why != ochreward_stream::last_good::Unusable::Missing => {
@@ -421,7 +421,7 @@
             return None;
         }
         let good = files.load().snapshot.map(|(s, _)| s);
-        let memory = files.memory().unwrap_or_else(|_| self.subscriber.memory().clone());
+        let memory = files.load_memory().unwrap_or_else(|_| self.subscriber.memory().clone());
         self.subscriber.adopt(running.clone(), good, memory);
         self.update_gauges();
         Some(running)
@@ -433,11 +433,11 @@
             return;
         }
         let files = self.files.clone();
-        let load = |load: fn(&LastGood) -> ochreward_stream::last_good::Loaded| {
+        let load = |load: fn(&VersionStore) -> ochreward_stream::last_good::Loaded| {
             files.as_ref().and_then(|f| load(f).snapshot).map(|(s, _)| s)
         };
-        let (running, good) = (load(LastGood::load_running), load(LastGood::load));
-        let memory = files.as_ref().and_then(|f| f.memory().ok());
+        let (running, good) = (load(VersionStore::load_running), load(VersionStore::load));
+        let memory = files.as_ref().and_then(|f| f.load_memory().ok());
         let memory = memory.unwrap_or_else(|| self.subscriber.memory().clone());
         // This process runs the version it last followed. The files may be newer, by at most one reading interval; a newer
         // version is not used here, as it does not run here yet.
