--- a/benches/config_stream.rs
+++ b/benches/config_stream.rs
@@ -7,7 +7,7 @@
 use ochreward_rig::stand;
 
 use hdrhistogram::Histogram;
-use ochreward_control::admin::{Ask, Client as Admin};
+use ochreward_control::admin::{Client as Admin, Request};
 use ochreward_rig::subscribers::{self, Event, Subscribers};
 use serde_json::{Value, json};
 use stand::{Client, Names, Program, config, fields, file, folder};
@@ -226,16 +226,16 @@
     Program::run(&["run", "--log-level", "error", "--operator", &path], &told)
 }
 
-fn ask(address: SocketAddr, ask: &Ask, document: Option<&str>) -> Option<Value> {
-    Admin::connect(address).ok()?.ask(ask, document).ok()
+fn ask(address: SocketAddr, ask: &Request, document: Option<&str>) -> Option<Value> {
+    Admin::connect(address).ok()?.request(ask, document).ok()
 }
 
 fn publish(address: SocketAddr, document: &str) {
-    ask(address, &Ask::Publish { at_once: true }, Some(document)).expect("published");
+    ask(address, &Request::Publish { at_once: true }, Some(document)).expect("published");
 }
 
 fn count(address: SocketAddr, which: impl Fn(&Value) -> bool) -> usize {
-    let status = ask(address, &Ask::Status {}, None).unwrap_or_default();
+    let status = ask(address, &Request::Status {}, None).unwrap_or_default();
     status["instances"].as_array().map_or(0, |list| list.iter().filter(|i| which(i)).count())
 }
 
--- a/benches/scale/main.rs
+++ b/benches/scale/main.rs
@@ -11,7 +11,7 @@
 
 use clap::Parser;
 use hollow::{Answer, Ask, Handle, Setup};
-use ochreward_control::admin::Ask as ServiceAsk;
+use ochreward_control::admin::Request as ServiceAsk;
 use ochreward_rig::capacity::{Figure, Report, Size, Storm};
 use ochreward_rig::process;
 use ochreward_rig::stand::{self, Names, Program};
--- a/benches/scale/real.rs
+++ b/benches/scale/real.rs
@@ -157,8 +157,8 @@
 /// The answer of the control service to a question.
 pub fn ask_service(
     address: SocketAddr,
-    ask: &ochreward_control::admin::Ask,
+    ask: &ochreward_control::admin::Request,
     document: Option<&str>,
 ) -> Option<Value> {
-    ochreward_control::admin::Client::connect(address).ok()?.ask(ask, document).ok()
+    ochreward_control::admin::Client::connect(address).ok()?.request(ask, document).ok()
 }
--- a/crates/control/src/admin.rs
+++ b/crates/control/src/admin.rs
@@ -16,7 +16,7 @@
 /// A request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "ask", rename_all = "kebab-case")]
-pub enum Ask {
+pub enum Request {
     /// Sends a piece of the document for a later `Publish` or `Validate` on this connection.
     Piece {
         /// The piece.
@@ -85,10 +85,10 @@
     Io(#[from] io::Error),
     /// The service sent something other than an answer.
     #[error("unexpected answer: check that a control service of this version listens at the address")]
-    Nonsense,
+    UnexpectedAnswer,
     /// The service refused the request, with this answer.
     #[error("{}: correct it and try again", refusal_text(.0))]
-    No(Value),
+    Refused(Value),
 }
 
 /// Returns the reasons given in a refusal as text.
@@ -116,7 +116,7 @@
         Ok(Client { stream })
     }
 
-    fn send(&mut self, ask: &Ask) -> Result<(), Error> {
+    fn send(&mut self, ask: &Request) -> Result<(), Error> {
         Ok(self.stream.write_all(&wire::encode_frame(ask))?)
     }
 
@@ -125,21 +125,21 @@
         self.stream.read_exact(&mut header)?;
         let length = u32::from_be_bytes(header) as usize;
         if length > MAX_FRAME_BYTES {
-            return Err(Error::Nonsense);
+            return Err(Error::UnexpectedAnswer);
         }
         let mut body = vec![0; length];
         self.stream.read_exact(&mut body)?;
-        wire::decode(&body).map_err(|_| Error::Nonsense)
+        wire::decode(&body).map_err(|_| Error::UnexpectedAnswer)
     }
 
     /// Sends a request, preceded by its document if there is one, and returns the answer.
-    pub fn ask(mut self, ask: &Ask, document: Option<&str>) -> Result<Value, Error> {
+    pub fn request(mut self, ask: &Request, document: Option<&str>) -> Result<Value, Error> {
         let document = document.unwrap_or_default();
         let mut from = 0;
         while from < document.len() {
             let text = wire::next_piece(document, from).to_string();
             from += text.len();
-            self.send(&Ask::Piece { text })?;
+            self.send(&Request::Piece { text })?;
         }
         self.send(ask)?;
         let mut text = String::new();
@@ -147,10 +147,10 @@
             match self.receive()? {
                 Answer::Piece { text: piece } => text += &piece,
                 Answer::Done { ok } => {
-                    let value = serde_json::from_str(&text).map_err(|_| Error::Nonsense)?;
-                    return if ok { Ok(value) } else { Err(Error::No(value)) };
+                    let value = serde_json::from_str(&text).map_err(|_| Error::UnexpectedAnswer)?;
+                    return if ok { Ok(value) } else { Err(Error::Refused(value)) };
                 }
-                Answer::Event { .. } => return Err(Error::Nonsense),
+                Answer::Event { .. } => return Err(Error::UnexpectedAnswer),
             }
         }
     }
@@ -158,12 +158,12 @@
     /// Calls `on_event` for each event until it returns false or the connection to the service ends.
     pub fn watch(mut self, mut on_event: impl FnMut(Value) -> bool) -> Result<(), Error> {
         self.stream.set_read_timeout(None)?;
-        self.send(&Ask::Watch {})?;
+        self.send(&Request::Watch {})?;
         loop {
             match self.receive()? {
                 Answer::Event { event } if on_event(event.clone()) => {}
                 Answer::Event { .. } => return Ok(()),
-                _ => return Err(Error::Nonsense),
+                _ => return Err(Error::UnexpectedAnswer),
             }
         }
     }
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -1,6 +1,6 @@
 //! The subcommands of `ochreward control` that query or change a running control service.
 
-use crate::admin::{Ask, Client, Error};
+use crate::admin::{Client, Error, Request};
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
 use ochreward_stream::overlay;
@@ -16,7 +16,7 @@
 
 /// The address of the control service.
 #[derive(Args, Clone, Debug)]
-pub struct At {
+pub struct ServiceAddress {
     /// Address that the control service listens on
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:8750", env = "OCHREWARD_CONTROL")]
     control: SocketAddr,
@@ -24,7 +24,7 @@
 
 /// The subcommands.
 #[derive(Subcommand, Debug)]
-pub enum Words {
+pub enum Command {
     /// Publish a version; the same content published twice is one version
     #[command(after_help = "Example: ochreward control publish version.toml --wait")]
     Publish {
@@ -41,7 +41,7 @@
         timeout: u64,
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// Show the keys in which two versions differ
     Diff {
@@ -51,7 +51,7 @@
         after: u64,
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// List the published versions
     History {
@@ -60,7 +60,7 @@
         json: bool,
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// Publish the content of an earlier version again, under a new number
     Rollback {
@@ -71,13 +71,13 @@
         staged: bool,
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// Resume a halted rollout, without the instances that refused the version
     Resume {
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// Show the version that each instance runs, and which instances lag behind or refused a version and why
     Status {
@@ -89,13 +89,13 @@
         explain: Option<String>,
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
     /// Print all events from now on, as one JSON object per line
     Watch {
         /// Address of the control service
         #[command(flatten)]
-        at: At,
+        at: ServiceAddress,
     },
 }
 
@@ -114,8 +114,8 @@
 }
 
 /// Sends a request without a document.
-fn ask(at: &At, ask: &Ask) -> Result<Value, Failure> {
-    Ok(Client::connect(at.control)?.ask(ask, None)?)
+fn ask(at: &ServiceAddress, ask: &Request) -> Result<Value, Failure> {
+    Ok(Client::connect(at.control)?.request(ask, None)?)
 }
 
 /// Prints a line; returns whether that succeeded. `println` would panic once the reader of the output has closed it.
@@ -141,29 +141,30 @@
 }
 
 /// Runs a subcommand.
-pub fn run(words: Words) -> Result<(), Failure> {
+pub fn run(words: Command) -> Result<(), Failure> {
     match words {
-        Words::Publish { file, at_once, wait, timeout, at } => {
+        Command::Publish { file, at_once, wait, timeout, at } => {
             let document = std::fs::read_to_string(&file).map_err(|e| Failure::File(file, e))?;
-            let answer = Client::connect(at.control)?.ask(&Ask::Publish { at_once }, Some(&document))?;
+            let answer =
+                Client::connect(at.control)?.request(&Request::Publish { at_once }, Some(&document))?;
             let version = cell_text(&answer["version"]);
             let new = if answer["new"] == true { "published" } else { "is already the latest version" };
             print_line(format_args!("{version} {new}"));
             if wait { wait_for(&at, &version, Duration::from_secs(timeout)) } else { Ok(()) }
         }
-        Words::Rollback { number, staged, at } => {
-            let answer = ask(&at, &Ask::Rollback { number, at_once: !staged })?;
+        Command::Rollback { number, staged, at } => {
+            let answer = ask(&at, &Request::Rollback { number, at_once: !staged })?;
             print_line(format_args!("{} holds what version {number} held", cell_text(&answer["version"])));
             Ok(())
         }
-        Words::Resume { at } => {
-            ask(&at, &Ask::Resume {})?;
+        Command::Resume { at } => {
+            ask(&at, &Request::Resume {})?;
             print_line("the rollout continues");
             Ok(())
         }
-        Words::Diff { before, after, at } => {
+        Command::Diff { before, after, at } => {
             let (old, new) =
-                (ask(&at, &Ask::Show { number: before })?, ask(&at, &Ask::Show { number: after })?);
+                (ask(&at, &Request::Show { number: before })?, ask(&at, &Request::Show { number: after })?);
             let shown = |v: Option<Value>| v.map_or_else(|| "-".to_string(), |v| v.to_string());
             let rows = overlay::differences(&old, &new).into_iter();
             print_line(table(
@@ -172,8 +173,8 @@
             ));
             Ok(())
         }
-        Words::History { json, at } => {
-            let history = ask(&at, &Ask::History {})?;
+        Command::History { json, at } => {
+            let history = ask(&at, &Request::History {})?;
             if json {
                 print_line(history);
                 return Ok(());
@@ -195,8 +196,8 @@
             print_line(table(&["VERSION", "UNIX MS", "TYPES", "ROLLBACK OF", ""], entries.map(row)));
             Ok(())
         }
-        Words::Status { json, explain: Some(instance), at } => {
-            let answer = ask(&at, &Ask::Explain { instance })?;
+        Command::Status { json, explain: Some(instance), at } => {
+            let answer = ask(&at, &Request::Explain { instance })?;
             if json {
                 print_line(answer);
                 return Ok(());
@@ -212,8 +213,8 @@
             print_line("keys that are not listed come from the instance's own file");
             Ok(())
         }
-        Words::Status { json, explain: None, at } => {
-            let status = ask(&at, &Ask::Status {})?;
+        Command::Status { json, explain: None, at } => {
+            let status = ask(&at, &Request::Status {})?;
             if json {
                 print_line(status)
             } else {
@@ -221,7 +222,7 @@
             };
             Ok(())
         }
-        Words::Watch { at } => Ok(Client::connect(at.control)?.watch(print_line)?),
+        Command::Watch { at } => Ok(Client::connect(at.control)?.watch(print_line)?),
     }
 }
 
@@ -274,10 +275,10 @@
 }
 
 /// Waits until the rollout of a version is done, has halted, or the time-out has passed.
-fn wait_for(at: &At, version: &str, timeout: Duration) -> Result<(), Failure> {
+fn wait_for(at: &ServiceAddress, version: &str, timeout: Duration) -> Result<(), Failure> {
     let started = Instant::now();
     loop {
-        let status = ask(at, &Ask::Status {})?;
+        let status = ask(at, &Request::Status {})?;
         let rollout = &status["rollout"];
         match rollout["phase"].as_str() {
             _ if rollout["version"] != version => {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -18,6 +18,6 @@
 
 pub use catalog::Catalog;
 pub use log::Log;
-pub use rollout::{InstanceOutcome, InstanceView, Phase, Plan, Rollout, RolloutReport, Transition};
+pub use rollout::{InstanceOutcome, InstanceView, Phase, Rollout, RolloutPlan, RolloutReport, Transition};
 pub use server::{Error as ServerError, Options, Server};
 pub use service::{Action, ConnectionId, Instance, PublishOutcome, Service, Timestamp};
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -13,22 +13,27 @@
 
 /// The parameters of rollouts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan {
+pub struct RolloutPlan {
     /// The first wave: the instances with this label and value.
     pub canary: Option<(String, String)>,
     /// The cumulative shares of the remaining instances in each further wave, rising to 1.
     pub waves: Vec<f64>,
     /// The time within which all instances of a wave must answer, in microseconds. It also bounds how long an instance
     /// under observation may be silent.
-    pub answer: u64,
+    pub answer_timeout_us: u64,
     /// The time for which a wave is observed, in microseconds.
-    pub watch: u64,
+    pub observation_us: u64,
 }
 
-impl Default for Plan {
+impl Default for RolloutPlan {
     /// Returns a plan without canary: a quarter, then all; 10 s to answer, 15 s of observation.
-    fn default() -> Plan {
-        Plan { canary: None, waves: vec![0.25, 1.0], answer: 10_000_000, watch: 15_000_000 }
+    fn default() -> RolloutPlan {
+        RolloutPlan {
+            canary: None,
+            waves: vec![0.25, 1.0],
+            answer_timeout_us: 10_000_000,
+            observation_us: 15_000_000,
+        }
     }
 }
 
@@ -124,12 +129,12 @@
     }
 
     /// Returns the number of waves, including the canary's.
-    pub fn wave_count(&self, plan: &Plan) -> usize {
+    pub fn wave_count(&self, plan: &RolloutPlan) -> usize {
         if self.at_once { 1 } else { plan.waves.len() + usize::from(plan.canary.is_some()) }
     }
 
     /// Returns whether the instance is to run the version: it is in a wave that has begun, or the last wave has begun.
-    pub fn covers(&self, plan: &Plan, instance: &str) -> bool {
+    pub fn covers(&self, plan: &RolloutPlan, instance: &str) -> bool {
         match self.phase {
             Phase::Pending => false,
             Phase::Halted { .. } => false,
@@ -144,7 +149,12 @@
     /// Returns the members of a wave, chosen from the connected instances. Their order is a hash of the version's number
     /// and the instance name: it is stable for one version and differs between versions, so that no part of the fleet
     /// always goes first.
-    fn members(&self, plan: &Plan, wave: usize, fleet: &BTreeMap<String, InstanceView>) -> BTreeSet<String> {
+    fn members(
+        &self,
+        plan: &RolloutPlan,
+        wave: usize,
+        fleet: &BTreeMap<String, InstanceView>,
+    ) -> BTreeSet<String> {
         let connected = fleet.iter().filter(|(_, s)| s.connected);
         if self.at_once {
             return connected.map(|(name, _)| name.clone()).collect();
@@ -168,7 +178,12 @@
     }
 
     /// Returns the next transition, if one is due now.
-    pub fn next(&self, now: u64, plan: &Plan, fleet: &BTreeMap<String, InstanceView>) -> Option<Transition> {
+    pub fn next(
+        &self,
+        now: u64,
+        plan: &RolloutPlan,
+        fleet: &BTreeMap<String, InstanceView>,
+    ) -> Option<Transition> {
         let begun: BTreeSet<&String> = self.waves.iter().flatten().collect();
         let refused = self.outcomes.iter().find_map(|(name, outcome)| match outcome {
             InstanceOutcome::Refused(why) if !self.excluded.contains(name) => {
@@ -188,14 +203,16 @@
                 if missing.is_empty() {
                     return Some(Transition::Watch(self.waves.len() - 1));
                 }
-                let timed_out = now >= since + plan.answer;
+                let timed_out = now >= since + plan.answer_timeout_us;
                 timed_out.then(|| Transition::Halt(format!("no answer from {}", join_names(missing))))
             }
             Phase::Watching { until } => {
                 let is_silent = |name: &&&String| {
                     self.outcomes.get(**name) == Some(&InstanceOutcome::Running)
                         && now >= self.hold_until
-                        && fleet.get(**name).is_none_or(|view| now >= view.last_heard + plan.answer)
+                        && fleet
+                            .get(**name)
+                            .is_none_or(|view| now >= view.last_heard + plan.answer_timeout_us)
                 };
                 let silent: Vec<&String> = begun.iter().filter(is_silent).copied().collect();
                 if !silent.is_empty() {
@@ -222,8 +239,8 @@
     }
 
     /// Applies the record that a wave is under observation.
-    pub fn watched(&mut self, now: u64, plan: &Plan) {
-        self.phase = Phase::Watching { until: now + plan.watch };
+    pub fn watched(&mut self, now: u64, plan: &RolloutPlan) {
+        self.phase = Phase::Watching { until: now + plan.observation_us };
     }
 
     /// Applies the record that the rollout halted.
@@ -246,11 +263,11 @@
     }
 
     /// Restarts the time limits after a restart of the service, during which no instance could answer.
-    pub fn restarted(&mut self, now: u64, plan: &Plan) {
-        self.hold_until = now + plan.answer;
+    pub fn restarted(&mut self, now: u64, plan: &RolloutPlan) {
+        self.hold_until = now + plan.answer_timeout_us;
         match &mut self.phase {
             Phase::Offering { since } => *since = now,
-            Phase::Watching { until } => *until = now + plan.watch,
+            Phase::Watching { until } => *until = now + plan.observation_us,
             _ => {}
         }
     }
--- a/crates/control/src/rollout/tests.rs
+++ b/crates/control/src/rollout/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-fn plan() -> Plan {
+fn plan() -> RolloutPlan {
     let canary = Some(("role".to_string(), "canary".to_string()));
-    Plan { canary, waves: vec![0.25, 1.0], answer: 100, watch: 50 }
+    RolloutPlan { canary, waves: vec![0.25, 1.0], answer_timeout_us: 100, observation_us: 50 }
 }
 
 fn fleet(count: usize) -> BTreeMap<String, InstanceView> {
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -5,9 +5,9 @@
 //! becomes free, and all connections share one copy of the text, so that a thousand slow readers cost little more memory
 //! than a thousand rings.
 
-use crate::admin::{Answer, Ask, MAX_DOCUMENT_BYTES};
+use crate::admin::{Answer, MAX_DOCUMENT_BYTES, Request};
 use crate::log::{self, Log};
-use crate::rollout::Plan;
+use crate::rollout::RolloutPlan;
 use crate::service::{Action, ConnectionId, PublishOutcome, Service, Timestamp};
 use ochreward_net::{
     Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring,
@@ -49,15 +49,15 @@
     /// The address to listen on.
     pub listen: SocketAddr,
     /// The folder of the log.
-    pub store: PathBuf,
+    pub store_folder: PathBuf,
     /// The maximum number of concurrent connections.
-    pub streams: usize,
+    pub max_connections: usize,
     /// The heartbeat interval, in microseconds.
-    pub heartbeat: u64,
+    pub heartbeat_us: u64,
     /// The parameters of rollouts.
-    pub plan: Plan,
+    pub plan: RolloutPlan,
     /// Parses and validates documents.
-    pub reader: Reader,
+    pub parse_document: Reader,
 }
 
 /// The reason why the server could not start or had to stop.
@@ -80,7 +80,7 @@
 /// A message from a connection.
 enum Incoming {
     Stream(ToService),
-    Admin(Ask),
+    Admin(Request),
 }
 
 impl ProtocolHandler for FrameReader {
@@ -153,7 +153,7 @@
 impl Server {
     /// Opens the store, recovers the service from it, and starts to listen.
     pub fn new(options: Options) -> Result<Server, Error> {
-        let (mut log, records) = Log::open(&options.store)?;
+        let (mut log, records) = Log::open(&options.store_folder)?;
         let clock = Clock::start();
         let time = now(&clock);
         let mut poll = Poll::new()?;
@@ -161,10 +161,11 @@
         let signals = Signals::new(&mut poll, SIGNALS)?;
         // The id of a new store is unique unless two processes with the same id create stores in the same microsecond.
         let fresh_id = format!("{:x}-{:x}", time.us, std::process::id());
-        let mut service = Service::recover(options.plan.clone(), options.heartbeat, records, time, &fresh_id);
+        let mut service =
+            Service::recover(options.plan.clone(), options.heartbeat_us, records, time, &fresh_id);
         let (records, _) = service.flush();
         log.append(&records)?;
-        let next_heartbeat_at = time.us + options.heartbeat;
+        let next_heartbeat_at = time.us + options.heartbeat_us;
         Ok(Server {
             poll,
             clock,
@@ -216,7 +217,7 @@
                 return Ok(());
             }
             if time.us >= self.next_heartbeat_at {
-                self.next_heartbeat_at = time.us + self.options.heartbeat;
+                self.next_heartbeat_at = time.us + self.options.heartbeat_us;
                 self.service.send_heartbeats();
                 self.close_silent(time);
             }
@@ -238,7 +239,7 @@
                     return warn!("out of file descriptors: new connections are not accepted");
                 }
             };
-            if self.connections.len() >= self.options.streams {
+            if self.connections.len() >= self.options.max_connections {
                 warn!(
                     streams = self.connections.len(),
                     "closed a new connection: the maximum number of connections is reached"
@@ -324,7 +325,7 @@
 
     /// Closes connections that have not identified themselves in time, and streams that miss their heartbeats.
     fn close_silent(&mut self, time: Timestamp) {
-        let silence = self.options.heartbeat * MAX_MISSED_HEARTBEATS;
+        let silence = self.options.heartbeat_us * MAX_MISSED_HEARTBEATS;
         let timed_out = |(slot, connection): (usize, &ClientConnection)| {
             let is_subscriber = self.service.is_subscriber(slot);
             let unidentified = !is_subscriber
@@ -445,14 +446,14 @@
 
     /// Handles an admin request. A connection is closed if it sends a request while another is being answered, or if it is
     /// a subscriber's.
-    fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Ask) {
+    fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Request) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if self.service.is_subscriber(slot) || connection.outgoing.is_some() || connection.closing {
             return self.close(slot);
         }
         let rejected = |faults: Vec<Fault>| (false, json!({"faults": faults}));
         let (ok, value) = match ask {
-            Ask::Piece { text } => {
+            Request::Piece { text } => {
                 if connection.document.len() + text.len() > MAX_DOCUMENT_BYTES {
                     return self.close(slot);
                 }
@@ -460,30 +461,32 @@
                 connection.document += &text;
                 return;
             }
-            Ask::Watch {} => {
+            Request::Watch {} => {
                 connection.watches = true;
                 return;
             }
-            Ask::Validate {} => match (self.options.reader)(&connection.document) {
+            Request::Validate {} => match (self.options.parse_document)(&connection.document) {
                 Ok(_) => (true, json!({"valid": true})),
                 Err(faults) => rejected(faults),
             },
-            Ask::Publish { at_once } => match (self.options.reader)(&connection.document) {
+            Request::Publish { at_once } => match (self.options.parse_document)(&connection.document) {
                 Ok(document) => publish_reply(self.service.publish(time, document, at_once)),
                 Err(faults) => rejected(faults),
             },
-            Ask::Rollback { number, at_once } => publish_reply(self.service.rollback(time, number, at_once)),
-            Ask::Resume {} => match self.service.resume(time) {
+            Request::Rollback { number, at_once } => {
+                publish_reply(self.service.rollback(time, number, at_once))
+            }
+            Request::Resume {} => match self.service.resume(time) {
                 true => (true, json!({"resumed": true})),
                 false => (false, json!({"why": "no rollout has halted"})),
             },
-            Ask::Status {} => (true, self.service.status(time)),
-            Ask::History {} => (true, self.service.history()),
-            Ask::Show { number } => match self.service.catalog().get(number) {
+            Request::Status {} => (true, self.service.status(time)),
+            Request::History {} => (true, self.service.history()),
+            Request::Show { number } => match self.service.catalog().get(number) {
                 Some(published) => (true, (*published.document).clone()),
                 None => (false, json!({"why": "there is no such version"})),
             },
-            Ask::Explain { instance } => match self.service.explain(&instance) {
+            Request::Explain { instance } => match self.service.explain(&instance) {
                 Some(value) => (true, value),
                 None => (false, json!({"why": "no such instance, or nothing that it is to run"})),
             },
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -7,7 +7,7 @@
 
 use crate::catalog::Catalog;
 use crate::record::{Answer, Published, Record};
-use crate::rollout::{InstanceOutcome, InstanceView, Phase, Plan, Rollout, RolloutReport, Transition};
+use crate::rollout::{InstanceOutcome, InstanceView, Phase, Rollout, RolloutPlan, RolloutReport, Transition};
 use ochreward_stream::wire::{Code, Fault, FromService, Health, Hello, PROTOCOL, ToService};
 use ochreward_stream::{Snapshot, Version};
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
 
 /// The control service, without I/O.
 pub struct Service {
-    plan: Plan,
+    plan: RolloutPlan,
     heartbeat: u64,
     epoch: u64,
     store: String,
@@ -147,7 +147,7 @@
 impl Service {
     /// Rebuilds the state from the records of the store and starts the next epoch. A new store gets `fresh_id` as its id.
     pub fn recover(
-        plan: Plan,
+        plan: RolloutPlan,
         heartbeat: u64,
         records: Vec<Record>,
         now: Timestamp,
@@ -170,7 +170,7 @@
         };
         records.into_iter().for_each(|record| service.apply(now, record));
         if !service.fleet.is_empty() {
-            service.hold_until = now.us + service.plan.answer;
+            service.hold_until = now.us + service.plan.answer_timeout_us;
         }
         if let Some(rollout) = &mut service.rollout {
             rollout.restarted(now.us, &service.plan);
@@ -587,7 +587,7 @@
     /// Returns the next time, after `now`, at which `advance` may have something to do, in microseconds.
     pub fn due(&self, now: u64) -> u64 {
         let deadlines = match self.rollout.as_ref().map(|r| (&r.phase, r.hold_until)) {
-            Some((Phase::Offering { since }, _)) => [since + self.plan.answer, u64::MAX],
+            Some((Phase::Offering { since }, _)) => [since + self.plan.answer_timeout_us, u64::MAX],
             Some((Phase::Watching { until }, hold)) => [*until, hold],
             Some((Phase::Pending, hold)) => [hold, u64::MAX],
             _ => [u64::MAX; 2],
--- a/crates/control/tests/service.rs
+++ b/crates/control/tests/service.rs
@@ -2,16 +2,16 @@
 //! refusals; and each documented outcome on its own.
 
 use ochreward_control::record::Record;
-use ochreward_control::{Action, ConnectionId, Plan, PublishOutcome, Service, Timestamp};
+use ochreward_control::{Action, ConnectionId, PublishOutcome, RolloutPlan, Service, Timestamp};
 use ochreward_stream::wire::{Code, Fault, Health, Hello, PROTOCOL, ToService};
 use ochreward_stream::{Kind, Snapshot, Version};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-fn plan() -> Plan {
+fn plan() -> RolloutPlan {
     let canary = Some(("role".to_string(), "canary".to_string()));
-    Plan { canary, waves: vec![0.5, 1.0], answer: 1_000, watch: 200 }
+    RolloutPlan { canary, waves: vec![0.5, 1.0], answer_timeout_us: 1_000, observation_us: 200 }
 }
 
 fn document(n: u64) -> Value {
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -33,7 +33,7 @@
         file: PathBuf,
     },
     #[command(flatten)]
-    Ask(cli::Words),
+    Ask(cli::Command),
 }
 
 /// Reads a document for the service.
@@ -63,11 +63,11 @@
     let plan = told.as_ref().map(|t| t.rollout.clone()).unwrap_or_default();
     let options = Options {
         listen: listen.or(told.as_ref().map(|t| t.listen)).ok_or_else(|| missing("--listen"))?,
-        store: store.or(told.as_ref().map(|t| t.store.clone())).ok_or_else(|| missing("--store"))?,
-        streams: told.as_ref().map_or(4_096, |t| t.streams),
-        heartbeat: told.as_ref().map_or(1_000_000, |t| t.heartbeat),
+        store_folder: store.or(told.as_ref().map(|t| t.store.clone())).ok_or_else(|| missing("--store"))?,
+        max_connections: told.as_ref().map_or(4_096, |t| t.streams),
+        heartbeat_us: told.as_ref().map_or(1_000_000, |t| t.heartbeat),
         plan,
-        reader,
+        parse_document: reader,
     };
     let broken = |e: ochreward_control::ServerError| {
         Error::Io("the control service".to_string(), std::io::Error::other(e))
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -2,7 +2,7 @@
 //! of such a fleet is told.
 
 use crate::keys::Key;
-use ochreward_control::Plan;
+use ochreward_control::RolloutPlan;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -40,7 +40,7 @@
     /// The time between two signs of life, in microseconds.
     pub heartbeat: u64,
     /// How a version is rolled out.
-    pub rollout: Plan,
+    pub rollout: RolloutPlan,
 }
 
 /// Both ends of the stream.
@@ -96,10 +96,10 @@
     }
 }
 
-fn rollout(key: &Key) -> Plan {
+fn rollout(key: &Key) -> RolloutPlan {
     key.given();
     key.only(&["canary", "waves", "answer_ms", "watch_ms"]);
-    let usual = Plan::default();
+    let usual = RolloutPlan::default();
     let canary = key.get("canary");
     let pair = canary.optional(|k| k.text().split_once('=').map(|(l, v)| (l.to_string(), v.to_string())));
     canary.must(pair != Some(None), "a label and its value are wanted, such as role=canary");
@@ -107,10 +107,10 @@
     let waves = if listed.is_empty() { usual.waves } else { listed };
     let rising = waves.windows(2).all(|w| w[0] < w[1]) && waves.first().is_some_and(|w| *w > 0.0);
     key.get("waves").must(rising && waves.last() == Some(&1.0), "shares that rise to 1 are wanted");
-    Plan {
+    RolloutPlan {
         canary: pair.flatten(),
         waves,
-        answer: key.get("answer_ms").between(10, 3_600_000, usual.answer / 1000) * 1000,
-        watch: key.get("watch_ms").between(0, 3_600_000, usual.watch / 1000) * 1000,
+        answer_timeout_us: key.get("answer_ms").between(10, 3_600_000, usual.answer_timeout_us / 1000) * 1000,
+        observation_us: key.get("watch_ms").between(0, 3_600_000, usual.observation_us / 1000) * 1000,
     }
 }
--- a/tests/sockets/versions.rs
+++ b/tests/sockets/versions.rs
@@ -3,7 +3,7 @@
 
 use crate::id;
 use crate::stand::{Client, Executor, Names, PATIENCE, Program, Reply, config, fields, file, folder};
-use ochreward_control::admin::{self, Ask};
+use ochreward_control::admin::{self, Request};
 use ochreward_stream::wire::{self, Code, Entry, FromService, PROTOCOL, ToService};
 use ochreward_stream::{Digest, Kind, Version};
 use serde_json::{Value, json};
@@ -58,18 +58,18 @@
         Control::on(&store, &address.to_string(), &rollout)
     }
 
-    fn ask(&self, ask: &Ask, document: Option<&str>) -> Result<Value, String> {
+    fn ask(&self, ask: &Request, document: Option<&str>) -> Result<Value, String> {
         let client = admin::Client::connect(self.program.address).map_err(|e| e.to_string())?;
-        client.ask(ask, document).map_err(|e| e.to_string())
+        client.request(ask, document).map_err(|e| e.to_string())
     }
 
     fn publish(&self, document: &str) -> String {
-        let answer = self.ask(&Ask::Publish { at_once: true }, Some(document)).expect("published");
+        let answer = self.ask(&Request::Publish { at_once: true }, Some(document)).expect("published");
         answer["version"].as_str().expect("a version").to_string()
     }
 
     fn status(&self) -> Value {
-        self.ask(&Ask::Status {}, None).expect("a status")
+        self.ask(&Request::Status {}, None).expect("a status")
     }
 
     /// Waits until the instance is known to run the version.
@@ -181,7 +181,8 @@
     }
     bed.serves(&mut client, 2);
     // What no version may say is not even published.
-    let faults = control.ask(&Ask::Publish { at_once: true }, Some("[fleet.settings.limits]\nsend_cap = 0"));
+    let faults =
+        control.ask(&Request::Publish { at_once: true }, Some("[fleet.settings.limits]\nsend_cap = 0"));
     assert!(faults.as_ref().is_err_and(|e| e.contains("fleet.settings.limits.send_cap")), "{faults:?}");
     // Whether a drain rule is too wide only the platform's file tells: 250 ms where it says nothing.
     let grace = control.publish("[fleet.settings.rules]\nstop_sending_within_us = 300000");
@@ -590,7 +591,7 @@
         })
         .collect();
     until("all are there", || (control.status()["instances"].as_array()?.len() == 5).then_some(()));
-    let answer = control.ask(&Ask::Publish { at_once: false }, Some(&open(900))).expect("published");
+    let answer = control.ask(&Request::Publish { at_once: false }, Some(&open(900))).expect("published");
     assert_eq!(answer["version"], "1.1");
     control.until_runs("n0", "1.1");
     let control = control.restart();
@@ -609,11 +610,11 @@
         "no wave was repeated"
     );
     // The same content twice is one version; one that an instance can't take halts the rollout.
-    let again = control.ask(&Ask::Publish { at_once: false }, Some(&open(900))).expect("published");
+    let again = control.ask(&Request::Publish { at_once: false }, Some(&open(900))).expect("published");
     assert_eq!((&again["version"], &again["new"]), (&json!("1.1"), &json!(false)));
     let version = control
         .ask(
-            &Ask::Publish { at_once: false },
+            &Request::Publish { at_once: false },
             Some("[fleet.limits]\nmemory_mb = 128\n[zone.h1.settings.limits]\nmax_open = 10"),
         )
         .expect("published")["version"]
@@ -636,12 +637,12 @@
         let changed = rollout["changed"].as_array().expect("a list").contains(&name);
         assert_eq!(counter(program, "version_number"), if changed { 2 } else { 1 }, "{name}");
     }
-    let explained = control.ask(&Ask::Explain { instance: "n1".into() }, None).expect("an answer");
+    let explained = control.ask(&Request::Explain { instance: "n1".into() }, None).expect("an answer");
     assert_eq!(explained["version"], "1.1", "nothing more is offered while it is halted");
-    control.ask(&Ask::Resume {}, None).expect("resumed");
+    control.ask(&Request::Resume {}, None).expect("resumed");
     done(&control, "done");
     control.until_runs("n1", &version);
-    let explained = control.ask(&Ask::Explain { instance: "n1".into() }, None).expect("an answer");
+    let explained = control.ask(&Request::Explain { instance: "n1".into() }, None).expect("an answer");
     let layer = |key: &str| {
         let keys = explained["keys"].as_array().expect("keys");
         keys.iter().find(|k| k["key"] == key).map(|k| k["layer"].clone())
