--- a/benches/stations.rs
+++ b/benches/stations.rs
@@ -173,7 +173,7 @@
         properties,
         client_id: client.into(),
         will: None,
-        user: Some("u".into()),
+        user_name: Some("u".into()),
         password: Some(b"p".to_vec()),
     };
     Packet::Connect(Box::new(connect)).encode(Version::V5, MOST).expect("written")
@@ -184,7 +184,7 @@
     let mut bytes = [0; 512];
     let size = stream.read(&mut bytes).expect("an answer");
     let packet = decode(&bytes[..size], Version::V5, MOST).expect("a good packet");
-    assert!(matches!(packet, Some((Packet::Connack(c), _)) if !c.reason.failed()));
+    assert!(matches!(packet, Some((Packet::Connack(c), _)) if !c.reason.is_failure()));
 }
 
 fn station(to: SocketAddr, first: u64) -> usize {
@@ -203,7 +203,7 @@
             sent += 1;
             let id = (sent % 60_000 + 1) as u16;
             let publish = Publish {
-                id,
+                packet_id: id,
                 qos: Qos::AtLeastOnce,
                 topic: "in/busy".into(),
                 properties,
--- a/crates/mqtt/src/delivery.rs
+++ b/crates/mqtt/src/delivery.rs
@@ -7,11 +7,11 @@
 
 use crate::packet::{Ack, Packet, Publish, Qos};
 use crate::property::Properties;
-use crate::reason::{Reason, Violation};
+use crate::reason::{ReasonCode, Violation};
 use std::collections::{BTreeMap, VecDeque};
 
-fn ack_without_properties(id: u16, reason: Reason) -> Ack {
-    Ack { id, reason, properties: Properties::default() }
+fn ack_without_properties(id: u16, reason: ReasonCode) -> Ack {
+    Ack { packet_id: id, reason, properties: Properties::default() }
 }
 
 /// The outbound queue is full.
@@ -24,7 +24,7 @@
     /// The sequence number that `publish` returned.
     pub sequence: u64,
     /// The peer's reason code; a failure means that the peer did not accept the message.
-    pub reason: Reason,
+    pub reason: ReasonCode,
 }
 
 #[derive(Clone, Debug)]
@@ -109,7 +109,7 @@
     }
 
     /// Returns the numbers of queued messages and of messages in flight.
-    pub fn load(&self) -> (usize, usize) {
+    pub fn queued_and_in_flight(&self) -> (usize, usize) {
         (self.queue.len(), self.in_flight.len())
     }
 
@@ -143,7 +143,7 @@
 
     /// Returns the next packet to send, or `None` if there is none or the peer's receive maximum is reached
     /// [MQTT-3.3.4-7].
-    pub fn take_packet(&mut self) -> Option<Packet> {
+    pub fn next_packet(&mut self) -> Option<Packet> {
         if !self.connected {
             return None;
         }
@@ -163,7 +163,7 @@
                     self.aliases.apply(&mut publish);
                     Packet::Publish(publish)
                 }
-                Stage::AwaitingPubcomp => Packet::Pubrel(ack_without_properties(id, Reason::Success)),
+                Stage::AwaitingPubcomp => Packet::Pubrel(ack_without_properties(id, ReasonCode::Success)),
             });
         }
         let qos = self.queue.front()?.1.qos;
@@ -173,10 +173,10 @@
         let (sequence, mut publish) = self.queue.pop_front()?;
         publish.dup = false;
         if qos != Qos::AtMostOnce {
-            publish.id = self.next_free_id();
+            publish.packet_id = self.next_free_id();
             self.quota_used += 1;
             let stage = Stage::AwaitingAck(publish.clone());
-            self.in_flight.insert(publish.id, InFlight { sequence, stage, resend: false });
+            self.in_flight.insert(publish.packet_id, InFlight { sequence, stage, resend: false });
         }
         self.aliases.apply(&mut publish);
         Some(Packet::Publish(publish))
@@ -195,7 +195,7 @@
     }
 
     /// Ends the delivery of a message and frees its packet identifier.
-    fn complete(&mut self, id: u16, reason: Reason) -> Option<Outcome> {
+    fn complete(&mut self, id: u16, reason: ReasonCode) -> Option<Outcome> {
         let message = self.in_flight.remove(&id)?;
         if !message.resend {
             self.quota_used -= 1;
@@ -205,9 +205,9 @@
 
     /// Handles a PUBACK and returns the message's outcome. A PUBACK for an unknown packet identifier is ignored.
     pub fn puback(&mut self, puback: &Ack) -> Result<Option<Outcome>, Violation> {
-        match self.in_flight.get(&puback.id).map(|message| &message.stage) {
+        match self.in_flight.get(&puback.packet_id).map(|message| &message.stage) {
             Some(Stage::AwaitingAck(p)) if p.qos == Qos::AtLeastOnce => {
-                Ok(self.complete(puback.id, puback.reason))
+                Ok(self.complete(puback.packet_id, puback.reason))
             }
             Some(_) => Err(Violation::protocol("MQTT-4.3.3-6", "a PUBACK of a message with QoS 2")),
             None => Ok(None),
@@ -216,25 +216,25 @@
 
     /// Handles a PUBREC and returns the packet to send, and the message's outcome if the peer refused it.
     pub fn pubrec(&mut self, pubrec: &Ack) -> Result<(Option<Packet>, Option<Outcome>), Violation> {
-        let Some(message) = self.in_flight.get_mut(&pubrec.id) else {
-            let pubrel = ack_without_properties(pubrec.id, Reason::PacketIdNotFound);
+        let Some(message) = self.in_flight.get_mut(&pubrec.packet_id) else {
+            let pubrel = ack_without_properties(pubrec.packet_id, ReasonCode::PacketIdNotFound);
             return Ok((Some(Packet::Pubrel(pubrel)), None));
         };
         if matches!(&message.stage, Stage::AwaitingAck(p) if p.qos != Qos::ExactlyOnce) {
             return Err(Violation::protocol("MQTT-4.3.2-2", "a PUBREC of a message with QoS 1"));
         }
-        if pubrec.reason.failed() {
-            return Ok((None, self.complete(pubrec.id, pubrec.reason)));
+        if pubrec.reason.is_failure() {
+            return Ok((None, self.complete(pubrec.packet_id, pubrec.reason)));
         }
         // The PUBLISH must not be resent after a PUBREC [MQTT-4.3.3-5].
         message.stage = Stage::AwaitingPubcomp;
-        Ok((Some(Packet::Pubrel(ack_without_properties(pubrec.id, Reason::Success))), None))
+        Ok((Some(Packet::Pubrel(ack_without_properties(pubrec.packet_id, ReasonCode::Success))), None))
     }
 
     /// Handles a PUBCOMP and returns the message's outcome. A PUBCOMP for an unknown packet identifier is ignored.
     pub fn pubcomp(&mut self, pubcomp: &Ack) -> Result<Option<Outcome>, Violation> {
-        match self.in_flight.get(&pubcomp.id).map(|message| &message.stage) {
-            Some(Stage::AwaitingPubcomp) => Ok(self.complete(pubcomp.id, Reason::Success)),
+        match self.in_flight.get(&pubcomp.packet_id).map(|message| &message.stage) {
+            Some(Stage::AwaitingPubcomp) => Ok(self.complete(pubcomp.packet_id, ReasonCode::Success)),
             Some(_) => Err(Violation::protocol("MQTT-4.3.3-7", "a PUBCOMP before its PUBREL")),
             None => Ok(None),
         }
@@ -243,13 +243,13 @@
 
 /// How a received PUBLISH is to be handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// A new message. Unless its packet identifier is 0 (QoS 0), [`Inbound::settle`] must be called for it.
+pub enum Received {
+    /// A new message. Unless its packet identifier is 0 (QoS 0), [`Inbound::acknowledge`] must be called for it.
     New,
     /// A duplicate of a message that is still being processed; it is acknowledged once, with that message.
     Pending,
     /// A duplicate of a QoS 2 message that has been acknowledged: the PUBREC to resend.
-    Again(Box<Packet>),
+    Acknowledged(Box<Packet>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -258,7 +258,7 @@
     Pending,
     /// Processed; the acknowledgment is held back until those of earlier messages are sent
     /// [MQTT-4.6.0-2, MQTT-4.6.0-3].
-    AckHeld(Reason, Box<Properties>),
+    AckHeld(ReasonCode, Box<Properties>),
     /// The PUBREC was sent; the packet identifier is in use until the PUBREL arrives.
     AwaitingPubrel,
 }
@@ -301,11 +301,15 @@
     }
 
     /// Handles a PUBLISH and replaces a topic alias by its topic.
-    pub fn publish(&mut self, publish: &mut Publish) -> Result<Taken, Violation> {
+    pub fn publish(&mut self, publish: &mut Publish) -> Result<Received, Violation> {
         if let Some(alias) = publish.properties.topic_alias {
             if alias > self.alias_maximum {
                 let (statement, what) = ("MQTT-3.3.2-9", "a topic alias above the topic alias maximum");
-                return Err(Violation { reason: Reason::TopicAliasInvalid, statement, what });
+                return Err(Violation {
+                    reason: ReasonCode::TopicAliasInvalid,
+                    statement,
+                    description: what,
+                });
             }
             if publish.topic.is_empty() {
                 let topic = self.aliases.get(&alias);
@@ -317,32 +321,36 @@
             }
         }
         if publish.qos == Qos::AtMostOnce {
-            return Ok(Taken::New);
+            return Ok(Received::New);
         }
-        match self.messages.get(&publish.id) {
+        match self.messages.get(&publish.packet_id) {
             Some((Qos::ExactlyOnce, State::AwaitingPubrel)) if publish.qos == Qos::ExactlyOnce => {
-                let pubrec = ack_without_properties(publish.id, Reason::Success);
-                return Ok(Taken::Again(Box::new(Packet::Pubrec(pubrec))));
+                let pubrec = ack_without_properties(publish.packet_id, ReasonCode::Success);
+                return Ok(Received::Acknowledged(Box::new(Packet::Pubrec(pubrec))));
             }
-            Some((qos, _)) if *qos == publish.qos => return Ok(Taken::Pending),
+            Some((qos, _)) if *qos == publish.qos => return Ok(Received::Pending),
             Some(_) => {
                 let (statement, what) = ("MQTT-2.2.1-3", "a packet identifier that is in use");
-                return Err(Violation { reason: Reason::PacketIdInUse, statement, what });
+                return Err(Violation { reason: ReasonCode::PacketIdInUse, statement, description: what });
             }
             None => {}
         }
         if self.messages.len() >= usize::from(self.receive_maximum) {
             let (statement, what) = ("MQTT-3.3.4-9", "more unacknowledged messages than the receive maximum");
-            return Err(Violation { reason: Reason::ReceiveMaximumExceeded, statement, what });
+            return Err(Violation {
+                reason: ReasonCode::ReceiveMaximumExceeded,
+                statement,
+                description: what,
+            });
         }
-        self.messages.insert(publish.id, (publish.qos, State::Pending));
-        self.unacknowledged.push_back(publish.id);
-        Ok(Taken::New)
+        self.messages.insert(publish.packet_id, (publish.qos, State::Pending));
+        self.unacknowledged.push_back(publish.packet_id);
+        Ok(Received::New)
     }
 
     /// Records the acknowledgment of a processed message and returns the acknowledgments that may be sent now, in the
     /// order in which their messages arrived.
-    pub fn settle(&mut self, id: u16, reason: Reason, properties: Properties) -> Vec<Packet> {
+    pub fn acknowledge(&mut self, id: u16, reason: ReasonCode, properties: Properties) -> Vec<Packet> {
         if let Some((_, state @ State::Pending)) = self.messages.get_mut(&id) {
             *state = State::AckHeld(reason, Box::new(properties));
         }
@@ -352,8 +360,8 @@
                 break;
             };
             self.unacknowledged.pop_front();
-            let ack = Ack { id, reason, properties: *properties };
-            if qos == Qos::ExactlyOnce && !reason.failed() {
+            let ack = Ack { packet_id: id, reason, properties: *properties };
+            if qos == Qos::ExactlyOnce && !reason.is_failure() {
                 self.messages.insert(id, (qos, State::AwaitingPubrel));
                 acknowledgments.push(Packet::Pubrec(ack));
             } else {
@@ -370,11 +378,12 @@
 
     /// Handles a PUBREL and returns the PUBCOMP to send [MQTT-4.3.3-11].
     pub fn pubrel(&mut self, pubrel: &Ack) -> Packet {
-        let known = self.messages.get(&pubrel.id).is_some_and(|(_, state)| *state == State::AwaitingPubrel);
+        let known =
+            self.messages.get(&pubrel.packet_id).is_some_and(|(_, state)| *state == State::AwaitingPubrel);
         if known {
-            self.messages.remove(&pubrel.id);
+            self.messages.remove(&pubrel.packet_id);
         }
-        let reason = if known { Reason::Success } else { Reason::PacketIdNotFound };
-        Packet::Pubcomp(ack_without_properties(pubrel.id, reason))
+        let reason = if known { ReasonCode::Success } else { ReasonCode::PacketIdNotFound };
+        Packet::Pubcomp(ack_without_properties(pubrel.packet_id, reason))
     }
 }
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -15,4 +15,4 @@
 
 pub use packet::{Packet, Qos, Version, decode};
 pub use property::Properties;
-pub use reason::{PacketType, Reason, Violation};
+pub use reason::{PacketType, ReasonCode, Violation};
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -2,7 +2,7 @@
 //! Sizes are bounded by the maximum that the caller passes in; nothing is allocated for content that has not arrived.
 
 use crate::property::{Location, Properties};
-use crate::reason::{PacketType, Reason, Violation};
+use crate::reason::{PacketType, ReasonCode, Violation};
 use crate::topic;
 use crate::wire::{
     MOST_VARIABLE, Reader, decode_variable_byte_integer, put_binary, put_variable_byte_integer,
@@ -67,7 +67,7 @@
     /// The will message.
     pub will: Option<Will>,
     /// The user name.
-    pub user: Option<String>,
+    pub user_name: Option<String>,
     /// The password.
     pub password: Option<Vec<u8>>,
 }
@@ -78,7 +78,7 @@
     /// Whether the server resumes a session of this client.
     pub session_present: bool,
     /// Whether the connection is accepted. Return codes of 3.1.1 are mapped to reason codes.
-    pub reason: Reason,
+    pub reason: ReasonCode,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
 }
@@ -95,7 +95,7 @@
     /// The topic name; may be empty if a topic alias is set.
     pub topic: String,
     /// The packet identifier; 0 at QoS 0.
-    pub id: u16,
+    pub packet_id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
     /// The application message.
@@ -106,9 +106,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ack {
     /// The packet identifier of the message.
-    pub id: u16,
+    pub packet_id: u16,
     /// The reason code.
-    pub reason: Reason,
+    pub reason: ReasonCode,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
 }
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscribe {
     /// The packet identifier.
-    pub id: u16,
+    pub packet_id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
     /// The subscriptions, at least one.
@@ -143,18 +143,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suback {
     /// The packet identifier of the SUBSCRIBE or UNSUBSCRIBE.
-    pub id: u16,
+    pub packet_id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
     /// One reason code for each topic filter; none in an UNSUBACK of 3.1.1.
-    pub reasons: Vec<Reason>,
+    pub reasons: Vec<ReasonCode>,
 }
 
 /// UNSUBSCRIBE (3.10).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Unsubscribe {
     /// The packet identifier.
-    pub id: u16,
+    pub packet_id: u16,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
     /// The topic filters, at least one.
@@ -163,9 +163,9 @@
 
 /// DISCONNECT or AUTH (3.14, 3.15).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Closing {
+pub struct DisconnectOrAuth {
     /// The disconnect or authenticate reason code.
-    pub reason: Reason,
+    pub reason: ReasonCode,
     /// Properties; none in 3.1.1.
     pub properties: Properties,
 }
@@ -200,14 +200,14 @@
     /// Ping response.
     Pingresp,
     /// Disconnect notification.
-    Disconnect(Closing),
+    Disconnect(DisconnectOrAuth),
     /// Authentication exchange.
-    Auth(Closing),
+    Auth(DisconnectOrAuth),
 }
 
 /// Why a packet cannot be encoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unwritable {
+pub enum EncodeError {
     /// A string or binary value is longer than 65,535 bytes.
     ValueTooLong,
     /// The packet exceeds the protocol's limit or the maximum packet size of the peer.
@@ -234,7 +234,11 @@
     let packet_size = 1 + length_size + remaining_length as usize;
     if packet_size > max_size {
         let what = "a packet larger than the maximum packet size";
-        return Err(Violation { reason: Reason::PacketTooLarge, statement: "MQTT-3.1.2-24", what });
+        return Err(Violation {
+            reason: ReasonCode::PacketTooLarge,
+            statement: "MQTT-3.1.2-24",
+            description: what,
+        });
     }
     Ok(Some((packet_size, 1 + length_size)))
 }
@@ -306,13 +310,14 @@
     if id == 0 { Err(ZERO_PACKET_ID) } else { Ok(id) }
 }
 
-fn reason(code: u8, packet_type: PacketType) -> Result<Reason, Violation> {
+fn reason(code: u8, packet_type: PacketType) -> Result<ReasonCode, Violation> {
     let violation = Violation::malformed("MQTT 2.4", "a reason code that is not allowed in this packet");
-    Reason::from_code(code).filter(|reason| reason.is_allowed_in(packet_type)).ok_or(violation)
+    ReasonCode::from_code(code).filter(|reason| reason.is_allowed_in(packet_type)).ok_or(violation)
 }
 
 fn connect(reader: &mut Reader) -> Result<Connect, Violation> {
-    let unsupported = |statement, what| Violation { reason: Reason::UnsupportedProtocol, statement, what };
+    let unsupported =
+        |statement, what| Violation { reason: ReasonCode::UnsupportedProtocol, statement, description: what };
     if reader.string()? != "MQTT" {
         return Err(unsupported("MQTT-3.1.2-1", "a protocol name other than MQTT"));
     }
@@ -351,17 +356,26 @@
     };
     let user = if flag(7) { Some(reader.string()?.to_string()) } else { None };
     let password = if flag(6) { Some(reader.binary()?.to_vec()) } else { None };
-    Ok(Connect { version, clean_start: flag(1), keep_alive, properties, client_id, will, user, password })
+    Ok(Connect {
+        version,
+        clean_start: flag(1),
+        keep_alive,
+        properties,
+        client_id,
+        will,
+        user_name: user,
+        password,
+    })
 }
 
 /// The reason codes of the CONNACK return codes of 3.1.1, indexed by return code.
-const RETURN_CODES: [Reason; 6] = [
-    Reason::Success,
-    Reason::UnsupportedProtocol,
-    Reason::ClientIdNotValid,
-    Reason::ServerUnavailable,
-    Reason::BadLogin,
-    Reason::NotAuthorized,
+const RETURN_CODES: [ReasonCode; 6] = [
+    ReasonCode::Success,
+    ReasonCode::UnsupportedProtocol,
+    ReasonCode::ClientIdNotValid,
+    ReasonCode::ServerUnavailable,
+    ReasonCode::BadUserNameOrPassword,
+    ReasonCode::NotAuthorized,
 ];
 
 fn connack(reader: &mut Reader, version: Version) -> Result<Connack, Violation> {
@@ -377,7 +391,7 @@
             .ok_or(Violation::malformed("MQTT 3.1.1 3.2.2.3", "a reserved return code"))?,
     };
     let session_present = flags == 1;
-    if session_present && reason.failed() {
+    if session_present && reason.is_failure() {
         return Err(Violation::protocol(
             "MQTT-3.2.2-6",
             "session present set in a CONNACK that refuses the connection",
@@ -398,7 +412,11 @@
     let properties = properties(&mut reader, PacketType::Publish, version)?;
     if properties.topic_alias == Some(0) {
         let what = "a topic alias of 0";
-        return Err(Violation { reason: Reason::TopicAliasInvalid, statement: "MQTT-3.3.2-8", what });
+        return Err(Violation {
+            reason: ReasonCode::TopicAliasInvalid,
+            statement: "MQTT-3.3.2-8",
+            description: what,
+        });
     }
     if topic.is_empty() && properties.topic_alias.is_none() {
         return Err(Violation::protocol("MQTT 3.3.2.1", "a message without a topic name or a topic alias"));
@@ -410,14 +428,14 @@
         topic::check_name(response)
             .map_err(|_| Violation::protocol("MQTT-3.3.2-14", "a response topic with wildcards"))?;
     }
-    Ok(Publish { dup, qos, retain, topic, id, properties, payload: reader.remaining().to_vec() })
+    Ok(Publish { dup, qos, retain, topic, packet_id: id, properties, payload: reader.remaining().to_vec() })
 }
 
 fn ack(reader: &mut Reader, packet_type: PacketType, version: Version) -> Result<Ack, Violation> {
     let id = packet_id(reader)?;
     // An omitted reason code means success (3.4.2.1).
     if version == Version::V311 || reader.is_empty() {
-        return Ok(Ack { id, reason: Reason::Success, properties: Properties::default() });
+        return Ok(Ack { packet_id: id, reason: ReasonCode::Success, properties: Properties::default() });
     }
     let reason = reason(reader.u8()?, packet_type)?;
     let properties = if reader.is_empty() {
@@ -425,7 +443,7 @@
     } else {
         Properties::read(reader, Location::Packet(packet_type))?
     };
-    Ok(Ack { id, reason, properties })
+    Ok(Ack { packet_id: id, reason, properties })
 }
 
 fn subscribe(reader: &mut Reader, version: Version) -> Result<Subscribe, Violation> {
@@ -461,7 +479,7 @@
     if subscriptions.is_empty() {
         return Err(Violation::protocol("MQTT-3.8.3-2", "a SUBSCRIBE without a filter"));
     }
-    Ok(Subscribe { id, properties, subscriptions })
+    Ok(Subscribe { packet_id: id, properties, subscriptions })
 }
 
 fn suback(reader: &mut Reader, packet_type: PacketType, version: Version) -> Result<Suback, Violation> {
@@ -479,7 +497,7 @@
     if reasons.is_empty() && !(version == Version::V311 && packet_type == PacketType::Unsuback) {
         return Err(Violation::protocol("MQTT-3.8.4-6", "an acknowledgment without a reason code"));
     }
-    Ok(Suback { id, properties, reasons })
+    Ok(Suback { packet_id: id, properties, reasons })
 }
 
 fn unsubscribe(reader: &mut Reader, version: Version) -> Result<Unsubscribe, Violation> {
@@ -492,12 +510,12 @@
     if filters.is_empty() {
         return Err(Violation::protocol("MQTT-3.10.3-2", "an UNSUBSCRIBE without a filter"));
     }
-    Ok(Unsubscribe { id, properties, filters })
+    Ok(Unsubscribe { packet_id: id, properties, filters })
 }
 
-fn closing(reader: &mut Reader, packet_type: PacketType, v5: bool) -> Result<Closing, Violation> {
+fn closing(reader: &mut Reader, packet_type: PacketType, v5: bool) -> Result<DisconnectOrAuth, Violation> {
     if !v5 || reader.is_empty() {
-        return Ok(Closing { reason: Reason::Success, properties: Properties::default() });
+        return Ok(DisconnectOrAuth { reason: ReasonCode::Success, properties: Properties::default() });
     }
     let reason = reason(reader.u8()?, packet_type)?;
     let properties = if reader.is_empty() {
@@ -508,7 +526,7 @@
     if packet_type == PacketType::Auth && properties.authentication_method.is_none() {
         return Err(Violation::protocol("MQTT 3.15.2.2.2", "an AUTH without an authentication method"));
     }
-    Ok(Closing { reason, properties })
+    Ok(DisconnectOrAuth { reason, properties })
 }
 
 // ---- Encoding ----
@@ -517,17 +535,17 @@
 struct Writer {
     out: Vec<u8>,
     v5: bool,
-    error: Option<Unwritable>,
+    error: Option<EncodeError>,
 }
 
 impl Writer {
-    fn fail(&mut self, error: Unwritable) {
+    fn fail(&mut self, error: EncodeError) {
         self.error.get_or_insert(error);
     }
 
     fn binary(&mut self, bytes: &[u8]) {
         if bytes.len() > usize::from(u16::MAX) {
-            self.fail(Unwritable::ValueTooLong);
+            self.fail(EncodeError::ValueTooLong);
         }
         put_binary(&mut self.out, bytes);
     }
@@ -538,14 +556,14 @@
 
     fn packet_id(&mut self, id: u16) {
         if id == 0 {
-            self.fail(Unwritable::InvalidPacketId);
+            self.fail(EncodeError::InvalidPacketId);
         }
         self.out.extend(id.to_be_bytes());
     }
 
     fn properties(&mut self, properties: &Properties, location: Location) {
         if properties.first_disallowed(location).is_some() || (!self.v5 && !properties.is_empty()) {
-            self.fail(Unwritable::NotAllowed);
+            self.fail(EncodeError::NotAllowed);
         }
         let strings = [
             &properties.content_type,
@@ -562,7 +580,7 @@
         let user_lengths = properties.user.iter().flat_map(|(name, value)| [name.len(), value.len()]);
         let lengths = string_lengths.chain(binary_lengths).chain(user_lengths);
         if lengths.max().unwrap_or_default() > usize::from(u16::MAX) {
-            self.fail(Unwritable::ValueTooLong);
+            self.fail(EncodeError::ValueTooLong);
         }
         if self.v5 {
             properties.write(&mut self.out);
@@ -570,17 +588,22 @@
     }
 
     /// Writes a reason code and properties. Success without properties is omitted, and so are empty properties.
-    fn reason_and_properties(&mut self, reason: Reason, properties: &Properties, packet_type: PacketType) {
+    fn reason_and_properties(
+        &mut self,
+        reason: ReasonCode,
+        properties: &Properties,
+        packet_type: PacketType,
+    ) {
         if !self.v5 {
             if !properties.is_empty() {
-                self.fail(Unwritable::NotAllowed);
+                self.fail(EncodeError::NotAllowed);
             }
             return;
         }
         if !reason.is_allowed_in(packet_type) {
-            self.fail(Unwritable::NotAllowed);
+            self.fail(EncodeError::NotAllowed);
         }
-        if reason == Reason::Success && properties.is_empty() {
+        if reason == ReasonCode::Success && properties.is_empty() {
             return;
         }
         self.out.push(reason.code());
@@ -614,7 +637,7 @@
 
     /// Encodes the packet, at most `max_size` bytes. A CONNECT is encoded in the version that it states, all other packets
     /// in `version`.
-    pub fn encode(&self, version: Version, max_size: usize) -> Result<Vec<u8>, Unwritable> {
+    pub fn encode(&self, version: Version, max_size: usize) -> Result<Vec<u8>, EncodeError> {
         let packet_type = self.packet_type();
         let location = Location::Packet(packet_type);
         let version = if let Packet::Connect(connect) = self { connect.version } else { version };
@@ -633,7 +656,7 @@
                 let code =
                     if writer.v5 { Some(connack.reason.code()) } else { return_code.map(|code| code as u8) };
                 if code.is_none() || !connack.reason.is_allowed_in(packet_type) {
-                    writer.fail(Unwritable::NotAllowed);
+                    writer.fail(EncodeError::NotAllowed);
                 }
                 writer.out.push(code.unwrap_or_default());
                 writer.properties(&connack.properties, location);
@@ -642,22 +665,22 @@
                 flags = u8::from(publish.dup) << 3 | (publish.qos as u8) << 1 | u8::from(publish.retain);
                 writer.string(&publish.topic);
                 if publish.qos != Qos::AtMostOnce {
-                    writer.packet_id(publish.id);
-                } else if publish.id != 0 || publish.dup {
-                    writer.fail(Unwritable::InvalidPacketId);
+                    writer.packet_id(publish.packet_id);
+                } else if publish.packet_id != 0 || publish.dup {
+                    writer.fail(EncodeError::InvalidPacketId);
                 }
                 writer.properties(&publish.properties, location);
                 writer.out.extend(&publish.payload);
             }
             Packet::Puback(ack) | Packet::Pubrec(ack) | Packet::Pubrel(ack) | Packet::Pubcomp(ack) => {
-                writer.packet_id(ack.id);
+                writer.packet_id(ack.packet_id);
                 writer.reason_and_properties(ack.reason, &ack.properties, packet_type);
             }
             Packet::Subscribe(subscribe) => {
-                writer.packet_id(subscribe.id);
+                writer.packet_id(subscribe.packet_id);
                 writer.properties(&subscribe.properties, location);
                 if subscribe.subscriptions.is_empty() {
-                    writer.fail(Unwritable::InvalidEntryCount);
+                    writer.fail(EncodeError::InvalidEntryCount);
                 }
                 for subscription in &subscribe.subscriptions {
                     writer.string(&subscription.filter);
@@ -665,31 +688,31 @@
                         | u8::from(subscription.retain_as_published) << 3
                         | subscription.retain_handling.min(2) << 4;
                     if v5_options != 0 && !writer.v5 {
-                        writer.fail(Unwritable::NotAllowed);
+                        writer.fail(EncodeError::NotAllowed);
                     }
                     writer.out.push(subscription.qos as u8 | v5_options);
                 }
             }
             Packet::Suback(suback) | Packet::Unsuback(suback) => {
-                writer.packet_id(suback.id);
+                writer.packet_id(suback.packet_id);
                 writer.properties(&suback.properties, location);
                 let without_reasons = !writer.v5 && packet_type == PacketType::Unsuback;
                 if suback.reasons.is_empty() != without_reasons {
-                    writer.fail(Unwritable::InvalidEntryCount);
+                    writer.fail(EncodeError::InvalidEntryCount);
                 }
                 for reason in &suback.reasons {
                     let defined_in_v311 = matches!(reason.code(), 0..=2 | 0x80);
                     if !reason.is_allowed_in(packet_type) || (!writer.v5 && !defined_in_v311) {
-                        writer.fail(Unwritable::NotAllowed);
+                        writer.fail(EncodeError::NotAllowed);
                     }
                     writer.out.push(reason.code());
                 }
             }
             Packet::Unsubscribe(unsubscribe) => {
-                writer.packet_id(unsubscribe.id);
+                writer.packet_id(unsubscribe.packet_id);
                 writer.properties(&unsubscribe.properties, location);
                 if unsubscribe.filters.is_empty() {
-                    writer.fail(Unwritable::InvalidEntryCount);
+                    writer.fail(EncodeError::InvalidEntryCount);
                 }
                 unsubscribe.filters.iter().for_each(|filter| writer.string(filter));
             }
@@ -699,13 +722,13 @@
             }
             Packet::Auth(closing) => {
                 if !writer.v5 {
-                    writer.fail(Unwritable::NotAllowed);
+                    writer.fail(EncodeError::NotAllowed);
                 }
                 writer.reason_and_properties(closing.reason, &closing.properties, packet_type);
             }
         }
         if writer.out.len() > MOST_VARIABLE as usize {
-            writer.fail(Unwritable::PacketTooLarge);
+            writer.fail(EncodeError::PacketTooLarge);
         }
         let mut out = Vec::with_capacity(writer.out.len() + 5);
         out.push((packet_type as u8) << 4 | flags);
@@ -713,7 +736,7 @@
         out.extend(writer.out);
         match writer.error {
             Some(error) => Err(error),
-            None if out.len() > max_size => Err(Unwritable::PacketTooLarge),
+            None if out.len() > max_size => Err(EncodeError::PacketTooLarge),
             None => Ok(out),
         }
     }
@@ -727,9 +750,9 @@
         if let Some(will) = &self.will {
             flags |= 1 << 2 | (will.qos as u8) << 3 | u8::from(will.retain) << 5;
         }
-        flags |= u8::from(self.password.is_some()) << 6 | u8::from(self.user.is_some()) << 7;
-        if !writer.v5 && self.password.is_some() && self.user.is_none() {
-            writer.fail(Unwritable::NotAllowed);
+        flags |= u8::from(self.password.is_some()) << 6 | u8::from(self.user_name.is_some()) << 7;
+        if !writer.v5 && self.password.is_some() && self.user_name.is_none() {
+            writer.fail(EncodeError::NotAllowed);
         }
         writer.out.push(flags);
         writer.out.extend(self.keep_alive.to_be_bytes());
@@ -740,7 +763,7 @@
             writer.string(&will.topic);
             writer.binary(&will.payload);
         }
-        if let Some(user) = &self.user {
+        if let Some(user) = &self.user_name {
             writer.string(user);
         }
         if let Some(password) = &self.password {
--- a/crates/mqtt/src/property/tests.rs
+++ b/crates/mqtt/src/property/tests.rs
@@ -4,7 +4,7 @@
     let mut whole = Vec::new();
     put_variable_byte_integer(&mut whole, bytes.len() as u32);
     whole.extend(bytes);
-    Properties::read(&mut Reader::new(&whole), Location::Packet(packet_type)).map_err(|v| v.what)
+    Properties::read(&mut Reader::new(&whole), Location::Packet(packet_type)).map_err(|v| v.description)
 }
 
 #[test]
--- a/crates/mqtt/src/reason.rs
+++ b/crates/mqtt/src/reason.rs
@@ -8,20 +8,20 @@
         /// A reason code of MQTT 5.0. Codes of 0x80 and over are failures.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         #[repr(u8)]
-        pub enum Reason { $(#[doc = $text] $name = $code,)* }
+        pub enum ReasonCode { $(#[doc = $text] $name = $code,)* }
 
-        impl Reason {
+        impl ReasonCode {
             /// All reason codes.
-            pub const ALL: &[Reason] = &[$(Reason::$name,)*];
+            pub const ALL: &[ReasonCode] = &[$(ReasonCode::$name,)*];
 
             /// Returns the reason with this code, or `None` if the specification defines none.
-            pub fn from_code(code: u8) -> Option<Reason> {
-                match code { $($code => Some(Reason::$name),)* _ => None }
+            pub fn from_code(code: u8) -> Option<ReasonCode> {
+                match code { $($code => Some(ReasonCode::$name),)* _ => None }
             }
 
             /// Returns the name of the reason code in the specification.
             pub fn name(self) -> &'static str {
-                match self { $(Reason::$name => $text,)* }
+                match self { $(ReasonCode::$name => $text,)* }
             }
         }
     };
@@ -42,7 +42,7 @@
     Implementation = 0x83, "implementation specific error";
     UnsupportedProtocol = 0x84, "unsupported protocol version";
     ClientIdNotValid = 0x85, "client identifier not valid";
-    BadLogin = 0x86, "bad user name or password";
+    BadUserNameOrPassword = 0x86, "bad user name or password";
     NotAuthorized = 0x87, "not authorized";
     ServerUnavailable = 0x88, "server unavailable";
     ServerBusy = 0x89, "server busy";
@@ -73,14 +73,14 @@
     WildcardsNotSupported = 0xa2, "wildcard subscriptions not supported";
 }
 
-impl Reason {
+impl ReasonCode {
     /// Returns the code on the wire.
     pub fn code(self) -> u8 {
         self as u8
     }
 
     /// Returns whether the code denotes a failure.
-    pub fn failed(self) -> bool {
+    pub fn is_failure(self) -> bool {
         self.code() >= 0x80
     }
 
@@ -108,7 +108,7 @@
     }
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for ReasonCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} (0x{:02x})", self.name(), self.code())
     }
@@ -179,25 +179,25 @@
 /// A violation of the specification by the peer: the reason code to close with, the conformance statement, and a
 /// description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{what} [{statement}], {reason}: look at the station or broker that sends it")]
+#[error("{description} [{statement}], {reason}: look at the station or broker that sends it")]
 pub struct Violation {
     /// The reason code that the specification prescribes.
-    pub reason: Reason,
+    pub reason: ReasonCode,
     /// The conformance statement, such as `MQTT-2.1.3-1`, or the section if the rule has no number.
     pub statement: &'static str,
     /// A description of what the peer sent.
-    pub what: &'static str,
+    pub description: &'static str,
 }
 
 impl Violation {
     /// Returns a violation with the reason code "malformed packet".
     pub const fn malformed(statement: &'static str, what: &'static str) -> Violation {
-        Violation { reason: Reason::MalformedPacket, statement, what }
+        Violation { reason: ReasonCode::MalformedPacket, statement, description: what }
     }
 
     /// Returns a violation with the reason code "protocol error".
     pub const fn protocol(statement: &'static str, what: &'static str) -> Violation {
-        Violation { reason: Reason::ProtocolError, statement, what }
+        Violation { reason: ReasonCode::ProtocolError, statement, description: what }
     }
 }
 
--- a/crates/mqtt/src/reason/tests.rs
+++ b/crates/mqtt/src/reason/tests.rs
@@ -3,9 +3,12 @@
 #[test]
 fn reason_codes_round_trip_and_are_allowed_in_as_many_packet_types_as_specified() {
     for code in 0..=u8::MAX {
-        assert_eq!(Reason::from_code(code).map(Reason::code), Reason::from_code(code).map(|_| code));
+        assert_eq!(
+            ReasonCode::from_code(code).map(ReasonCode::code),
+            ReasonCode::from_code(code).map(|_| code)
+        );
     }
-    assert_eq!(Reason::ALL.len(), 43);
+    assert_eq!(ReasonCode::ALL.len(), 43);
     // The number of codes in the specification's table for each packet type.
     let counts = [
         (PacketType::Connack, 22),
@@ -21,7 +24,7 @@
     ];
     for (packet_type, count) in counts {
         assert_eq!(
-            Reason::ALL.iter().filter(|r| r.is_allowed_in(packet_type)).count(),
+            ReasonCode::ALL.iter().filter(|r| r.is_allowed_in(packet_type)).count(),
             count,
             "{packet_type:?}"
         );
--- a/crates/mqtt/src/topic.rs
+++ b/crates/mqtt/src/topic.rs
@@ -1,16 +1,16 @@
 //! Validation and matching of topic names and topic filters (MQTT 5.0, section 4.7), including the filters of shared
 //! subscriptions (4.8.2).
 
-use crate::reason::{Reason, Violation};
+use crate::reason::{ReasonCode, Violation};
 
 /// The maximum length of a topic name or filter in bytes [MQTT-4.7.3-3].
 pub const MAX_TOPIC_BYTES: usize = 65_535;
 
-fn invalid(reason: Reason, statement: &'static str, what: &'static str) -> Violation {
-    Violation { reason, statement, what }
+fn invalid(reason: ReasonCode, statement: &'static str, what: &'static str) -> Violation {
+    Violation { reason, statement, description: what }
 }
 
-fn check_common(text: &str, reason: Reason) -> Result<(), Violation> {
+fn check_common(text: &str, reason: ReasonCode) -> Result<(), Violation> {
     if text.is_empty() {
         return Err(invalid(reason, "MQTT-4.7.3-1", "an empty topic"));
     }
@@ -25,27 +25,27 @@
 
 /// Checks the topic name of a PUBLISH or a will.
 pub fn check_name(name: &str) -> Result<(), Violation> {
-    check_common(name, Reason::TopicNameInvalid)?;
+    check_common(name, ReasonCode::TopicNameInvalid)?;
     if name.contains(['+', '#']) {
-        return Err(invalid(Reason::TopicNameInvalid, "MQTT-3.3.2-2", "a topic name with a wildcard"));
+        return Err(invalid(ReasonCode::TopicNameInvalid, "MQTT-3.3.2-2", "a topic name with a wildcard"));
     }
     Ok(())
 }
 
 /// The parsed topic filter of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Filter {
+pub struct TopicFilter {
     /// The share name of a shared subscription.
-    pub share: Option<String>,
+    pub share_name: Option<String>,
     /// The topic filter without the `$share/` prefix and the share name.
     pub filter: String,
 }
 
-impl Filter {
+impl TopicFilter {
     /// Parses and validates a topic filter.
-    pub fn read(text: &str) -> Result<Filter, Violation> {
-        let violation = |statement, what| invalid(Reason::TopicFilterInvalid, statement, what);
-        check_common(text, Reason::TopicFilterInvalid)?;
+    pub fn parse(text: &str) -> Result<TopicFilter, Violation> {
+        let violation = |statement, what| invalid(ReasonCode::TopicFilterInvalid, statement, what);
+        check_common(text, ReasonCode::TopicFilterInvalid)?;
         let (share, filter) = match text.strip_prefix("$share/") {
             None => (None, text),
             Some(rest) => {
@@ -58,7 +58,7 @@
                 if share.contains(['+', '#']) {
                     return Err(violation("MQTT-4.8.2-2", "a share name with a wildcard"));
                 }
-                check_common(filter, Reason::TopicFilterInvalid)?;
+                check_common(filter, ReasonCode::TopicFilterInvalid)?;
                 (Some(share.to_string()), filter)
             }
         };
@@ -71,7 +71,7 @@
                 return Err(violation("MQTT-4.7.1-2", "a single-level wildcard that is not a whole level"));
             }
         }
-        Ok(Filter { share, filter: filter.to_string() })
+        Ok(TopicFilter { share_name: share, filter: filter.to_string() })
     }
 
     /// Returns whether the filter contains wildcards.
--- a/crates/mqtt/src/topic/tests.rs
+++ b/crates/mqtt/src/topic/tests.rs
@@ -23,7 +23,7 @@
         ("a//b", "a/b", false),
     ];
     for (filter, name, matches) in table {
-        let filter = Filter::read(filter).expect("a filter");
+        let filter = TopicFilter::parse(filter).expect("a filter");
         assert_eq!(filter.matches(name), matches, "{filter:?} {name}");
     }
 }
@@ -42,10 +42,10 @@
         ("$share/a/", "MQTT-4.7.3-1"),
     ];
     for (text, statement) in filters {
-        assert_eq!(Filter::read(text).map_err(|v| v.statement), Err(statement), "{text}");
+        assert_eq!(TopicFilter::parse(text).map_err(|v| v.statement), Err(statement), "{text}");
     }
-    let shared = Filter::read("$share/g/a/+").expect("a filter");
-    assert!(shared.share.as_deref() == Some("g") && shared.matches("a/b") && shared.has_wildcards());
+    let shared = TopicFilter::parse("$share/g/a/+").expect("a filter");
+    assert!(shared.share_name.as_deref() == Some("g") && shared.matches("a/b") && shared.has_wildcards());
     assert_eq!(check_name("a/+").map_err(|v| v.statement), Err("MQTT-3.3.2-2"));
     assert!(check_name("$SYS/a b/\u{e9}").is_ok());
     assert_eq!(check_name(&"a".repeat(MAX_TOPIC_BYTES + 1)).map_err(|v| v.statement), Err("MQTT-4.7.3-3"));
--- a/crates/mqtt/tests/codec.rs
+++ b/crates/mqtt/tests/codec.rs
@@ -2,10 +2,10 @@
 //! error or a packet, never a panic. A table checks the statement and the reason code of each violation.
 
 use ochreward_mqtt::packet::{
-    Ack, Closing, Connack, Connect, Packet, Publish, Qos, Suback, Subscribe, Subscription, Unsubscribe,
-    Unwritable, Version, Will, decode,
+    Ack, Connack, Connect, DisconnectOrAuth, EncodeError, Packet, Publish, Qos, Suback, Subscribe,
+    Subscription, Unsubscribe, Version, Will, decode,
 };
-use ochreward_mqtt::{PacketType, Properties, Reason};
+use ochreward_mqtt::{PacketType, Properties, ReasonCode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -87,19 +87,20 @@
     prop_oneof![Just(Qos::AtMostOnce), Just(Qos::AtLeastOnce), Just(Qos::ExactlyOnce)]
 }
 
-fn reason(packet_type: PacketType) -> impl Strategy<Value = Reason> {
-    let allowed: Vec<Reason> = Reason::ALL.iter().copied().filter(|r| r.is_allowed_in(packet_type)).collect();
+fn reason(packet_type: PacketType) -> impl Strategy<Value = ReasonCode> {
+    let allowed: Vec<ReasonCode> =
+        ReasonCode::ALL.iter().copied().filter(|r| r.is_allowed_in(packet_type)).collect();
     prop::sample::select(allowed)
 }
 
 fn ack(packet_type: PacketType) -> impl Strategy<Value = Ack> {
     (1..=u16::MAX, reason(packet_type), acknowledgment_properties())
-        .prop_map(|(id, reason, properties)| Ack { id, reason, properties })
+        .prop_map(|(id, reason, properties)| Ack { packet_id: id, reason, properties })
 }
 
 fn suback(packet_type: PacketType) -> impl Strategy<Value = Suback> {
     (1..=u16::MAX, acknowledgment_properties(), prop::collection::vec(reason(packet_type), 1..4))
-        .prop_map(|(id, properties, reasons)| Suback { id, properties, reasons })
+        .prop_map(|(id, properties, reasons)| Suback { packet_id: id, properties, reasons })
 }
 
 fn publish() -> impl Strategy<Value = Packet> {
@@ -113,7 +114,7 @@
                 qos,
                 retain,
                 topic,
-                id,
+                packet_id: id,
                 properties,
                 payload,
             }))
@@ -147,7 +148,7 @@
                 properties,
                 client_id,
                 will,
-                user,
+                user_name: user,
                 password,
             }))
         })
@@ -169,7 +170,7 @@
 fn packet() -> impl Strategy<Value = Packet> {
     let connack = (any::<bool>(), reason(PacketType::Connack), connection_properties()).prop_map(
         |(session, reason, properties)| {
-            let session_present = session && !reason.failed();
+            let session_present = session && !reason.is_failure();
             Packet::Connack(Box::new(Connack { session_present, reason, properties }))
         },
     );
@@ -177,25 +178,25 @@
         .prop_map(|(id, subscription_id, subscriptions)| {
             let subscription_ids = subscription_id.into_iter().collect();
             let properties = Properties { subscription_ids, ..Properties::default() };
-            Packet::Subscribe(Subscribe { id, properties, subscriptions })
+            Packet::Subscribe(Subscribe { packet_id: id, properties, subscriptions })
         });
     let unsubscribe =
         (1..=u16::MAX, user(), prop::collection::vec(topic(), 1..4)).prop_map(|(id, user, filters)| {
             Packet::Unsubscribe(Unsubscribe {
-                id,
+                packet_id: id,
                 properties: Properties { user, ..Properties::default() },
                 filters,
             })
         });
     let disconnect = (reason(PacketType::Disconnect), acknowledgment_properties())
-        .prop_map(|(reason, properties)| Packet::Disconnect(Closing { reason, properties }));
+        .prop_map(|(reason, properties)| Packet::Disconnect(DisconnectOrAuth { reason, properties }));
     let auth = (reason(PacketType::Auth), string(), bytes()).prop_map(|(reason, method, data)| {
         let properties = Properties {
             authentication_method: Some(method),
             authentication_data: Some(data),
             ..Properties::default()
         };
-        Packet::Auth(Closing { reason, properties })
+        Packet::Auth(DisconnectOrAuth { reason, properties })
     });
     prop_oneof![
         connect(),
@@ -224,21 +225,21 @@
             c.version = Version::V311;
             c.properties = none();
             c.will.iter_mut().for_each(|w| w.properties = none());
-            c.password = c.password.filter(|_| c.user.is_some());
+            c.password = c.password.filter(|_| c.user_name.is_some());
             Packet::Connect(c)
         }
         Packet::Connack(mut c) => {
-            (c.properties, c.reason) = (none(), Reason::Success);
+            (c.properties, c.reason) = (none(), ReasonCode::Success);
             Packet::Connack(c)
         }
         Packet::Publish(mut p) => {
             p.properties = none();
             Packet::Publish(p)
         }
-        Packet::Puback(a) => Packet::Puback(Ack { reason: Reason::Success, properties: none(), ..a }),
-        Packet::Pubrec(a) => Packet::Pubrec(Ack { reason: Reason::Success, properties: none(), ..a }),
-        Packet::Pubrel(a) => Packet::Pubrel(Ack { reason: Reason::Success, properties: none(), ..a }),
-        Packet::Pubcomp(a) => Packet::Pubcomp(Ack { reason: Reason::Success, properties: none(), ..a }),
+        Packet::Puback(a) => Packet::Puback(Ack { reason: ReasonCode::Success, properties: none(), ..a }),
+        Packet::Pubrec(a) => Packet::Pubrec(Ack { reason: ReasonCode::Success, properties: none(), ..a }),
+        Packet::Pubrel(a) => Packet::Pubrel(Ack { reason: ReasonCode::Success, properties: none(), ..a }),
+        Packet::Pubcomp(a) => Packet::Pubcomp(Ack { reason: ReasonCode::Success, properties: none(), ..a }),
         Packet::Subscribe(mut s) => {
             s.properties = none();
             for subscription in &mut s.subscriptions {
@@ -249,14 +250,17 @@
             Packet::Subscribe(s)
         }
         Packet::Suback(s) => {
-            let reasons =
-                s.reasons.into_iter().map(|r| if r.failed() { Reason::Unspecified } else { r }).collect();
+            let reasons = s
+                .reasons
+                .into_iter()
+                .map(|r| if r.is_failure() { ReasonCode::Unspecified } else { r })
+                .collect();
             Packet::Suback(Suback { properties: none(), reasons, ..s })
         }
         Packet::Unsubscribe(u) => Packet::Unsubscribe(Unsubscribe { properties: none(), ..u }),
         Packet::Unsuback(s) => Packet::Unsuback(Suback { properties: none(), reasons: Vec::new(), ..s }),
         Packet::Disconnect(_) | Packet::Auth(_) => {
-            Packet::Disconnect(Closing { reason: Reason::Success, properties: none() })
+            Packet::Disconnect(DisconnectOrAuth { reason: ReasonCode::Success, properties: none() })
         }
         other => other,
     }
@@ -325,81 +329,86 @@
     #[test]
     fn packets_above_the_maximum_size_are_not_encoded(packet in packet()) {
         let size = packet.encode(Version::V5, MAX_SIZE).expect("encoded").len();
-        prop_assert_eq!(packet.encode(Version::V5, size - 1), Err(Unwritable::PacketTooLarge));
+        prop_assert_eq!(packet.encode(Version::V5, size - 1), Err(EncodeError::PacketTooLarge));
     }
 }
 
 #[test]
 fn violations_report_the_statement_and_reason_code_of_the_specification() {
-    let table: [(&[u8], Version, &str, Reason); 38] = [
-        (&[0x00, 0], Version::V5, "MQTT 2.1.2", Reason::MalformedPacket),
-        (&[0xc1, 0], Version::V5, "MQTT-2.1.3-1", Reason::MalformedPacket),
-        (&[0x60, 2, 0, 1], Version::V5, "MQTT-2.1.3-1", Reason::MalformedPacket),
-        (&[0x80, 6, 0, 1, 0, 0, 0, 0], Version::V5, "MQTT-2.1.3-1", Reason::MalformedPacket),
-        (&[0x40, 0xff, 0xff, 0xff, 0xff, 1], Version::V5, "MQTT 1.5.5", Reason::MalformedPacket),
-        (&[0xc0, 0x80, 0x00], Version::V5, "MQTT-1.5.5-1", Reason::MalformedPacket),
-        (&[0x30, 0xff, 0xff, 0xff, 0x7f], Version::V5, "MQTT-3.1.2-24", Reason::PacketTooLarge),
-        (&[0xc0, 1, 0], Version::V5, "MQTT 2.1.4", Reason::MalformedPacket),
-        (&[0x40, 2, 0, 0], Version::V5, "MQTT-2.2.1-3", Reason::ProtocolError),
-        (&[0x40, 1, 0], Version::V5, "MQTT 1.5", Reason::MalformedPacket),
-        (&[0x40, 3, 0, 1, 0x01], Version::V5, "MQTT 2.4", Reason::MalformedPacket),
-        (&[0x40, 3, 0, 1, 0x55], Version::V5, "MQTT 2.4", Reason::MalformedPacket),
-        (&[0x10, 6, 0, 3, b'M', b'Q', b'T', 5], Version::V5, "MQTT-3.1.2-1", Reason::UnsupportedProtocol),
+    let table: [(&[u8], Version, &str, ReasonCode); 38] = [
+        (&[0x00, 0], Version::V5, "MQTT 2.1.2", ReasonCode::MalformedPacket),
+        (&[0xc1, 0], Version::V5, "MQTT-2.1.3-1", ReasonCode::MalformedPacket),
+        (&[0x60, 2, 0, 1], Version::V5, "MQTT-2.1.3-1", ReasonCode::MalformedPacket),
+        (&[0x80, 6, 0, 1, 0, 0, 0, 0], Version::V5, "MQTT-2.1.3-1", ReasonCode::MalformedPacket),
+        (&[0x40, 0xff, 0xff, 0xff, 0xff, 1], Version::V5, "MQTT 1.5.5", ReasonCode::MalformedPacket),
+        (&[0xc0, 0x80, 0x00], Version::V5, "MQTT-1.5.5-1", ReasonCode::MalformedPacket),
+        (&[0x30, 0xff, 0xff, 0xff, 0x7f], Version::V5, "MQTT-3.1.2-24", ReasonCode::PacketTooLarge),
+        (&[0xc0, 1, 0], Version::V5, "MQTT 2.1.4", ReasonCode::MalformedPacket),
+        (&[0x40, 2, 0, 0], Version::V5, "MQTT-2.2.1-3", ReasonCode::ProtocolError),
+        (&[0x40, 1, 0], Version::V5, "MQTT 1.5", ReasonCode::MalformedPacket),
+        (&[0x40, 3, 0, 1, 0x01], Version::V5, "MQTT 2.4", ReasonCode::MalformedPacket),
+        (&[0x40, 3, 0, 1, 0x55], Version::V5, "MQTT 2.4", ReasonCode::MalformedPacket),
+        (&[0x10, 6, 0, 3, b'M', b'Q', b'T', 5], Version::V5, "MQTT-3.1.2-1", ReasonCode::UnsupportedProtocol),
         (
             &[0x10, 7, 0, 4, b'M', b'Q', b'T', b'T', 3],
             Version::V5,
             "MQTT-3.1.2-2",
-            Reason::UnsupportedProtocol,
+            ReasonCode::UnsupportedProtocol,
         ),
         (
             &[0x10, 8, 0, 4, b'M', b'Q', b'T', b'T', 5, 1],
             Version::V5,
             "MQTT-3.1.2-3",
-            Reason::MalformedPacket,
+            ReasonCode::MalformedPacket,
         ),
         (
             &[0x10, 8, 0, 4, b'M', b'Q', b'T', b'T', 5, 0x08],
             Version::V5,
             "MQTT-3.1.2-11",
-            Reason::MalformedPacket,
+            ReasonCode::MalformedPacket,
         ),
         (
             &[0x10, 8, 0, 4, b'M', b'Q', b'T', b'T', 5, 0x1c],
             Version::V5,
             "MQTT-3.1.2-12",
-            Reason::MalformedPacket,
+            ReasonCode::MalformedPacket,
         ),
         (
             &[0x10, 8, 0, 4, b'M', b'Q', b'T', b'T', 5, 0x20],
             Version::V5,
             "MQTT-3.1.2-13",
-            Reason::MalformedPacket,
+            ReasonCode::MalformedPacket,
         ),
         (
             &[0x10, 8, 0, 4, b'M', b'Q', b'T', b'T', 4, 0x40],
             Version::V5,
             "MQTT-3.1.2-22",
-            Reason::MalformedPacket,
+            ReasonCode::MalformedPacket,
+        ),
+        (&[0x20, 3, 2, 0, 0], Version::V5, "MQTT-3.2.2-1", ReasonCode::MalformedPacket),
+        (&[0x20, 3, 1, 0x87, 0], Version::V5, "MQTT-3.2.2-6", ReasonCode::ProtocolError),
+        (&[0x20, 2, 0, 6], Version::V311, "MQTT 3.1.1 3.2.2.3", ReasonCode::MalformedPacket),
+        (&[0x36, 4, 0, 1, b'a', 0], Version::V5, "MQTT-3.3.1-4", ReasonCode::MalformedPacket),
+        (&[0x38, 4, 0, 1, b'a', 0], Version::V5, "MQTT-3.3.1-2", ReasonCode::MalformedPacket),
+        (&[0x30, 4, 0, 1, b'#', 0], Version::V5, "MQTT-3.3.2-2", ReasonCode::TopicNameInvalid),
+        (&[0x30, 3, 0, 0, 0], Version::V5, "MQTT 3.3.2.1", ReasonCode::ProtocolError),
+        (&[0x30, 7, 0, 1, b'a', 3, 0x23, 0, 0], Version::V5, "MQTT-3.3.2-8", ReasonCode::TopicAliasInvalid),
+        (
+            &[0x30, 8, 0, 1, b'a', 4, 0x08, 0, 1, b'+'],
+            Version::V5,
+            "MQTT-3.3.2-14",
+            ReasonCode::ProtocolError,
         ),
-        (&[0x20, 3, 2, 0, 0], Version::V5, "MQTT-3.2.2-1", Reason::MalformedPacket),
-        (&[0x20, 3, 1, 0x87, 0], Version::V5, "MQTT-3.2.2-6", Reason::ProtocolError),
-        (&[0x20, 2, 0, 6], Version::V311, "MQTT 3.1.1 3.2.2.3", Reason::MalformedPacket),
-        (&[0x36, 4, 0, 1, b'a', 0], Version::V5, "MQTT-3.3.1-4", Reason::MalformedPacket),
-        (&[0x38, 4, 0, 1, b'a', 0], Version::V5, "MQTT-3.3.1-2", Reason::MalformedPacket),
-        (&[0x30, 4, 0, 1, b'#', 0], Version::V5, "MQTT-3.3.2-2", Reason::TopicNameInvalid),
-        (&[0x30, 3, 0, 0, 0], Version::V5, "MQTT 3.3.2.1", Reason::ProtocolError),
-        (&[0x30, 7, 0, 1, b'a', 3, 0x23, 0, 0], Version::V5, "MQTT-3.3.2-8", Reason::TopicAliasInvalid),
-        (&[0x30, 8, 0, 1, b'a', 4, 0x08, 0, 1, b'+'], Version::V5, "MQTT-3.3.2-14", Reason::ProtocolError),
-        (&[0x82, 3, 0, 1, 0], Version::V5, "MQTT-3.8.3-2", Reason::ProtocolError),
-        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x40], Version::V5, "MQTT-3.8.3-5", Reason::MalformedPacket),
-        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x03], Version::V5, "MQTT 3.8.3.1", Reason::ProtocolError),
-        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x30], Version::V5, "MQTT 3.8.3.1", Reason::ProtocolError),
-        (&[0x82, 6, 0, 1, 0, 1, b'a', 0x04], Version::V311, "MQTT-3.8.3-5", Reason::MalformedPacket),
-        (&[0x90, 3, 0, 1, 0x01], Version::V311, "", Reason::Success),
-        (&[0x90, 3, 0, 1, 0x87], Version::V311, "MQTT-3.9.3-2", Reason::MalformedPacket),
-        (&[0xa2, 3, 0, 1, 0], Version::V5, "MQTT-3.10.3-2", Reason::ProtocolError),
-        (&[0xf0, 2, 0x18, 0], Version::V5, "MQTT 3.15.2.2.2", Reason::ProtocolError),
-        (&[0xf0, 0], Version::V311, "MQTT 3.1.1 2.2.1", Reason::MalformedPacket),
+        (&[0x82, 3, 0, 1, 0], Version::V5, "MQTT-3.8.3-2", ReasonCode::ProtocolError),
+        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x40], Version::V5, "MQTT-3.8.3-5", ReasonCode::MalformedPacket),
+        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x03], Version::V5, "MQTT 3.8.3.1", ReasonCode::ProtocolError),
+        (&[0x82, 7, 0, 1, 0, 0, 1, b'a', 0x30], Version::V5, "MQTT 3.8.3.1", ReasonCode::ProtocolError),
+        (&[0x82, 6, 0, 1, 0, 1, b'a', 0x04], Version::V311, "MQTT-3.8.3-5", ReasonCode::MalformedPacket),
+        (&[0x90, 3, 0, 1, 0x01], Version::V311, "", ReasonCode::Success),
+        (&[0x90, 3, 0, 1, 0x87], Version::V311, "MQTT-3.9.3-2", ReasonCode::MalformedPacket),
+        (&[0xa2, 3, 0, 1, 0], Version::V5, "MQTT-3.10.3-2", ReasonCode::ProtocolError),
+        (&[0xf0, 2, 0x18, 0], Version::V5, "MQTT 3.15.2.2.2", ReasonCode::ProtocolError),
+        (&[0xf0, 0], Version::V311, "MQTT 3.1.1 2.2.1", ReasonCode::MalformedPacket),
     ];
     for (bytes, version, statement, reason) in table {
         let decoded = decode(bytes, version, MAX_SIZE).map_err(|v| (v.statement, v.reason));
--- a/crates/mqtt/tests/delivery.rs
+++ b/crates/mqtt/tests/delivery.rs
@@ -1,9 +1,9 @@
 //! Property tests of message delivery between two peers over a connection that may break at any point: the guarantee of
 //! each QoS level holds in every history.
 
-use ochreward_mqtt::delivery::{Inbound, Outbound, QueueFull, Taken};
+use ochreward_mqtt::delivery::{Inbound, Outbound, QueueFull, Received};
 use ochreward_mqtt::packet::{Ack, Packet, Publish, Qos};
-use ochreward_mqtt::{Properties, Reason};
+use ochreward_mqtt::{Properties, ReasonCode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -78,7 +78,7 @@
     }
 
     fn send_packets(&mut self) {
-        while let Some(packet) = self.outbound.take_packet() {
+        while let Some(packet) = self.outbound.next_packet() {
             self.to_receiver.push_back(packet);
         }
     }
@@ -92,7 +92,7 @@
                         self.published.insert(n, *qos);
                         self.message_by_sequence.insert(sequence, n);
                     }
-                    Err(QueueFull) => assert_eq!(self.outbound.load().0, 64),
+                    Err(QueueFull) => assert_eq!(self.outbound.queued_and_in_flight().0, 64),
                 }
             }
             Op::ToReceiver(count) => (0..*count).for_each(|_| self.carry_to_receiver()),
@@ -100,7 +100,8 @@
             Op::Acknowledge(which) => {
                 if !self.unacknowledged.is_empty() {
                     let id = self.unacknowledged.remove(which % self.unacknowledged.len());
-                    let acknowledgments = self.inbound.settle(id, Reason::Success, Properties::default());
+                    let acknowledgments =
+                        self.inbound.acknowledge(id, ReasonCode::Success, Properties::default());
                     self.to_publisher.extend(acknowledgments);
                 }
             }
@@ -109,7 +110,7 @@
                 self.to_publisher.clear();
                 self.unacknowledged.clear();
                 self.outbound.disconnected();
-                assert_eq!(self.outbound.take_packet(), None);
+                assert_eq!(self.outbound.next_packet(), None);
                 self.receive_maximum = *receive_maximum;
                 self.outbound.connected(true, *receive_maximum, 2);
                 self.inbound.connected(true);
@@ -123,23 +124,23 @@
             Some(Packet::Publish(mut publish)) => {
                 let had_alias = publish.properties.topic_alias;
                 match self.inbound.publish(&mut publish).expect("no violation") {
-                    Taken::New => {
+                    Received::New => {
                         let n = number(&publish);
                         assert_eq!(publish.topic, format!("t/{}", n % 3), "{had_alias:?}");
                         *self.delivered.entry(n).or_default() += 1;
                         if !publish.dup {
                             self.first_deliveries.push(n);
                         }
-                        if publish.id > 0 {
-                            self.unacknowledged.push(publish.id);
+                        if publish.packet_id > 0 {
+                            self.unacknowledged.push(publish.packet_id);
                         }
                         assert!(
                             self.inbound.unacknowledged() <= usize::from(self.receive_maximum),
                             "more than the receive maximum"
                         );
                     }
-                    Taken::Pending => {}
-                    Taken::Again(pubrec) => self.to_publisher.push_back(*pubrec),
+                    Received::Pending => {}
+                    Received::Acknowledged(pubrec) => self.to_publisher.push_back(*pubrec),
                 }
             }
             Some(Packet::Pubrel(ack)) => {
@@ -196,7 +197,7 @@
             simulation.run(op);
         }
         simulation.finish();
-        prop_assert_eq!(simulation.outbound.load(), (0, 0));
+        prop_assert_eq!(simulation.outbound.queued_and_in_flight(), (0, 0));
         for (n, qos) in &simulation.published {
             let times = simulation.delivered.get(n).copied().unwrap_or_default();
             match qos {
@@ -242,8 +243,8 @@
     }
 }
 
-fn ack(id: u16, reason: Reason) -> Ack {
-    Ack { id, reason, properties: Properties::default() }
+fn ack(id: u16, reason: ReasonCode) -> Ack {
+    Ack { packet_id: id, reason, properties: Properties::default() }
 }
 
 #[test]
@@ -251,14 +252,14 @@
     let mut outbound = Outbound::new(8);
     outbound.connected(true, 2, 0);
     outbound.publish(message(0, Qos::AtLeastOnce)).expect("room");
-    assert!(outbound.take_packet().is_some());
+    assert!(outbound.next_packet().is_some());
     for n in 1..=70_000 {
         outbound.publish(message(n, Qos::AtLeastOnce)).expect("room");
-        let Some(Packet::Publish(p)) = outbound.take_packet() else { panic!("no packet") };
-        assert!(p.id > 1, "the identifier of the message in flight, or 0");
-        assert!(outbound.puback(&ack(p.id, Reason::Success)).expect("no violation").is_some());
+        let Some(Packet::Publish(p)) = outbound.next_packet() else { panic!("no packet") };
+        assert!(p.packet_id > 1, "the identifier of the message in flight, or 0");
+        assert!(outbound.puback(&ack(p.packet_id, ReasonCode::Success)).expect("no violation").is_some());
     }
-    assert_eq!(outbound.load(), (0, 1));
+    assert_eq!(outbound.queued_and_in_flight(), (0, 1));
 }
 
 #[test]
@@ -266,21 +267,21 @@
     let mut inbound = Inbound::new(10, 0);
     for id in 1..=4 {
         let qos = if id % 2 == 0 { Qos::ExactlyOnce } else { Qos::AtLeastOnce };
-        let mut publish = Publish { id, ..message(0, qos) };
-        assert_eq!(inbound.publish(&mut publish), Ok(Taken::New));
+        let mut publish = Publish { packet_id: id, ..message(0, qos) };
+        assert_eq!(inbound.publish(&mut publish), Ok(Received::New));
     }
-    assert_eq!(inbound.settle(3, Reason::Success, Properties::default()), []);
-    assert_eq!(inbound.settle(2, Reason::QuotaExceeded, Properties::default()), []);
-    let sent = inbound.settle(1, Reason::Success, Properties::default());
+    assert_eq!(inbound.acknowledge(3, ReasonCode::Success, Properties::default()), []);
+    assert_eq!(inbound.acknowledge(2, ReasonCode::QuotaExceeded, Properties::default()), []);
+    let sent = inbound.acknowledge(1, ReasonCode::Success, Properties::default());
     let expected = [
-        Packet::Puback(ack(1, Reason::Success)),
-        Packet::Pubrec(ack(2, Reason::QuotaExceeded)),
-        Packet::Puback(ack(3, Reason::Success)),
+        Packet::Puback(ack(1, ReasonCode::Success)),
+        Packet::Pubrec(ack(2, ReasonCode::QuotaExceeded)),
+        Packet::Puback(ack(3, ReasonCode::Success)),
     ];
     assert_eq!(sent, expected);
     // A PUBREC with a failure ends the delivery, so the packet identifier is free at once.
-    let mut again = Publish { id: 2, ..message(0, Qos::ExactlyOnce) };
-    assert_eq!(inbound.publish(&mut again), Ok(Taken::New));
+    let mut again = Publish { packet_id: 2, ..message(0, Qos::ExactlyOnce) };
+    assert_eq!(inbound.publish(&mut again), Ok(Received::New));
 }
 
 #[test]
@@ -288,38 +289,41 @@
     let mut inbound = Inbound::new(1, 1);
     let receive =
         |inbound: &mut Inbound, publish: Publish| inbound.publish(&mut publish.clone()).map_err(|v| v.reason);
-    let with = |id, qos| Publish { id, ..message(0, qos) };
-    assert_eq!(receive(&mut inbound, with(1, Qos::AtLeastOnce)), Ok(Taken::New));
-    assert_eq!(receive(&mut inbound, with(1, Qos::AtLeastOnce)), Ok(Taken::Pending));
-    assert_eq!(receive(&mut inbound, with(1, Qos::ExactlyOnce)), Err(Reason::PacketIdInUse));
-    assert_eq!(receive(&mut inbound, with(2, Qos::AtLeastOnce)), Err(Reason::ReceiveMaximumExceeded));
+    let with = |id, qos| Publish { packet_id: id, ..message(0, qos) };
+    assert_eq!(receive(&mut inbound, with(1, Qos::AtLeastOnce)), Ok(Received::New));
+    assert_eq!(receive(&mut inbound, with(1, Qos::AtLeastOnce)), Ok(Received::Pending));
+    assert_eq!(receive(&mut inbound, with(1, Qos::ExactlyOnce)), Err(ReasonCode::PacketIdInUse));
+    assert_eq!(receive(&mut inbound, with(2, Qos::AtLeastOnce)), Err(ReasonCode::ReceiveMaximumExceeded));
     let alias = |alias, topic: &str| {
         let properties = Properties { topic_alias: Some(alias), ..Properties::default() };
         Publish { topic: topic.into(), properties, ..message(0, Qos::AtMostOnce) }
     };
-    assert_eq!(receive(&mut inbound, alias(2, "t")), Err(Reason::TopicAliasInvalid));
-    assert_eq!(receive(&mut inbound, alias(1, "")), Err(Reason::ProtocolError));
-    assert_eq!(receive(&mut inbound, alias(1, "t")), Ok(Taken::New));
-    assert_eq!(receive(&mut inbound, alias(1, "")), Ok(Taken::New));
+    assert_eq!(receive(&mut inbound, alias(2, "t")), Err(ReasonCode::TopicAliasInvalid));
+    assert_eq!(receive(&mut inbound, alias(1, "")), Err(ReasonCode::ProtocolError));
+    assert_eq!(receive(&mut inbound, alias(1, "t")), Ok(Received::New));
+    assert_eq!(receive(&mut inbound, alias(1, "")), Ok(Received::New));
     // Topic aliases do not outlive the connection.
     inbound.connected(true);
-    assert_eq!(receive(&mut inbound, alias(1, "")), Err(Reason::ProtocolError));
-    assert_eq!(inbound.pubrel(&ack(9, Reason::Success)), Packet::Pubcomp(ack(9, Reason::PacketIdNotFound)));
+    assert_eq!(receive(&mut inbound, alias(1, "")), Err(ReasonCode::ProtocolError));
+    assert_eq!(
+        inbound.pubrel(&ack(9, ReasonCode::Success)),
+        Packet::Pubcomp(ack(9, ReasonCode::PacketIdNotFound))
+    );
 
     let mut outbound = Outbound::new(4);
     outbound.connected(true, 9, 0);
     for (n, qos) in [(1, Qos::AtLeastOnce), (2, Qos::ExactlyOnce)] {
         outbound.publish(message(n, qos)).expect("room");
-        assert!(outbound.take_packet().is_some());
+        assert!(outbound.next_packet().is_some());
     }
-    assert!(outbound.puback(&ack(2, Reason::Success)).is_err());
-    assert!(outbound.pubrec(&ack(1, Reason::Success)).is_err());
-    assert!(outbound.pubcomp(&ack(2, Reason::Success)).is_err());
-    assert_eq!(outbound.puback(&ack(7, Reason::Success)), Ok(None));
-    let unknown = Packet::Pubrel(ack(7, Reason::PacketIdNotFound));
-    assert_eq!(outbound.pubrec(&ack(7, Reason::Success)), Ok((Some(unknown), None)));
-    let (pubrel, outcome) = outbound.pubrec(&ack(2, Reason::QuotaExceeded)).expect("no violation");
-    assert!(pubrel.is_none() && outcome.is_some_and(|o| o.reason == Reason::QuotaExceeded));
+    assert!(outbound.puback(&ack(2, ReasonCode::Success)).is_err());
+    assert!(outbound.pubrec(&ack(1, ReasonCode::Success)).is_err());
+    assert!(outbound.pubcomp(&ack(2, ReasonCode::Success)).is_err());
+    assert_eq!(outbound.puback(&ack(7, ReasonCode::Success)), Ok(None));
+    let unknown = Packet::Pubrel(ack(7, ReasonCode::PacketIdNotFound));
+    assert_eq!(outbound.pubrec(&ack(7, ReasonCode::Success)), Ok((Some(unknown), None)));
+    let (pubrel, outcome) = outbound.pubrec(&ack(2, ReasonCode::QuotaExceeded)).expect("no violation");
+    assert!(pubrel.is_none() && outcome.is_some_and(|o| o.reason == ReasonCode::QuotaExceeded));
     // If the peer lost the session, the messages in flight are returned in order.
     outbound.disconnected();
     let discarded = outbound.connected(false, 9, 0);
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -7,8 +7,8 @@
 use crate::counters::{Counters, count};
 use crate::front::{Fields, Intake, Invalid, ParsedRequest};
 use crate::net::{Closed, Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
-use ochreward_mqtt::packet::{Connack, Packet, Publish, Unwritable};
-use ochreward_mqtt::{Properties, Qos, Reason, Version, Violation, decode};
+use ochreward_mqtt::packet::{Connack, EncodeError, Packet, Publish};
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Version, Violation, decode};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
                 Ok(None) => break,
                 Err(violation) => {
                     self.violation = Some(violation);
-                    return Err(Malformed(violation.what));
+                    return Err(Malformed(violation.description));
                 }
             }
         }
@@ -143,7 +143,7 @@
     /// Takes leave of the broker, which keeps the session.
     pub fn leave(&mut self, poll: &Poll) {
         if let Some(session) = &mut self.session {
-            let _ = session.link.io.queue(&packets::disconnect(Reason::Success));
+            let _ = session.link.io.queue(&packets::disconnect(ReasonCode::Success));
             let _ = session.link.flush(poll);
         }
         self.session = None;
@@ -231,12 +231,12 @@
         match packet {
             Packet::Connack(connack) => self.connected(now, &connack)?,
             Packet::Publish(publish) => self.published(now, unix_ms, *publish)?,
-            Packet::Puback(ack) => self.acknowledged(now, ack.id, ack.reason),
+            Packet::Puback(ack) => self.acknowledged(now, ack.packet_id, ack.reason),
             Packet::Suback(suback) => {
-                let id = suback.id;
+                let id = suback.packet_id;
                 session.asked = None;
                 session.out.remove(&id);
-                if suback.reasons.iter().any(|r| r.failed()) {
+                if suback.reasons.iter().any(|r| r.is_failure()) {
                     return Err(Malformed("an MQTT subscription that was turned down"));
                 }
                 if let Some(at) = session.looks.iter().position(|(i, _)| *i == id) {
@@ -252,7 +252,7 @@
                 }
             }
             Packet::Unsuback(unsuback) => {
-                session.out.remove(&unsuback.id);
+                session.out.remove(&unsuback.packet_id);
             }
             Packet::Disconnect(_) => return Err(Malformed("an MQTT broker that closes")),
             _ => {
@@ -267,7 +267,7 @@
     fn connected(&mut self, now: u64, connack: &Connack) -> Result<(), Malformed> {
         let Some(session) = &mut self.session else { return Ok(()) };
         let told = &connack.properties;
-        if connack.reason.failed()
+        if connack.reason.is_failure()
             || told.maximum_qos_1 == Some(false)
             || told.retain_available == Some(false)
         {
@@ -299,26 +299,26 @@
             if self.records.messages[&number].waits_for_record() {
                 self.finish(now, number, true);
             }
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, p.packet_id);
             return Ok(());
         }
         let Some(session) = &mut self.session else { return Ok(()) };
         if p.qos == Qos::ExactlyOnce {
             // The subscription is of QoS 1, and a broker never sends more [MQTT-3.8.4-8].
             session.link.handler.violation = Some(Violation {
-                reason: Reason::QosNotSupported,
+                reason: ReasonCode::QosNotSupported,
                 statement: "MQTT-3.8.4-8",
-                what: "a message of QoS 2",
+                description: "a message of QoS 2",
             });
             return Err(Malformed("an MQTT message of a higher QoS than was granted"));
         }
-        if p.id > 0 {
-            session.unacknowledged.insert(p.id);
+        if p.packet_id > 0 {
+            session.unacknowledged.insert(p.packet_id);
             if session.unacknowledged.len() > usize::from(self.options.receive_maximum) {
                 session.link.handler.violation = Some(Violation {
-                    reason: Reason::ReceiveMaximumExceeded,
+                    reason: ReasonCode::ReceiveMaximumExceeded,
                     statement: "MQTT-3.3.4-9",
-                    what: "more messages than may be unacknowledged",
+                    description: "more messages than may be unacknowledged",
                 });
                 return Err(Malformed("more MQTT messages than may be unacknowledged"));
             }
@@ -333,13 +333,13 @@
             // Delivered again while it is under way: the one answer acknowledges this delivery too.
             count(&self.counters.mqtt_duplicates);
             if let Some(message) = self.records.messages.get_mut(&number) {
-                message.packets.push(p.id);
+                message.packets.push(p.packet_id);
             }
             return Ok(());
         }
         if self.records.answered(&call) {
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, p.packet_id);
             return Ok(());
         }
         let again = p.dup || p.retain;
@@ -347,7 +347,7 @@
         if topic.is_empty() || topic.starts_with('$') || topic.contains(['+', '#', '\0']) {
             // There is nowhere to answer to, or no record could be found there: `$share` is no topic.
             count(&self.counters.requests_invalid);
-            return self.reject(now, p.id);
+            return self.reject(now, p.packet_id);
         }
         let kept = !call.is_empty() && topic.rsplit('/').next() == Some(&*call);
         let (request, fault) = match read(&p, &fields, kept) {
@@ -358,14 +358,14 @@
         if again && unix_ms.saturating_sub(sent_ms) > u64::from(self.options.record_expiry) * 1000 {
             // Its record may have gone by age; its client has long stopped waiting.
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, p.id);
+            self.acknowledge(now, p.packet_id);
             return Ok(());
         }
         let message = Message {
             call,
             topic,
             correlation: p.properties.correlation.unwrap_or_default(),
-            packets: vec![p.id],
+            packets: vec![p.packet_id],
             stage: Stage::Running,
             kept,
             request: request.map(|(sketch, body, _)| (sketch, body)),
@@ -392,7 +392,7 @@
     fn reject(&mut self, now: u64, id: u16) -> Result<(), Malformed> {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return Ok(()) };
         session.unacknowledged.remove(&id);
-        session.say(now, &packets::puback(id, Reason::PayloadFormatInvalid));
+        session.say(now, &packets::puback(id, ReasonCode::PayloadFormatInvalid));
         Ok(())
     }
 
@@ -506,7 +506,7 @@
     }
 
     /// The broker has taken an answer, or would not.
-    fn acknowledged(&mut self, now: u64, id: u16, reason: Reason) {
+    fn acknowledged(&mut self, now: u64, id: u16, reason: ReasonCode) {
         if let Some(session) = &mut self.session {
             session.out.remove(&id);
         }
@@ -516,7 +516,7 @@
         if let Some(session) = &mut self.session {
             session.publishing -= 1;
         }
-        if reason.failed() {
+        if reason.is_failure() {
             // Not with the broker, so not acknowledged either: it is tried again.
             message.stage = Stage::Answered { checked: false };
             self.retry_at = Some(now + RETRY);
@@ -546,7 +546,7 @@
     fn acknowledge(&mut self, now: u64, id: u16) {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return };
         session.unacknowledged.remove(&id);
-        if session.say(now, &packets::puback(id, Reason::Success)) {
+        if session.say(now, &packets::puback(id, ReasonCode::Success)) {
             count(&self.counters.mqtt_acknowledged);
         }
     }
@@ -633,7 +633,7 @@
         self.stage == Stage::Looking || self.unchecked()
     }
 
-    fn publish(&self, id: u16, expiry: u32, most: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+    fn publish(&self, id: u16, expiry: u32, most: Option<u32>) -> Result<Vec<u8>, EncodeError> {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let mut user = vec![pair("call", &self.call)];
         user.extend(self.answer.0.iter().cloned());
@@ -653,7 +653,7 @@
         let publish = Publish {
             retain: self.kept,
             qos: Qos::AtLeastOnce,
-            id,
+            packet_id: id,
             topic,
             properties,
             payload,
--- a/src/front/mqtt/packets.rs
+++ b/src/front/mqtt/packets.rs
@@ -2,10 +2,10 @@
 
 use super::options::Options;
 use ochreward_mqtt::packet::{
-    Ack, Closing, Connect, Packet, Publish, Subscribe, Subscription, Unsubscribe, Unwritable,
+    Ack, Connect, DisconnectOrAuth, EncodeError, Packet, Publish, Subscribe, Subscription, Unsubscribe,
 };
 use ochreward_mqtt::wire::MOST_VARIABLE;
-use ochreward_mqtt::{Properties, Qos, Reason, Version};
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Version};
 
 /// The bytes of a packet. Nothing is sent in place of one that can't be written; only a message can be too large, and
 /// [`message`] says so.
@@ -29,19 +29,19 @@
         properties,
         client_id: o.client_id.clone(),
         will: None,
-        user,
+        user_name: user,
         password: password.map(String::into_bytes),
     })))
 }
 
 /// A PUBLISH, if it can be written and is no larger than the broker takes.
-pub fn message(publish: Publish, most: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+pub fn message(publish: Publish, most: Option<u32>) -> Result<Vec<u8>, EncodeError> {
     Packet::Publish(Box::new(publish)).encode(Version::V5, most.unwrap_or(MOST_VARIABLE) as usize)
 }
 
 /// A PUBACK.
-pub fn puback(id: u16, reason: Reason) -> Vec<u8> {
-    bytes(&Packet::Puback(Ack { id, reason, properties: Properties::default() }))
+pub fn puback(id: u16, reason: ReasonCode) -> Vec<u8> {
+    bytes(&Packet::Puback(Ack { packet_id: id, reason, properties: Properties::default() }))
 }
 
 /// A SUBSCRIBE to one filter. Retain as published: a message that its sender wants kept is marked also where it comes
@@ -53,13 +53,17 @@
         retain_as_published: true,
         ..Subscription::default()
     };
-    bytes(&Packet::Subscribe(Subscribe { id, subscriptions: vec![subscription], ..Subscribe::default() }))
+    bytes(&Packet::Subscribe(Subscribe {
+        packet_id: id,
+        subscriptions: vec![subscription],
+        ..Subscribe::default()
+    }))
 }
 
 /// An UNSUBSCRIBE from one filter.
 pub fn unsubscribe(id: u16, filter: &str) -> Vec<u8> {
     bytes(&Packet::Unsubscribe(Unsubscribe {
-        id,
+        packet_id: id,
         filters: vec![filter.to_string()],
         ..Unsubscribe::default()
     }))
@@ -71,6 +75,6 @@
 }
 
 /// A DISCONNECT; the session stays.
-pub fn disconnect(reason: Reason) -> Vec<u8> {
-    bytes(&Packet::Disconnect(Closing { reason, properties: Properties::default() }))
+pub fn disconnect(reason: ReasonCode) -> Vec<u8> {
+    bytes(&Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() }))
 }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -189,8 +189,12 @@
         let too_large = matches!(result, Err(Closed::Malformed(_)));
         if too_large {
             let what = "a packet larger than was allowed";
-            let reason = ochreward_mqtt::Reason::PacketTooLarge;
-            self.sessions.violated(now, conn, &Violation { reason, statement: "MQTT-3.1.2-24", what });
+            let reason = ochreward_mqtt::ReasonCode::PacketTooLarge;
+            self.sessions.violated(
+                now,
+                conn,
+                &Violation { reason, statement: "MQTT-3.1.2-24", description: what },
+            );
             self.carry(poll, now);
         }
         if result.is_err() || ended {
--- a/src/front/stations/policy.rs
+++ b/src/front/stations/policy.rs
@@ -1,7 +1,7 @@
 //! Who may connect, what each may publish and subscribe to, and which classes and tenants it may ask for.
 
 use crate::keys::{Faults, Key};
-use ochreward_mqtt::topic::Filter;
+use ochreward_mqtt::topic::TopicFilter;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
     let check = |k: &Key| {
         let text = k.text().to_string();
         k.must(
-            Filter::read(&text).is_ok_and(|f| f.share.is_none()),
+            TopicFilter::parse(&text).is_ok_and(|f| f.share_name.is_none()),
             "is no topic filter that can be used here",
         );
         text
@@ -104,7 +104,7 @@
 
     /// Whether it may publish there.
     pub fn may_publish(&self, client: &str, topic: &str) -> bool {
-        let own = |pattern: &String| Filter::read(&pattern.replace("{client}", client));
+        let own = |pattern: &String| TopicFilter::parse(&pattern.replace("{client}", client));
         self.publish.iter().any(|p| own(p).is_ok_and(|f| f.matches(topic)))
     }
 
--- a/src/front/stations/sessions.rs
+++ b/src/front/stations/sessions.rs
@@ -10,10 +10,12 @@
 use super::quota::Bucket;
 use crate::core::FinalAnswer;
 use crate::front::{Fields, Invalid, ParsedRequest};
-use ochreward_mqtt::delivery::{Inbound, Outbound, Taken};
-use ochreward_mqtt::packet::{Closing, Connack, Connect, Packet, Publish, Suback, Subscribe, Version, Will};
-use ochreward_mqtt::topic::Filter;
-use ochreward_mqtt::{Properties, Qos, Reason, Violation};
+use ochreward_mqtt::delivery::{Inbound, Outbound, Received};
+use ochreward_mqtt::packet::{
+    Connack, Connect, DisconnectOrAuth, Packet, Publish, Suback, Subscribe, Version, Will,
+};
+use ochreward_mqtt::topic::TopicFilter;
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Violation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -107,7 +109,7 @@
 /// What was answered, for a message that comes again.
 #[derive(Clone, Debug)]
 struct Outcome {
-    reason: Reason,
+    reason: ReasonCode,
     told: Vec<(String, String)>,
     body: Vec<u8>,
 }
@@ -117,7 +119,7 @@
     user: String,
     inbound: Inbound,
     outbound: Outbound,
-    filters: Vec<(Filter, Qos)>,
+    filters: Vec<(TopicFilter, Qos)>,
     /// How long it outlives its connection, in seconds.
     expiry: u32,
     gone_at: u64,
@@ -184,7 +186,7 @@
             is.is_none() || was.map(|u| &u.password) != is.map(|u| &u.password)
         };
         let conns: Vec<Conn> = self.sessions.values().filter(|s| gone(s)).filter_map(|s| s.conn).collect();
-        conns.into_iter().for_each(|conn| self.end(now, conn, Reason::NotAuthorized));
+        conns.into_iter().for_each(|conn| self.end(now, conn, ReasonCode::NotAuthorized));
     }
 
     /// Requests that the core has.
@@ -229,8 +231,8 @@
     }
 
     /// Ends a connection by rule: its session goes on, and its will is published.
-    fn end(&mut self, now: u64, conn: Conn, reason: Reason) {
-        let closing = Packet::Disconnect(Closing { reason, properties: Properties::default() });
+    fn end(&mut self, now: u64, conn: Conn, reason: ReasonCode) {
+        let closing = Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() });
         self.acts.push(Act::Send(conn, Box::new(closing), Version::V5));
         self.acts.push(Act::Close(conn));
         self.lost(now, conn);
@@ -242,7 +244,7 @@
         match self.links.get(&conn) {
             // Before a CONNECT was taken, the answer is a CONNACK, or none (4.13.1).
             Some(Link::Up { .. }) => self.end(now, conn, violation.reason),
-            Some(_) if violation.reason == Reason::UnsupportedProtocol => {
+            Some(_) if violation.reason == ReasonCode::UnsupportedProtocol => {
                 self.turn_away(conn, Version::V5, violation.reason);
             }
             _ => {
@@ -252,7 +254,7 @@
         }
     }
 
-    fn turn_away(&mut self, conn: Conn, version: Version, reason: Reason) {
+    fn turn_away(&mut self, conn: Conn, version: Version, reason: ReasonCode) {
         self.counts.refused += 1;
         let connack = Connack { session_present: false, reason, properties: Properties::default() };
         self.acts.push(Act::Send(conn, Box::new(Packet::Connack(Box::new(connack))), version));
@@ -286,22 +288,24 @@
 
     fn connect(&mut self, conn: Conn, since: u64, connect: Box<Connect>) {
         let version = connect.version;
-        let user = connect.user.as_deref().and_then(|name| self.policy.user(name));
+        let user = connect.user_name.as_deref().and_then(|name| self.policy.user(name));
         let refused = match user {
             // 3.1.1 has no room for what an answer must tell.
-            _ if version == Version::V311 => Some(Reason::UnsupportedProtocol),
-            _ if self.stopping => Some(Reason::ServerShuttingDown),
-            _ if connect.properties.authentication_method.is_some() => Some(Reason::BadAuthenticationMethod),
-            None => Some(Reason::BadLogin),
+            _ if version == Version::V311 => Some(ReasonCode::UnsupportedProtocol),
+            _ if self.stopping => Some(ReasonCode::ServerShuttingDown),
+            _ if connect.properties.authentication_method.is_some() => {
+                Some(ReasonCode::BadAuthenticationMethod)
+            }
+            None => Some(ReasonCode::BadUserNameOrPassword),
             Some(user) if connect.client_id.is_empty() || !user.may_be(&connect.client_id) => {
-                Some(Reason::ClientIdNotValid)
+                Some(ReasonCode::ClientIdNotValid)
             }
-            _ if connect.will.as_ref().is_some_and(|w| w.retain) => Some(Reason::RetainNotSupported),
+            _ if connect.will.as_ref().is_some_and(|w| w.retain) => Some(ReasonCode::RetainNotSupported),
             _ => None,
         };
         // A server that goes is no reason of a CONNACK's table; it is unavailable.
-        let refused =
-            refused.map(|r| if r == Reason::ServerShuttingDown { Reason::ServerUnavailable } else { r });
+        let refused = refused
+            .map(|r| if r == ReasonCode::ServerShuttingDown { ReasonCode::ServerUnavailable } else { r });
         if let Some(reason) = refused {
             return self.turn_away(conn, version, reason);
         }
@@ -315,19 +319,19 @@
     pub fn verified(&mut self, now: u64, conn: Conn, yes: bool) {
         let Some(Link::Checking { connect, early, .. }) = self.links.remove(&conn) else { return };
         if !yes {
-            return self.turn_away(conn, connect.version, Reason::BadLogin);
+            return self.turn_away(conn, connect.version, ReasonCode::BadUserNameOrPassword);
         }
         let client = connect.client_id.clone();
         if !self.sessions.contains_key(&client) && self.sessions.len() >= self.rules.sessions && !self.evict()
         {
-            return self.turn_away(conn, connect.version, Reason::QuotaExceeded);
+            return self.turn_away(conn, connect.version, ReasonCode::QuotaExceeded);
         }
         // One session has one connection: the later one takes it over [MQTT-3.1.4-3].
         if let Some(old) = self.sessions.get(&client).and_then(|s| s.conn) {
-            self.end(now, old, Reason::SessionTakenOver);
+            self.end(now, old, ReasonCode::SessionTakenOver);
         }
         let rules = &self.rules;
-        let user = connect.user.clone().unwrap_or_default();
+        let user = connect.user_name.clone().unwrap_or_default();
         let rate = self.policy.user(&user).map_or((0.0, 0.0), |u| u.client_rate);
         let expiry = connect.properties.session_expiry.unwrap_or(0).min(rules.session_expiry);
         let kept = self.sessions.remove(&client).filter(|s| {
@@ -376,7 +380,7 @@
             shared_available: Some(false),
             ..Properties::default()
         };
-        let connack = Connack { session_present: present, reason: Reason::Success, properties };
+        let connack = Connack { session_present: present, reason: ReasonCode::Success, properties };
         self.acts.push(Act::Send(conn, Box::new(Packet::Connack(Box::new(connack))), Version::V5));
         self.sessions.insert(client.clone(), session);
         let keep_alive = u64::from(keep_alive) * 1_500_000;
@@ -397,7 +401,7 @@
 
     fn drop_session(&mut self, client: &str) {
         if let Some(session) = self.sessions.remove(client) {
-            self.counts.lost += session.outbound.load().0 as u64;
+            self.counts.lost += session.outbound.queued_and_in_flight().0 as u64;
         }
     }
 
@@ -410,7 +414,7 @@
     fn pump(&mut self, client: &str) {
         let mut out = Vec::new();
         if let Some(session) = self.sessions.get_mut(client) {
-            while let Some(packet) = session.outbound.take_packet() {
+            while let Some(packet) = session.outbound.next_packet() {
                 out.push(packet);
             }
         }
@@ -446,13 +450,14 @@
                     let before = session.filters.len();
                     session.filters.retain(|(f, _)| f.filter != *filter);
                     if session.filters.len() < before {
-                        Reason::Success
+                        ReasonCode::Success
                     } else {
-                        Reason::NoSubscriptionExisted
+                        ReasonCode::NoSubscriptionExisted
                     }
                 };
                 let reasons = unsubscribe.filters.iter().map(remove).collect();
-                let unsuback = Suback { id: unsubscribe.id, properties: Properties::default(), reasons };
+                let unsuback =
+                    Suback { packet_id: unsubscribe.packet_id, properties: Properties::default(), reasons };
                 self.send(client, [Packet::Unsuback(unsuback)]);
             }
             Packet::Pingreq => self.send(client, [Packet::Pingresp]),
@@ -464,7 +469,7 @@
                     }
                     session.expiry = expiry.min(self.rules.session_expiry);
                 }
-                if closing.reason != Reason::DisconnectWithWill {
+                if closing.reason != ReasonCode::DisconnectWithWill {
                     session.will = None;
                 }
                 self.acts.push(Act::Close(conn));
@@ -481,39 +486,39 @@
         let user = self.policy.user(&session.user);
         let mut reasons = Vec::new();
         for wanted in &subscribe.subscriptions {
-            let filter = match Filter::read(&wanted.filter) {
+            let filter = match TopicFilter::parse(&wanted.filter) {
                 _ if !subscribe.properties.subscription_ids.is_empty() => {
-                    reasons.push(Reason::SubscriptionIdsNotSupported);
+                    reasons.push(ReasonCode::SubscriptionIdsNotSupported);
                     continue;
                 }
                 Err(violation) => {
                     reasons.push(violation.reason);
                     continue;
                 }
-                Ok(filter) if filter.share.is_some() => {
-                    reasons.push(Reason::SharedNotSupported);
+                Ok(filter) if filter.share_name.is_some() => {
+                    reasons.push(ReasonCode::SharedNotSupported);
                     continue;
                 }
                 Ok(filter) => filter,
             };
             if !user.is_some_and(|u| u.may_subscribe(client, &filter.filter)) {
-                reasons.push(Reason::NotAuthorized);
+                reasons.push(ReasonCode::NotAuthorized);
                 continue;
             }
             // A subscription by the same filter takes the place of the one before [MQTT-3.8.4-3].
             session.filters.retain(|(f, _)| *f != filter);
             if session.filters.len() >= MOST_FILTERS {
-                reasons.push(Reason::QuotaExceeded);
+                reasons.push(ReasonCode::QuotaExceeded);
                 continue;
             }
             session.filters.push((filter, wanted.qos));
             reasons.push(match wanted.qos {
-                Qos::AtMostOnce => Reason::Success,
-                Qos::AtLeastOnce => Reason::GrantedQos1,
-                Qos::ExactlyOnce => Reason::GrantedQos2,
+                Qos::AtMostOnce => ReasonCode::Success,
+                Qos::AtLeastOnce => ReasonCode::GrantedQos1,
+                Qos::ExactlyOnce => ReasonCode::GrantedQos2,
             });
         }
-        let suback = Suback { id: subscribe.id, properties: Properties::default(), reasons };
+        let suback = Suback { packet_id: subscribe.packet_id, properties: Properties::default(), reasons };
         self.send(client, [Packet::Suback(suback)]);
     }
 
@@ -521,12 +526,12 @@
         let Some(session) = self.sessions.get_mut(client) else { return Ok(()) };
         if publish.retain {
             let (statement, what) = ("MQTT-3.2.2-14", "a message to be kept, which is not done here");
-            return Err(Violation { reason: Reason::RetainNotSupported, statement, what });
+            return Err(Violation { reason: ReasonCode::RetainNotSupported, statement, description: what });
         }
         match session.inbound.publish(&mut publish)? {
-            Taken::New => {}
-            Taken::Pending => return Ok(()),
-            Taken::Again(answer) => {
+            Received::New => {}
+            Received::Pending => return Ok(()),
+            Received::Acknowledged(answer) => {
                 self.send(client, [*answer]);
                 return Ok(());
             }
@@ -547,7 +552,7 @@
         let request = Request {
             client: client.to_string(),
             call: call.clone(),
-            packets: if publish.id > 0 { vec![publish.id] } else { Vec::new() },
+            packets: if publish.packet_id > 0 { vec![publish.packet_id] } else { Vec::new() },
             response: publish.properties.response_topic.clone(),
             correlation: publish.properties.correlation.clone(),
         };
@@ -557,12 +562,13 @@
             known.packets.extend(request.packets);
             return;
         }
-        if let Some(outcome) = session.answered.get(&call).filter(|_| publish.dup || publish.id == 0).cloned()
+        if let Some(outcome) =
+            session.answered.get(&call).filter(|_| publish.dup || publish.packet_id == 0).cloned()
         {
             self.counts.duplicates += 1;
             return self.tell(request, outcome);
         }
-        let refuse = |reason: Reason, why: &str| Outcome {
+        let refuse = |reason: ReasonCode, why: &str| Outcome {
             reason,
             told: vec![pair("status", "failed"), pair("why", why)],
             body: Vec::new(),
@@ -570,7 +576,7 @@
         let sketch = match ParsedRequest::read(&fields) {
             Ok(sketch) => sketch,
             Err(invalid) => {
-                let mut outcome = refuse(Reason::PayloadFormatInvalid, invalid.why);
+                let mut outcome = refuse(ReasonCode::PayloadFormatInvalid, invalid.why);
                 outcome.told.push(pair("field", invalid.field));
                 return self.tell(request, outcome);
             }
@@ -579,7 +585,8 @@
             u.may_publish(client, &publish.topic) && u.may_ask(&sketch.class, sketch.tenant.as_deref())
         };
         if !user.is_some_and(may) {
-            return self.tell(request, refuse(Reason::NotAuthorized, "may not be asked for by this client"));
+            return self
+                .tell(request, refuse(ReasonCode::NotAuthorized, "may not be asked for by this client"));
         }
         let rate = user.map_or((0.0, 0.0), |u| u.user_rate);
         let shared =
@@ -601,11 +608,11 @@
     pub fn answered(&mut self, number: i64, answer: FinalAnswer) {
         let outcome = match answer {
             FinalAnswer::Served(body) => {
-                Outcome { reason: Reason::Success, told: vec![pair("status", "served")], body }
+                Outcome { reason: ReasonCode::Success, told: vec![pair("status", "served")], body }
             }
             FinalAnswer::Refused(after) => refused(after),
             FinalAnswer::Failed(why) => Outcome {
-                reason: Reason::Implementation,
+                reason: ReasonCode::Implementation,
                 told: vec![pair("status", "failed"), pair("why", why)],
                 body: Vec::new(),
             },
@@ -616,7 +623,7 @@
     /// A request has a field that can't be used.
     pub fn invalid(&mut self, number: i64, invalid: &Invalid) {
         let told = vec![pair("status", "failed"), pair("field", invalid.field), pair("why", invalid.why)];
-        self.settle(number, Outcome { reason: Reason::PayloadFormatInvalid, told, body: Vec::new() });
+        self.settle(number, Outcome { reason: ReasonCode::PayloadFormatInvalid, told, body: Vec::new() });
     }
 
     fn settle(&mut self, number: i64, outcome: Outcome) {
@@ -657,7 +664,7 @@
         let mut out = Vec::new();
         for id in &request.packets {
             let properties = Properties { user: user.clone(), ..Properties::default() };
-            out.extend(session.inbound.settle(*id, outcome.reason, properties));
+            out.extend(session.inbound.acknowledge(*id, outcome.reason, properties));
         }
         let listens = |topic: &String| {
             session.filters.iter().filter(|(f, _)| f.matches(topic)).map(|(_, qos)| *qos).max()
@@ -690,7 +697,7 @@
         let up: Vec<Conn> = self.links.keys().copied().collect();
         for conn in up {
             if matches!(self.links.get(&conn), Some(Link::Up { .. })) {
-                self.end(now, conn, Reason::ServerShuttingDown);
+                self.end(now, conn, ReasonCode::ServerShuttingDown);
             }
         }
     }
@@ -716,7 +723,7 @@
                     silent.push((*conn, None));
                 }
                 Link::Up { heard, keep_alive, .. } if now >= heard + keep_alive => {
-                    silent.push((*conn, Some(Reason::KeepAliveTimeout)));
+                    silent.push((*conn, Some(ReasonCode::KeepAliveTimeout)));
                 }
                 _ => {}
             }
@@ -761,7 +768,7 @@
 fn refused(after: u64) -> Outcome {
     let ms = after.div_ceil(1000).to_string();
     Outcome {
-        reason: Reason::QuotaExceeded,
+        reason: ReasonCode::QuotaExceeded,
         told: vec![pair("status", "refused"), pair("pushback", &ms)],
         body: Vec::new(),
     }
--- a/src/front/stations/sessions/tests.rs
+++ b/src/front/stations/sessions/tests.rs
@@ -35,7 +35,7 @@
         properties: Properties { session_expiry: Some(expiry), ..Properties::default() },
         client_id: client.into(),
         will: None,
-        user: Some("u".into()),
+        user_name: Some("u".into()),
         password: Some(b"p".to_vec()),
     }
 }
@@ -54,7 +54,7 @@
         ..Properties::default()
     };
     let qos = if id == 0 { Qos::AtMostOnce } else { Qos::AtLeastOnce };
-    Publish { id, qos, topic: "in/a/x".into(), properties, ..Publish::default() }
+    Publish { packet_id: id, qos, topic: "in/a/x".into(), properties, ..Publish::default() }
 }
 
 impl Bench {
@@ -93,14 +93,17 @@
         self.send(conn, Packet::Publish(Box::new(publish)))
     }
 
-    fn subscribe(&mut self, conn: Conn, filters: &[&str]) -> Vec<Reason> {
+    fn subscribe(&mut self, conn: Conn, filters: &[&str]) -> Vec<ReasonCode> {
         let of = |f: &&str| ochreward_mqtt::packet::Subscription {
             filter: f.to_string(),
             qos: Qos::AtLeastOnce,
             ..Default::default()
         };
-        let subscribe =
-            Subscribe { id: 9, subscriptions: filters.iter().map(of).collect(), ..Subscribe::default() };
+        let subscribe = Subscribe {
+            packet_id: 9,
+            subscriptions: filters.iter().map(of).collect(),
+            ..Subscribe::default()
+        };
         match self.send(conn, Packet::Subscribe(subscribe)).pop() {
             Some(Packet::Suback(suback)) => suback.reasons,
             other => panic!("{other:?}"),
@@ -133,17 +136,23 @@
 fn a_trigger_is_acknowledged_with_its_answer_and_answered_where_the_station_listens() {
     let mut b = bench("");
     assert!(
-        b.connect(1, connect("a", 100)).is_some_and(|c| c.reason == Reason::Success && !c.session_present)
+        b.connect(1, connect("a", 100))
+            .is_some_and(|c| c.reason == ReasonCode::Success && !c.session_present)
     );
     assert_eq!(
         b.subscribe(1, &["out/a/#", "out/b/#", "a#", "$share/g/out/a/x"]),
-        [Reason::GrantedQos1, Reason::NotAuthorized, Reason::TopicFilterInvalid, Reason::SharedNotSupported]
+        [
+            ReasonCode::GrantedQos1,
+            ReasonCode::NotAuthorized,
+            ReasonCode::TopicFilterInvalid,
+            ReasonCode::SharedNotSupported
+        ]
     );
     assert_eq!(b.publish(1, trigger(5, 1, "flow-read")), []);
     let (number, sketch, again) = b.serves[0].clone();
     assert!(&*sketch.call == "0000000000000001" && !again);
     let sent = b.answer(1, number, FinalAnswer::Served(b"body".to_vec()));
-    assert!(matches!(&sent[0], Packet::Puback(a) if a.id == 5 && a.reason == Reason::Success));
+    assert!(matches!(&sent[0], Packet::Puback(a) if a.packet_id == 5 && a.reason == ReasonCode::Success));
     assert_eq!(told(&sent[0], "status").as_deref(), Some("served"));
     let Packet::Publish(answer) = &sent[1] else { panic!("{sent:?}") };
     assert_eq!((answer.topic.as_str(), &answer.payload[..]), ("out/a/answers", &b"body"[..]));
@@ -188,20 +197,23 @@
     let base = || connect("a", 0);
     assert_eq!(
         reason(&mut b, 1, Connect { password: Some(b"x".to_vec()), ..base() }),
-        Some(Reason::BadLogin)
+        Some(ReasonCode::BadUserNameOrPassword)
+    );
+    assert_eq!(
+        reason(&mut b, 2, Connect { user_name: Some("v".into()), ..base() }),
+        Some(ReasonCode::BadUserNameOrPassword)
     );
-    assert_eq!(reason(&mut b, 2, Connect { user: Some("v".into()), ..base() }), Some(Reason::BadLogin));
-    assert_eq!(reason(&mut b, 3, connect("c", 0)), Some(Reason::ClientIdNotValid));
+    assert_eq!(reason(&mut b, 3, connect("c", 0)), Some(ReasonCode::ClientIdNotValid));
     let old = Connect { version: Version::V311, properties: Properties::default(), ..base() };
-    assert_eq!(reason(&mut b, 4, old), Some(Reason::UnsupportedProtocol));
+    assert_eq!(reason(&mut b, 4, old), Some(ReasonCode::UnsupportedProtocol));
     assert!((1..=4).all(|conn| b.closed.contains(&conn)));
-    assert_eq!(reason(&mut b, 5, base()), Some(Reason::Success));
+    assert_eq!(reason(&mut b, 5, base()), Some(ReasonCode::Success));
     let refusals = [
-        (trigger(1, 1, "alert-send"), Reason::NotAuthorized),
-        (Publish { topic: "in/b/x".into(), ..trigger(2, 2, "flow-read") }, Reason::NotAuthorized),
+        (trigger(1, 1, "alert-send"), ReasonCode::NotAuthorized),
+        (Publish { topic: "in/b/x".into(), ..trigger(2, 2, "flow-read") }, ReasonCode::NotAuthorized),
         (
             Publish { properties: Properties::default(), ..trigger(3, 3, "flow-read") },
-            Reason::PayloadFormatInvalid,
+            ReasonCode::PayloadFormatInvalid,
         ),
     ];
     for (publish, reason) in refusals {
@@ -212,11 +224,11 @@
     // Another connection takes the session over; anything before a CONNECT, and a second one, end it.
     b.connect(6, base());
     let sent = b.sent.remove(&5).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::SessionTakenOver));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::SessionTakenOver));
     b.it.accepted(b.now, 7);
     b.send(7, Packet::Pingreq);
     let sent = b.send(6, Packet::Connect(Box::new(base())));
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ProtocolError));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::ProtocolError));
     assert!(b.closed.contains(&7) && b.closed.contains(&6));
 }
 
@@ -246,7 +258,7 @@
     assert!(b.it.count() == (1, 1));
     b.pass(2 * SECOND);
     let sent = b.sent.remove(&1).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::KeepAliveTimeout));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::KeepAliveTimeout));
     assert_eq!(b.it.count(), (1, 0));
     b.pass(5 * SECOND);
     assert_eq!(b.it.count(), (0, 0));
@@ -259,9 +271,9 @@
     for (conn, client) in [(3, "a"), (4, "b"), (5, "c")] {
         b.connect(conn, connect(client, 50));
     }
-    assert_eq!(b.connect(6, connect("d", 50)).map(|c| c.reason), Some(Reason::QuotaExceeded));
+    assert_eq!(b.connect(6, connect("d", 50)).map(|c| c.reason), Some(ReasonCode::QuotaExceeded));
     b.it.lost(b.now, 4);
-    assert_eq!(b.connect(7, connect("d", 50)).map(|c| c.reason), Some(Reason::Success));
+    assert_eq!(b.connect(7, connect("d", 50)).map(|c| c.reason), Some(ReasonCode::Success));
     assert_eq!(b.it.count(), (3, 3));
 }
 
@@ -280,12 +292,12 @@
     b.connect(2, with(3));
     b.pass(2 * SECOND);
     assert!(b.serves.is_empty(), "it came back");
-    let leave = |reason| Packet::Disconnect(Closing { reason, properties: Properties::default() });
-    b.send(2, leave(Reason::Success));
+    let leave = |reason| Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() });
+    b.send(2, leave(ReasonCode::Success));
     b.pass(5 * SECOND);
     assert!(b.serves.is_empty(), "it took its leave");
     b.connect(3, with(0));
-    b.send(3, leave(Reason::DisconnectWithWill));
+    b.send(3, leave(ReasonCode::DisconnectWithWill));
     b.pass(1);
     assert_eq!(b.serves.len(), 1);
 }
@@ -300,11 +312,11 @@
     b.publish(1, trigger(2, 2, "flow-read"));
     let sent = b.answer(1, 1, FinalAnswer::Served(Vec::new()));
     assert_eq!(told(&sent[1], "status").as_deref(), Some("refused"));
-    assert_eq!(b.connect(2, connect("b", 0)).map(|c| c.reason), Some(Reason::ServerUnavailable));
+    assert_eq!(b.connect(2, connect("b", 0)).map(|c| c.reason), Some(ReasonCode::ServerUnavailable));
     b.it.leave(b.now);
     b.carry();
     let sent = b.sent.remove(&1).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ServerShuttingDown));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::ServerShuttingDown));
 }
 
 #[test]
--- a/tests/sockets/stations.rs
+++ b/tests/sockets/stations.rs
@@ -2,8 +2,10 @@
 //! dispatcher that is stopped or killed.
 
 use crate::stand::{Executor, Names, PATIENCE, Program, config, file};
-use ochreward_mqtt::packet::{Ack, Closing, Connect, Packet, Publish, Subscribe, Subscription, decode};
-use ochreward_mqtt::{Properties, Qos, Reason, Version};
+use ochreward_mqtt::packet::{
+    Ack, Connect, DisconnectOrAuth, Packet, Publish, Subscribe, Subscription, decode,
+};
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Version};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -63,7 +65,7 @@
     }
 
     /// Connects as this client; whether its session was there, or why it was turned away.
-    fn connect(to: SocketAddr, client: &str, password: &str) -> (Station, Result<bool, Reason>) {
+    fn connect(to: SocketAddr, client: &str, password: &str) -> (Station, Result<bool, ReasonCode>) {
         let mut station = Station::open(to);
         let properties = Properties { session_expiry: Some(600), ..Properties::default() };
         station.send(&Packet::Connect(Box::new(Connect {
@@ -73,11 +75,12 @@
             properties,
             client_id: client.into(),
             will: None,
-            user: Some("east".into()),
+            user_name: Some("east".into()),
             password: Some(password.into()),
         })));
         let Some(Packet::Connack(connack)) = station.receive() else { panic!("no CONNACK") };
-        let result = if connack.reason.failed() { Err(connack.reason) } else { Ok(connack.session_present) };
+        let result =
+            if connack.reason.is_failure() { Err(connack.reason) } else { Ok(connack.session_present) };
         (station, result)
     }
 
@@ -104,16 +107,20 @@
     fn subscribe(&mut self, filter: &str, qos: Qos) {
         let subscription = Subscription { filter: filter.into(), qos, ..Subscription::default() };
         self.send(&Packet::Subscribe(Subscribe {
-            id: 1,
+            packet_id: 1,
             subscriptions: vec![subscription],
             ..Subscribe::default()
         }));
         let Some(Packet::Suback(suback)) = self.receive() else { panic!("no SUBACK") };
-        assert!(!suback.reasons[0].failed());
+        assert!(!suback.reasons[0].is_failure());
     }
 
     fn ack(&mut self, kind: fn(Ack) -> Packet, id: u16) {
-        self.send(&kind(Ack { id, reason: Reason::Success, properties: Properties::default() }));
+        self.send(&kind(Ack {
+            packet_id: id,
+            reason: ReasonCode::Success,
+            properties: Properties::default(),
+        }));
     }
 }
 
@@ -136,7 +143,7 @@
         ..Properties::default()
     };
     let topic = format!("in/{client}/triggers");
-    Publish { id, qos, topic, properties, payload: b"in".to_vec(), ..Publish::default() }
+    Publish { packet_id: id, qos, topic, properties, payload: b"in".to_vec(), ..Publish::default() }
 }
 
 fn publish(publish: Publish) -> Packet {
@@ -164,9 +171,9 @@
     let Some(Packet::Publish(answer)) = station.receive() else { panic!("no answer") };
     assert_eq!((&answer.payload[..], answer.qos), (&b"one"[..], Qos::ExactlyOnce));
     assert_eq!(answer.properties.correlation, Some(1_u64.to_be_bytes().to_vec()));
-    station.ack(Packet::Pubrec, answer.id);
-    assert!(matches!(station.receive(), Some(Packet::Pubrel(a)) if a.id == answer.id));
-    station.ack(Packet::Pubcomp, answer.id);
+    station.ack(Packet::Pubrec, answer.packet_id);
+    assert!(matches!(station.receive(), Some(Packet::Pubrel(a)) if a.packet_id == answer.packet_id));
+    station.ack(Packet::Pubcomp, answer.packet_id);
     // QoS 1: the acknowledgement tells the status too.
     station.send(&publish(trigger("st-1", 7, Qos::AtLeastOnce, "level-log", 2)));
     let mut line = bed.executor.next();
@@ -174,7 +181,8 @@
     line.ok(b"two");
     let puback = station.receive().expect("a PUBACK");
     assert!(
-        matches!(&puback, Packet::Puback(a) if a.id == 7) && status(&puback).as_deref() == Some("served")
+        matches!(&puback, Packet::Puback(a) if a.packet_id == 7)
+            && status(&puback).as_deref() == Some("served")
     );
     assert!(matches!(station.receive(), Some(Packet::Publish(p)) if p.payload == b"two"));
     // QoS 2: taken once, however often it is sent before its release.
@@ -183,14 +191,15 @@
     bed.executor.next().ok(b"three");
     let pubrec = station.receive().expect("a PUBREC");
     assert!(
-        matches!(&pubrec, Packet::Pubrec(a) if a.id == 8) && status(&pubrec).as_deref() == Some("served")
+        matches!(&pubrec, Packet::Pubrec(a) if a.packet_id == 8)
+            && status(&pubrec).as_deref() == Some("served")
     );
     assert!(matches!(station.receive(), Some(Packet::Publish(p)) if p.payload == b"three"));
     station.send(&publish(Publish { dup: true, ..twice }));
-    assert!(matches!(station.receive(), Some(Packet::Pubrec(a)) if a.id == 8));
+    assert!(matches!(station.receive(), Some(Packet::Pubrec(a)) if a.packet_id == 8));
     station.ack(Packet::Pubrel, 8);
     assert!(
-        matches!(station.receive(), Some(Packet::Pubcomp(a)) if a.id == 8 && a.reason == Reason::Success)
+        matches!(station.receive(), Some(Packet::Pubcomp(a)) if a.packet_id == 8 && a.reason == ReasonCode::Success)
     );
     station.send(&Packet::Pingreq);
     assert_eq!(station.receive(), Some(Packet::Pingresp));
@@ -202,13 +211,13 @@
 #[test]
 fn passwords_policies_and_a_reload_decide_who_is_served() {
     let bed = Bed::new("classes = [\"flow-read\"]\nclients = [\"st-*\"]");
-    assert_eq!(Station::connect(bed.stations, "st-1", "wrong").1, Err(Reason::BadLogin));
-    assert_eq!(Station::connect(bed.stations, "xx-1", "secret").1, Err(Reason::ClientIdNotValid));
+    assert_eq!(Station::connect(bed.stations, "st-1", "wrong").1, Err(ReasonCode::BadUserNameOrPassword));
+    assert_eq!(Station::connect(bed.stations, "xx-1", "secret").1, Err(ReasonCode::ClientIdNotValid));
     let (mut station, _) = Station::connect(bed.stations, "st-1", "secret");
     station.send(&publish(trigger("st-1", 1, Qos::AtLeastOnce, "alert-send", 1)));
-    assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == Reason::NotAuthorized));
+    assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == ReasonCode::NotAuthorized));
     station.send(&publish(trigger("st-2", 2, Qos::AtLeastOnce, "flow-read", 2)));
-    assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == Reason::NotAuthorized));
+    assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == ReasonCode::NotAuthorized));
     // A users' file with a fault changes nothing; one without the user ends its connection.
     std::fs::write(&bed.users, "[user.east]\npassword = 7").expect("written");
     bed.program.signal(rustix::process::Signal::HUP);
@@ -217,7 +226,9 @@
     assert_eq!(station.receive(), Some(Packet::Pingresp));
     std::fs::write(&bed.users, "").expect("written");
     bed.program.signal(rustix::process::Signal::HUP);
-    assert!(matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == Reason::NotAuthorized));
+    assert!(
+        matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == ReasonCode::NotAuthorized)
+    );
     assert_eq!(station.receive(), None);
     assert_eq!(bed.executor.left(), 0);
 }
@@ -390,7 +401,9 @@
     let packets: Vec<Packet> = std::iter::from_fn(|| station.receive()).collect();
     let first = packets.first().expect("a PUBACK");
     assert_eq!(status(first).as_deref(), Some("served"));
-    assert!(matches!(packets.last(), Some(Packet::Disconnect(c)) if c.reason == Reason::ServerShuttingDown));
+    assert!(
+        matches!(packets.last(), Some(Packet::Disconnect(c)) if c.reason == ReasonCode::ServerShuttingDown)
+    );
     let Bed { mut program, .. } = bed;
     assert_eq!(program.child.wait().expect("an end").code(), Some(0));
 }
@@ -399,17 +412,17 @@
 fn bent_bytes_end_one_connection_with_the_reason_and_cost_others_nothing() {
     let bed = Bed::new("");
     let (mut good, _) = Station::connect(bed.stations, "st-good", "secret");
-    let bad: [(&[u8], Reason); 5] = [
-        (&[0xc1, 0], Reason::MalformedPacket),
-        (&[0x36, 4, 0, 1, b'a', 0], Reason::MalformedPacket),
-        (&[0x31, 4, 0, 1, b'a', 0], Reason::RetainNotSupported),
-        (&[0x30, 0xff, 0xff, 0x7f], Reason::PacketTooLarge),
-        (&[0x10, 0], Reason::MalformedPacket),
+    let bad: [(&[u8], ReasonCode); 5] = [
+        (&[0xc1, 0], ReasonCode::MalformedPacket),
+        (&[0x36, 4, 0, 1, b'a', 0], ReasonCode::MalformedPacket),
+        (&[0x31, 4, 0, 1, b'a', 0], ReasonCode::RetainNotSupported),
+        (&[0x30, 0xff, 0xff, 0x7f], ReasonCode::PacketTooLarge),
+        (&[0x10, 0], ReasonCode::MalformedPacket),
     ];
     for (n, (bytes, reason)) in bad.into_iter().enumerate() {
         let (mut station, _) = Station::connect(bed.stations, &format!("st-{n}"), "secret");
         station.stream.write_all(bytes).expect("sent");
-        let Some(Packet::Disconnect(Closing { reason: told, .. })) = station.receive() else {
+        let Some(Packet::Disconnect(DisconnectOrAuth { reason: told, .. })) = station.receive() else {
             panic!("no DISCONNECT for {bytes:x?}")
         };
         assert_eq!(told, reason, "{bytes:x?}");
@@ -421,7 +434,7 @@
         station.send(&publish(trigger("st-many", id, Qos::AtLeastOnce, "flow-read", 50 + u64::from(id))));
     }
     assert!(
-        matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == Reason::ReceiveMaximumExceeded)
+        matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == ReasonCode::ReceiveMaximumExceeded)
     );
     // What was taken of it is answered all the same, to nobody; and room is made for the others.
     let began = Instant::now();
