--- a/benches/patterns.rs
+++ b/benches/patterns.rs
@@ -2,7 +2,7 @@
 //! with sessions kept where their pattern stands, and without, on the same traffic; harm where there are no patterns; bytes a
 //! session; how long until a pattern that changes is followed. Ends non-zero if a bound is missed.
 
-use ochreward_patterns::{Micros, Patterns, Terms};
+use ochreward_patterns::{Config, Micros, Patterns};
 use ochreward_placement::{Cost, Stands, Step, Ways, World};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -96,20 +96,20 @@
 
 /// The library's way: groups of the sessions that are judged.
 fn found(sessions: &[(Option<usize>, Vec<u64>)]) -> (Vec<(u64, u64)>, Patterns) {
-    let mut patterns = Patterns::new(Terms::default(), 1);
+    let mut patterns = Patterns::new(Config::default(), 1);
     let mut put = Vec::new();
     let mut now: Micros = 0;
     for (n, (label, calls)) in sessions.iter().enumerate() {
         for function in calls {
             now += 5_000;
-            patterns.called(now, n as u64, *function);
+            patterns.record_call(now, n as u64, *function);
         }
-        let group = patterns.ended(now, n as u64);
+        let group = patterns.end_session(now, n as u64);
         if let (Some(label), Some(group), true) = (label, group, n >= LEARNT) {
             put.push((*label as u64, group));
         }
     }
-    let put = put.into_iter().map(|(label, group)| (label, patterns.now_called(group))).collect();
+    let put = put.into_iter().map(|(label, group)| (label, patterns.resolve_merged(group))).collect();
     (put, patterns)
 }
 
@@ -192,7 +192,7 @@
 /// session costs from there at best (crates/placement) counts as well.
 fn played(sessions: &[(Option<usize>, Vec<u64>)], affinity: bool) -> (u64, u64, f64) {
     let mut zones: Vec<Zone> = (0..ZONES).map(|_| Zone::default()).collect();
-    let mut patterns = Patterns::new(Terms::default(), 1);
+    let mut patterns = Patterns::new(Config::default(), 1);
     let mut seen = Stands::new(ZONES, KEEP, Cost::sure(CROSSING), Cost::sure(LOAD)).expect("a world");
     let (mut loads, mut crossings, mut now) = (0, 0, 0);
     // Sessions side by side: each turn one of those that go on calls.
@@ -208,15 +208,15 @@
         let (session, step, at) = open[place];
         let calls = &sessions[session as usize].1;
         let Some(function) = calls.get(step).copied() else {
-            patterns.ended(now, session);
+            patterns.end_session(now, session);
             open.swap_remove(place);
             continue;
         };
-        patterns.called(now, session, function);
+        patterns.record_call(now, session, function);
         seen.at(now);
-        let expected = if affinity { patterns.expected(now, session) } else { None };
+        let expected = if affinity { patterns.predict(now, session) } else { None };
         // What is uncertain counts by its lower bound.
-        let steps = |e: &ochreward_patterns::Expected| -> Vec<Step> {
+        let steps = |e: &ochreward_patterns::Prediction| -> Vec<Step> {
             e.calls.iter().map(|c| Step { function: c.function, chance: c.chance.low }).collect()
         };
         let rest = expected.as_ref().map_or(vec![0.0; ZONES], |e| Ways::of(&seen, &steps(e)).rests());
@@ -242,15 +242,15 @@
 fn followed(seed: u64) -> u64 {
     let mut rng = Pcg32::seed_from_u64(seed);
     let patterns = planted(&mut rng);
-    let mut it = Patterns::new(Terms::default(), 1);
+    let mut it = Patterns::new(Config::default(), 1);
     let (mut now, mut number) = (0, 0);
     let mut one = |it: &mut Patterns, calls: &[u64]| {
         number += 1;
         for function in calls {
             now += 20_000;
-            it.called(now, number, *function);
+            it.record_call(now, number, *function);
         }
-        it.ended(now, number);
+        it.end_session(now, number);
         (now, number + 1_000_000)
     };
     for (_, calls) in day(&mut rng, &patterns, 0.1).into_iter().take(1_000) {
@@ -263,13 +263,13 @@
         let calls = session(&mut rng, &changed, 0.1);
         let (now, probe) = one(&mut it, &calls);
         for function in &changed[..half] {
-            it.called(now, probe, *function);
+            it.record_call(now, probe, *function);
         }
         let told: BTreeSet<u64> = it
-            .expected(now, probe)
+            .predict(now, probe)
             .map(|e| e.calls.into_iter().filter(|c| c.chance.mean > 0.4).map(|c| c.function).collect())
             .unwrap_or_default();
-        it.ended(now, probe);
+        it.end_session(now, probe);
         if changed[half..].iter().filter(|f| told.contains(f)).count() * 2 > changed.len() - half {
             return sessions;
         }
@@ -325,7 +325,7 @@
             .push(format!("harm of {:.3} where there are no patterns, 1.01 at the most", with.2 / without.2));
     }
     let (_, mut known) = found(&sessions);
-    let sent = known.summary().written().len();
+    let sent = known.summary().encode().len();
     println!("bytes_told_a_session {:.1} bytes", sent as f64 / LEARNT as f64);
     println!("bytes_of_a_summary {sent} bytes");
     let until: Vec<u64> = (1..=SEEDS).map(|seed| followed(seed * 17)).collect();
@@ -334,12 +334,12 @@
         until.iter().sum::<u64>() as f64 / SEEDS as f64
     );
     let calls = 200_000;
-    let mut it = Patterns::new(Terms::default(), 1);
+    let mut it = Patterns::new(Config::default(), 1);
     let timed = Instant::now();
     for n in 0..calls {
-        it.called(n * 100, n / 6, mixed(n, 3) % CATALOG);
+        it.record_call(n * 100, n / 6, mixed(n, 3) % CATALOG);
         if n % 6 == 5 {
-            it.ended(n * 100, n / 6);
+            it.end_session(n * 100, n / 6);
         }
     }
     println!("time_of_a_call {:.2} us", timed.elapsed().as_micros() as f64 / calls as f64);
--- a/crates/patterns/src/lib.rs
+++ b/crates/patterns/src/lib.rs
@@ -14,7 +14,7 @@
 mod sessions;
 mod summary;
 
-pub use patterns::{Expected, Patterns, PredictedCall, Stats};
+pub use patterns::{Patterns, PredictedCall, Prediction, Stats};
 pub use profile::{Profile, Step};
 pub use summary::{MAX_SUMMARY_BYTES, Summary, SummaryError};
 
@@ -40,16 +40,16 @@
 
 /// When a session ends, and how fast counts decay.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Config {
     /// A session without a call for this long has ended.
     pub idle_timeout: Micros,
     /// The half-life of all counts.
     pub half_life: Micros,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { idle_timeout: 5_000_000, half_life: 120_000_000 }
+impl Default for Config {
+    fn default() -> Config {
+        Config { idle_timeout: 5_000_000, half_life: 120_000_000 }
     }
 }
 
--- a/crates/patterns/src/patterns.rs
+++ b/crates/patterns/src/patterns.rs
@@ -3,8 +3,8 @@
 
 use crate::sessions::{OpenSession, OpenSessions};
 use crate::{
-    FunctionId, Interval, MAX_CALLS_PER_SESSION, MAX_ORIGINS, MAX_PATTERNS, MAX_STEPS, Micros, Profile,
-    SessionId, Summary, SummaryError, Terms,
+    Config, FunctionId, Interval, MAX_CALLS_PER_SESSION, MAX_ORIGINS, MAX_PATTERNS, MAX_STEPS, Micros,
+    Profile, SessionId, Summary, SummaryError,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
 
 /// The prediction for an open session.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expected {
+pub struct Prediction {
     /// The best matching pattern.
     pub pattern: u64,
     /// The probability that the session belongs to `pattern`, among all known patterns and none.
@@ -62,7 +62,7 @@
     pub functions: usize,
     /// Peers whose summaries are kept.
     pub origins: usize,
-    /// An upper bound of the comparisons of a call with a step in the last [`Patterns::called`], [`Patterns::ended`] or
+    /// An upper bound of the comparisons of a call with a step in the last [`Patterns::record_call`], [`Patterns::end_session`] or
     /// [`Patterns::end_idle_session`].
     pub work: u64,
 }
@@ -70,7 +70,7 @@
 /// The patterns of one dispatcher: its own (local) ones and those of its peers.
 #[derive(Clone, Debug)]
 pub struct Patterns {
-    terms: Terms,
+    terms: Config,
     sessions: OpenSessions,
     local: Vec<Profile>,
     /// For each local pattern that was merged into another: the number of the other.
@@ -93,9 +93,9 @@
 impl Patterns {
     /// Returns an empty state. `instance` must increase with each start of a dispatcher, so that peers accept its new
     /// summaries in place of those from before the restart.
-    pub fn new(terms: Terms, instance: u64) -> Patterns {
+    pub fn new(terms: Config, instance: u64) -> Patterns {
         Patterns {
-            terms: Terms {
+            terms: Config {
                 idle_timeout: terms.idle_timeout.max(1),
                 half_life: terms.half_life.max(1_000_000),
             },
@@ -128,7 +128,7 @@
     }
 
     /// Records a call of a session. If another session was evicted to make room, returns that session's pattern.
-    pub fn called(&mut self, now: Micros, session: SessionId, function: FunctionId) -> Option<u64> {
+    pub fn record_call(&mut self, now: Micros, session: SessionId, function: FunctionId) -> Option<u64> {
         self.work = 0;
         let evicted = self.sessions.record_call(now, session, function)?;
         self.learn(now, &evicted)
@@ -148,14 +148,14 @@
     }
 
     /// Ends a session whose connection closed and returns its pattern, if it has one.
-    pub fn ended(&mut self, now: Micros, session: SessionId) -> Option<u64> {
+    pub fn end_session(&mut self, now: Micros, session: SessionId) -> Option<u64> {
         self.work = 0;
         let open = self.sessions.end(session)?;
         self.learn(now, &open)
     }
 
     /// Returns the pattern that a pattern was merged into, directly or through others, or the pattern itself.
-    pub fn now_called(&self, mut pattern: u64) -> u64 {
+    pub fn resolve_merged(&self, mut pattern: u64) -> u64 {
         while let Some(into) = self.merged_into.get(&pattern) {
             pattern = *into;
         }
@@ -186,7 +186,7 @@
     }
 
     /// Predicts the remaining calls of an open session; `None` if there is no such session or no pattern to match.
-    pub fn expected(&mut self, now: Micros, session: SessionId) -> Option<Expected> {
+    pub fn predict(&mut self, now: Micros, session: SessionId) -> Option<Prediction> {
         let open = self.sessions.get(session)?.clone();
         self.combined();
         let total_weight: f64 = self.combined.iter().map(|p| f64::from(p.weight)).sum::<f64>() + 1.0;
@@ -214,7 +214,7 @@
             .filter(|c| c.chance.mean >= MIN_PREDICTED_CHANCE)
             .collect();
         calls.sort_by_key(|c| (c.after, c.function));
-        Some(Expected { pattern: pattern.id, chance, calls })
+        Some(Prediction { pattern: pattern.id, chance, calls })
     }
 
     // ---- Learning ----
@@ -295,7 +295,7 @@
         if self.ended_sessions.is_multiple_of(MERGE_INTERVAL_SESSIONS) {
             self.merge_similar();
         }
-        first.map(|id| self.now_called(id))
+        first.map(|id| self.resolve_merged(id))
     }
 
     fn add_pattern(&mut self, calls: &[(FunctionId, Micros)]) -> u64 {
--- a/crates/patterns/src/summary.rs
+++ b/crates/patterns/src/summary.rs
@@ -40,7 +40,7 @@
 
 impl Summary {
     /// Encodes the summary for sending.
-    pub fn written(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -61,7 +61,7 @@
 
     /// Returns the higher of two summaries of one origin, independent of their order.
     pub fn join(self, other: Summary) -> Summary {
-        let higher = (self.version, self.written()) >= (other.version, other.written());
+        let higher = (self.version, self.encode()) >= (other.version, other.encode());
         if higher { self } else { other }
     }
 
--- a/crates/patterns/tests/laws.rs
+++ b/crates/patterns/tests/laws.rs
@@ -1,7 +1,7 @@
 //! Property tests: the laws of merging, bounds under adversarial input, and rejection of invalid summaries.
 
 use ochreward_patterns::{
-    MAX_PATTERNS, MAX_SUMMARY_BYTES, Patterns, Profile, Step, Summary, SummaryError, Terms,
+    Config, MAX_PATTERNS, MAX_SUMMARY_BYTES, Patterns, Profile, Step, Summary, SummaryError,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 }
 
 fn merged(order: &[&PeerSummaries]) -> PeerSummaries {
-    let mut patterns = Patterns::new(Terms::default(), 1);
+    let mut patterns = Patterns::new(Config::default(), 1);
     order.iter().for_each(|summaries| patterns.merge(summaries));
     patterns.peer_summaries().clone()
 }
@@ -45,7 +45,7 @@
     #[test]
     fn combined_patterns_do_not_depend_on_the_merge_order(a in peer_summaries(), b in peer_summaries()) {
         let combined = |order: [&PeerSummaries; 2]| {
-            let mut patterns = Patterns::new(Terms::default(), 1);
+            let mut patterns = Patterns::new(Config::default(), 1);
             order.iter().for_each(|summaries| patterns.merge(summaries));
             patterns.combined().to_vec()
         };
@@ -54,7 +54,7 @@
 
     #[test]
     fn arbitrary_summary_bytes_stay_within_bounds(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut patterns = Patterns::new(Terms::default(), 1);
+        let mut patterns = Patterns::new(Config::default(), 1);
         let _ = patterns.receive_summary(&"x".into(), &bytes);
         prop_assert!(patterns.stats().within_bounds() && patterns.combined().len() <= MAX_PATTERNS);
     }
@@ -64,17 +64,17 @@
         summaries in peer_summaries(), at in any::<prop::sample::Index>(), bit in 0_u8..8,
     ) {
         for summary in summaries.values() {
-            let valid = summary.written();
+            let valid = summary.encode();
             prop_assert_eq!(Summary::decode(&valid), Ok(summary.clone()));
             let index = at.index(valid.len());
             prop_assert!(Summary::decode(&valid[..index]).is_err());
             let mut corrupted = valid.clone();
             corrupted[index] ^= 1 << bit;
-            let mut patterns = Patterns::new(Terms::default(), 1);
+            let mut patterns = Patterns::new(Config::default(), 1);
             let _ = patterns.receive_summary(&"x".into(), &corrupted);
-            patterns.called(0, 1, 1);
-            patterns.called(1, 1, 2);
-            if let Some(expected) = patterns.expected(2, 1) {
+            patterns.record_call(0, 1, 1);
+            patterns.record_call(1, 1, 2);
+            if let Some(expected) = patterns.predict(2, 1) {
                 prop_assert!((0.0..=1.0).contains(&expected.chance));
             }
         }
@@ -88,7 +88,7 @@
     ) {
         use rand_pcg::rand_core::{Rng, SeedableRng};
         let mut rng = rand_pcg::Pcg32::seed_from_u64(seed);
-        let mut patterns = Patterns::new(Terms::default(), 1);
+        let mut patterns = Patterns::new(Config::default(), 1);
         let mut now = 0;
         for n in 0..calls as u64 {
             now += u64::from(rng.next_u32() % 20_000);
@@ -98,7 +98,7 @@
                 2 => (u64::from(rng.next_u32() % 9_000), u64::from(rng.next_u32() % 50)),
                 _ => (n / 3, n / 100 * 3 + n % 3),
             };
-            patterns.called(now, session, function);
+            patterns.record_call(now, session, function);
             prop_assert!(patterns.stats().within_bounds(), "{:?}", patterns.stats());
             if n % 64 == 0 {
                 while patterns.end_idle_session(now).is_some() {
@@ -106,7 +106,7 @@
                 }
             }
         }
-        let sent = patterns.summary().written();
+        let sent = patterns.summary().encode();
         prop_assert!(sent.len() <= MAX_SUMMARY_BYTES, "{} bytes", sent.len());
         prop_assert!(Summary::decode(&sent).is_ok());
     }
@@ -115,7 +115,7 @@
 #[test]
 fn implausible_malformed_and_oversized_summaries_are_rejected_with_distinct_errors() {
     let step = Step { function: 1, weight: 5.0, at_ms: 1.0 };
-    let of = |profile: Profile| Summary { version: 1, profiles: vec![profile] }.written();
+    let of = |profile: Profile| Summary { version: 1, profiles: vec![profile] }.encode();
     for (case, profile) in [
         ("a step that came more often than its pattern", Profile { id: 1, weight: 1.0, steps: vec![step] }),
         ("a weight that is no number", Profile { id: 1, weight: f32::NAN, steps: vec![] }),
@@ -126,12 +126,12 @@
         assert_eq!(Summary::decode(&of(profile)), Err(SummaryError::Implausible), "{case}");
     }
     let too_many = Summary { version: 1, profiles: vec![Profile::default(); MAX_PATTERNS + 1] };
-    assert_eq!(Summary::decode(&too_many.written()), Err(SummaryError::Implausible));
+    assert_eq!(Summary::decode(&too_many.encode()), Err(SummaryError::Implausible));
     assert_eq!(
         Summary::decode(&vec![0; MAX_SUMMARY_BYTES + 1]),
         Err(SummaryError::TooLong(MAX_SUMMARY_BYTES + 1))
     );
-    let mut long = Summary::default().written();
+    let mut long = Summary::default().encode();
     long.push(0);
     assert_eq!(Summary::decode(&long), Err(SummaryError::Malformed));
 }
--- a/crates/patterns/tests/machine.rs
+++ b/crates/patterns/tests/machine.rs
@@ -1,6 +1,6 @@
 //! Tests of pattern detection, prediction, exchange with peers and session expiry.
 
-use ochreward_patterns::{Interval, MAX_SESSIONS, Micros, Patterns, Terms};
+use ochreward_patterns::{Config, Interval, MAX_SESSIONS, Micros, Patterns};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 impl Simulation {
     fn new(instance: u64) -> Simulation {
         let rng = Pcg32::seed_from_u64(instance);
-        Simulation { patterns: Patterns::new(Terms::default(), instance), now: 0, session: 0, rng }
+        Simulation { patterns: Patterns::new(Config::default(), instance), now: 0, session: 0, rng }
     }
 
     /// Runs a session of these calls, 100 ms apart, and returns its pattern.
@@ -26,9 +26,9 @@
         self.session += 1;
         for function in calls {
             self.now += 100 * MS;
-            self.patterns.called(self.now, self.session, *function);
+            self.patterns.record_call(self.now, self.session, *function);
         }
-        self.patterns.ended(self.now, self.session)
+        self.patterns.end_session(self.now, self.session)
     }
 
     /// Runs one session of each call list in turn, `times` times.
@@ -43,7 +43,7 @@
         self.session += 1;
         for function in calls {
             self.now += 100 * MS;
-            self.patterns.called(self.now, self.session, *function);
+            self.patterns.record_call(self.now, self.session, *function);
         }
         self.session
     }
@@ -72,7 +72,7 @@
     // Every other session omits the last step.
     simulation.run_sessions(&[A, &A[..4]], 15);
     let session = simulation.start_session(&[1, 2]);
-    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
+    let expected = simulation.patterns.predict(simulation.now, session).expect("a pattern");
     assert!(expected.chance > 0.9, "{expected:?}");
     let functions: Vec<u64> = expected.calls.iter().map(|c| c.function).collect();
     assert_eq!(functions, [3, 4, 5], "soonest first");
@@ -83,8 +83,8 @@
     assert!((50 * MS..150 * MS).contains(&expected.calls[0].after), "{expected:?}");
     // A session that matches no pattern gets no confident prediction.
     let session = simulation.start_session(&[77, 78]);
-    assert!(simulation.patterns.expected(simulation.now, session).is_none_or(|e| e.chance < 0.5));
-    assert_eq!(simulation.patterns.expected(simulation.now, 9_999), None);
+    assert!(simulation.patterns.predict(simulation.now, session).is_none_or(|e| e.chance < 0.5));
+    assert_eq!(simulation.patterns.predict(simulation.now, 9_999), None);
 }
 
 #[test]
@@ -111,8 +111,8 @@
         sessions += 1;
         simulation.run_session(changed);
         let session = simulation.start_session(&[1, 2]);
-        let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
-        simulation.patterns.ended(simulation.now, session);
+        let expected = simulation.patterns.predict(simulation.now, session).expect("a pattern");
+        simulation.patterns.end_session(simulation.now, session);
         if expected.calls.iter().any(|c| c.function == 24 && c.chance.mean > 0.4) {
             break;
         }
@@ -124,7 +124,7 @@
         simulation.run_session(changed);
     }
     let session = simulation.start_session(&[1, 2]);
-    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
+    let expected = simulation.patterns.predict(simulation.now, session).expect("a pattern");
     assert!(expected.calls.iter().all(|c| c.function != 4 || c.chance.mean < 0.2), "{expected:?}");
 }
 
@@ -132,15 +132,15 @@
 fn a_restarted_dispatcher_predicts_from_a_peers_summary() {
     let mut old = Simulation::new(5);
     old.run_sessions(&[A, B], 30);
-    let summary = old.patterns.summary().written();
+    let summary = old.patterns.summary().encode();
     let mut new = Simulation::new(6);
     new.patterns.receive_summary(&"n0".into(), &summary).expect("a summary");
     let session = new.start_session(&[11, 12]);
-    let expected = new.patterns.expected(new.now, session).expect("a pattern");
+    let expected = new.patterns.predict(new.now, session).expect("a pattern");
     assert_eq!(expected.calls.iter().map(|c| c.function).collect::<Vec<u64>>(), [13, 14]);
     // The summary of a peer that left is removed.
     new.patterns.retain_members(|_| false);
-    assert!(new.patterns.expected(new.now, session).is_none_or(|e| e.calls.iter().all(|c| c.function != 13)));
+    assert!(new.patterns.predict(new.now, session).is_none_or(|e| e.calls.iter().all(|c| c.function != 13)));
 }
 
 #[test]
@@ -152,9 +152,9 @@
     lying_peer.run_sessions(&[&[1, 2, 666, 667, 668]], 40);
     let mut forged_summary = lying_peer.patterns.summary();
     forged_summary.profiles.iter_mut().for_each(|p| p.decay(1e4));
-    simulation.patterns.receive_summary(&"liar".into(), &forged_summary.written()).expect("a valid summary");
+    simulation.patterns.receive_summary(&"liar".into(), &forged_summary.encode()).expect("a valid summary");
     let session = simulation.start_session(&[1, 2, 3]);
-    let expected = simulation.patterns.expected(simulation.now, session).expect("a pattern");
+    let expected = simulation.patterns.predict(simulation.now, session).expect("a pattern");
     assert!(expected.calls.iter().any(|c| c.function == 4 && c.chance.mean > 0.5), "{expected:?}");
     let origins: Vec<Arc<str>> = simulation.patterns.peer_summaries().keys().cloned().collect();
     assert_eq!(origins, ["liar".into()]);
@@ -163,8 +163,8 @@
 #[test]
 fn idle_sessions_end_and_the_longest_idle_one_is_evicted_above_the_bound() {
     let mut simulation = Simulation::new(9);
-    simulation.patterns.called(0, 1, 1);
-    simulation.patterns.called(0, 1, 2);
+    simulation.patterns.record_call(0, 1, 1);
+    simulation.patterns.record_call(0, 1, 2);
     let due = simulation.patterns.next_idle_timeout().expect("an open session");
     assert_eq!(simulation.patterns.end_idle_session(due - 1), None);
     assert!(simulation.patterns.end_idle_session(due).is_some_and(|p| p.is_some()));
@@ -173,7 +173,7 @@
         (None, None)
     );
     for n in 0..2 * MAX_SESSIONS as u64 {
-        simulation.patterns.called(due + n, n, n % 7);
+        simulation.patterns.record_call(due + n, n, n % 7);
         assert!(simulation.patterns.stats().sessions <= MAX_SESSIONS);
     }
 }
