--- a/benches/patterns.rs
+++ b/benches/patterns.rs
@@ -3,7 +3,7 @@
 //! session; how long until a pattern that changes is followed. Ends non-zero if a bound is missed.
 
 use ochreward_patterns::{Config, Micros, Patterns};
-use ochreward_placement::{Cost, Stands, Step, Ways, World};
+use ochreward_placement::{Cost, CostModel, Planner, Step, WarmCopies};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -193,7 +193,7 @@
 fn played(sessions: &[(Option<usize>, Vec<u64>)], affinity: bool) -> (u64, u64, f64) {
     let mut zones: Vec<Zone> = (0..ZONES).map(|_| Zone::default()).collect();
     let mut patterns = Patterns::new(Config::default(), 1);
-    let mut seen = Stands::new(ZONES, KEEP, Cost::sure(CROSSING), Cost::sure(LOAD)).expect("a world");
+    let mut seen = WarmCopies::new(ZONES, KEEP, Cost::exact(CROSSING), Cost::exact(LOAD)).expect("a world");
     let (mut loads, mut crossings, mut now) = (0, 0, 0);
     // Sessions side by side: each turn one of those that go on calls.
     let mut open: Vec<(u64, usize, usize)> = Vec::new();
@@ -213,13 +213,15 @@
             continue;
         };
         patterns.record_call(now, session, function);
-        seen.at(now);
+        seen.advance_to(now);
         let expected = if affinity { patterns.predict(now, session) } else { None };
         // What is uncertain counts by its lower bound.
         let steps = |e: &ochreward_patterns::Prediction| -> Vec<Step> {
             e.calls.iter().map(|c| Step { function: c.function, chance: c.chance.low }).collect()
         };
-        let rest = expected.as_ref().map_or(vec![0.0; ZONES], |e| Ways::of(&seen, &steps(e)).rests());
+        let rest = expected
+            .as_ref()
+            .map_or(vec![0.0; ZONES], |e| Planner::new(&seen, &steps(e)).extra_cost_by_zone());
         let cost = |z: usize| {
             let missing = if zones[z].stands(now, function) { 0.0 } else { LOAD };
             let crossing = if z == at { 0.0 } else { CROSSING };
@@ -232,7 +234,7 @@
         let best = best.unwrap_or(at);
         crossings += u64::from(best != at);
         loads += u64::from(zones[best].call(now, function));
-        seen.called(now, function, at, best);
+        seen.record_call(now, function, at, best);
         open[place] = (session, step + 1, best);
     }
     (loads, crossings, loads as f64 * LOAD + crossings as f64 * CROSSING)
--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -3,7 +3,7 @@
 //! a bound is missed.
 
 use ochreward_placement::{
-    Calibration, Choices, Cost, Function, Stands, Step, Ways, World, Zone, brute_force,
+    Calibration, Choices, Cost, CostModel, Function, Planner, Step, WarmCopies, Zone, brute_force,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
 
 /// The world as it is, which nobody sees: every call, every load's true time.
 struct Truth {
-    stands: Stands,
+    stands: WarmCopies,
     loads: Vec<f64>,
     used: Vec<Vec<Option<u64>>>,
     now: u64,
@@ -41,22 +41,23 @@
 
     fn called(&mut self, function: Function, from: Zone, zone: Zone) {
         self.used[function as usize][zone] = Some(self.now);
-        self.stands.called(self.now, function, from, zone);
+        self.stands.record_call(self.now, function, from, zone);
     }
 }
 
-impl World for Truth {
+impl CostModel for Truth {
     fn zones(&self) -> usize {
         self.stands.zones()
     }
 
     fn recompute(&self, function: Function, zone: Zone) -> Cost {
-        let load = Cost::sure(self.loads[function as usize]).shared(self.stands.uses(function, zone));
+        let load =
+            Cost::exact(self.loads[function as usize]).per_use(self.stands.expected_uses(function, zone));
         if self.stands(function, zone) { Cost::default() } else { load }
     }
 
     fn transfer(&self, from: Zone, to: Zone) -> Cost {
-        Cost::sure(if from == to { 0.0 } else { self.crossing })
+        Cost::exact(if from == to { 0.0 } else { self.crossing })
     }
 }
 
@@ -86,8 +87,9 @@
     let zones = 3 + below(&mut rng, 3);
     let loads: Vec<f64> = (0..FUNCTIONS).map(|_| 200_000.0 + 800_000.0 * share(&mut rng)).collect();
     let crossing = 5_000.0 + 60_000.0 * share(&mut rng);
-    let (usual, first) = (Cost::within(600_000.0, 230_000.0), Cost::within(crossing, 0.1 * crossing));
-    let mut stands = Stands::new(zones, KEEP, first, usual).expect("a world");
+    let (usual, first) =
+        (Cost::with_deviation(600_000.0, 230_000.0), Cost::with_deviation(crossing, 0.1 * crossing));
+    let mut stands = WarmCopies::new(zones, KEEP, first, usual).expect("a world");
     let used = vec![vec![None; zones]; FUNCTIONS as usize];
     let mut truth = Truth { stands: stands.clone(), loads, used, now: 0, crossing };
     let mut choices = Choices::default();
@@ -103,23 +105,23 @@
         .collect();
     for number in 0..SESSIONS {
         truth.now += 40_000 + (100_000.0 * share(&mut rng)) as u64;
-        stands.at(truth.now);
-        truth.stands.at(truth.now);
+        stands.advance_to(truth.now);
+        truth.stands.advance_to(truth.now);
         let pattern = below(&mut rng, PATTERNS) * below(&mut rng, PATTERNS) / PATTERNS;
         let (steps, home) = (&patterns[pattern], below(&mut rng, zones));
         let plan = choices.decide(truth.now, pattern as u64, home, steps, &stands);
         // The exact method on the true world, which brute force bears out on some sessions of each day, and a property test on any.
-        let least = Ways::of(&truth, steps).best(home).cost.mean;
+        let least = Planner::new(&truth, steps).best(home).cost.mean;
         if number % 500 == 0 && steps.len() <= 6 {
             let slow = brute_force(&truth, steps, home);
             assert!((least - slow).abs() < 1e-6 * (1.0 + slow), "{least} is not the least: {slow}");
         }
         // The choice as it was made, step by step, each with what is believed; the whole of it at its true cost.
-        let ways = Ways::of(&stands, steps);
+        let ways = Planner::new(&stands, steps);
         let mut way = vec![home; plan.cut];
         let mut at = home;
         for n in plan.cut..steps.len() {
-            at = if n == plan.cut { plan.zone } else { ways.next(n, at) };
+            at = if n == plan.cut { plan.zone } else { ways.next_zone(n, at) };
             way.push(at);
         }
         let came = walked(&truth, steps, home, &way);
@@ -135,15 +137,15 @@
         sums.nearest += walked(&truth, steps, home, &vec![near.unwrap_or(home); steps.len()]);
         for (n, step) in steps.iter().enumerate() {
             let zone = way[n];
-            books.chance(stands.standing(step.function, zone), truth.stands(step.function, zone));
+            books.chance(stands.warm_chance(step.function, zone), truth.stands(step.function, zone));
             if share(&mut rng) < step.chance {
                 if !truth.stands(step.function, zone) {
                     let took = truth.loads[step.function as usize] * (0.9 + 0.2 * share(&mut rng));
-                    stands.loaded(step.function, took).expect("a time");
+                    stands.record_load(step.function, took).expect("a time");
                 }
                 let from = if n == 0 { home } else { way[n - 1] };
                 truth.called(step.function, from, zone);
-                stands.called(truth.now, step.function, from, zone);
+                stands.record_call(truth.now, step.function, from, zone);
             }
         }
         // Others' calls, of which this dispatcher hears one in two from its peers' summaries.
@@ -151,7 +153,7 @@
         if share(&mut rng) < 0.1 {
             truth.called(function, zone, zone);
             if share(&mut rng) < 0.5 {
-                stands.called(truth.now, function, zone, zone);
+                stands.record_call(truth.now, function, zone, zone);
             }
         }
     }
@@ -161,13 +163,14 @@
 /// Nanoseconds for a decision, where so many workers hold 20 copies each.
 fn decision(workers: usize) -> f64 {
     let mut rng = Pcg32::seed_from_u64(workers as u64);
-    let mut stands = Stands::new(3, KEEP, Cost::sure(2e4), Cost::within(5e5, 1e5)).expect("a world");
+    let mut stands =
+        WarmCopies::new(3, KEEP, Cost::exact(2e4), Cost::with_deviation(5e5, 1e5)).expect("a world");
     let mut functions = BTreeSet::new();
     for worker in 0..workers {
         for _ in 0..20 {
             let function = rng.next_u32() as u64 % (workers as u64 * 7).min(4_000);
             functions.insert(function);
-            stands.called(1, function, worker % 3, worker % 3);
+            stands.record_call(1, function, worker % 3, worker % 3);
         }
     }
     let functions: Vec<Function> = functions.into_iter().collect();
@@ -216,7 +219,7 @@
         flips as f64 * 1e3 / (SEEDS as usize * SESSIONS) as f64
     );
     for part in books.reliability() {
-        println!("foretold_{:.2}_came {:.3} of {}", part.foretold, part.came, part.count);
+        println!("foretold_{:.2}_came {:.3} of {}", part.predicted, part.observed, part.count);
     }
     println!("brier_score {:.4} squared", books.brier());
     let (within, ratio) = books.costs();
--- a/crates/placement/src/calibration.rs
+++ b/crates/placement/src/calibration.rs
@@ -14,9 +14,9 @@
     /// The number of predictions.
     pub count: u64,
     /// The mean of the predicted probabilities.
-    pub foretold: f64,
+    pub predicted: f64,
     /// The share of the predicted events that occurred.
-    pub came: f64,
+    pub observed: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -68,8 +68,8 @@
             let count = bin.count as f64;
             (bin.count > 0).then(|| Reliability {
                 count: bin.count,
-                foretold: bin.predicted_sum / count,
-                came: bin.occurred as f64 / count,
+                predicted: bin.predicted_sum / count,
+                observed: bin.occurred as f64 / count,
             })
         };
         self.bins.iter().filter_map(reliability_of).collect()
--- a/crates/placement/src/choices.rs
+++ b/crates/placement/src/choices.rs
@@ -1,7 +1,7 @@
 //! The placement chosen for each pattern and home zone, with hysteresis: a choice is kept until another is clearly better.
 //! At most [`MAX_CHOICES`] choices are kept.
 
-use crate::{Cost, MAX_CHOICES, Micros, Plan, Step, Ways, World, Zone};
+use crate::{Cost, CostModel, MAX_CHOICES, Micros, Plan, Planner, Step, Zone};
 use std::collections::BTreeMap;
 
 /// The number of standard deviations of both costs by which another choice must be better.
@@ -37,9 +37,9 @@
         pattern: u64,
         home: Zone,
         steps: &[Step],
-        world: &impl World,
+        world: &impl CostModel,
     ) -> Plan {
-        let ways = Ways::of(world, steps);
+        let ways = Planner::new(world, steps);
         let best = ways.best(home);
         let current = self.by_pattern.get(&(pattern, home)).copied().filter(|c| c.zone < world.zones());
         if let Some(current) = current {
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -14,12 +14,12 @@
 
 impl Cost {
     /// Returns a cost that is known exactly.
-    pub fn sure(mean: f64) -> Cost {
+    pub fn exact(mean: f64) -> Cost {
         Cost { mean, var: 0.0 }
     }
 
     /// Returns a cost from its mean and standard deviation.
-    pub fn within(mean: f64, deviation: f64) -> Cost {
+    pub fn with_deviation(mean: f64, deviation: f64) -> Cost {
         Cost { mean, var: deviation * deviation }
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Returns the cost divided by a number of uses, at least 1.
-    pub fn shared(self, uses: f64) -> Cost {
+    pub fn per_use(self, uses: f64) -> Cost {
         let uses = uses.max(1.0);
         Cost { mean: self.mean / uses, var: self.var / (uses * uses) }
     }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -17,8 +17,8 @@
 pub use calibration::{Calibration, Reliability};
 pub use choices::{Choice, Choices};
 pub use cost::Cost;
-pub use plan::{Plan, Step, Ways, World, brute_force};
-pub use stands::{InvalidInput, Stands};
+pub use plan::{CostModel, Plan, Planner, Step, brute_force};
+pub use stands::{InvalidInput, WarmCopies};
 
 /// Microseconds on the host's monotonic clock.
 pub type Micros = u64;
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -12,7 +12,7 @@
 }
 
 /// The costs that a plan is made from.
-pub trait World {
+pub trait CostModel {
     /// Returns the number of zones.
     fn zones(&self) -> usize;
     /// Returns the cost of serving a call of a function in a zone, given that the call is made: that of loading a copy, or
@@ -36,22 +36,22 @@
 }
 
 /// Returns the expected cost of serving a step in `zone` for a session that is in `from`.
-fn step_cost(world: &impl World, step: &Step, from: Zone, zone: Zone) -> Cost {
+fn step_cost(world: &impl CostModel, step: &Step, from: Zone, zone: Zone) -> Cost {
     let transfer = if from == zone { Cost::default() } else { world.transfer(from, zone) };
     (transfer + world.recompute(step.function, zone)).with_chance(step.chance)
 }
 
 /// The minimum costs of the remaining steps, by next step and the session's zone. They are computed by dynamic programming
 /// from the last step backwards, which covers every assignment of steps to zones without evaluating any twice.
-pub struct Ways {
+pub struct Planner {
     zones: usize,
     /// By step and zone: the minimum cost of this and all later steps, and the zone of this step.
     cost_to_go: Vec<Vec<(Cost, Zone)>>,
 }
 
-impl Ways {
+impl Planner {
     /// Computes the minimum costs of these steps; those beyond [`MAX_STEPS`] are ignored.
-    pub fn of(world: &impl World, steps: &[Step]) -> Ways {
+    pub fn new(world: &impl CostModel, steps: &[Step]) -> Planner {
         let steps = &steps[..steps.len().min(MAX_STEPS)];
         let zones = world.zones().min(MAX_ZONES);
         let mut cost_to_go = vec![(0..zones).map(|z| (Cost::default(), z)).collect::<Vec<(Cost, Zone)>>()];
@@ -69,7 +69,7 @@
             cost_to_go.push(row);
         }
         cost_to_go.reverse();
-        Ways { zones, cost_to_go }
+        Planner { zones, cost_to_go }
     }
 
     /// Returns the minimum-cost plan for a session in zone `home`.
@@ -82,14 +82,14 @@
     }
 
     /// Returns the minimum-cost zone of a step for a session that is in zone `at` before it.
-    pub fn next(&self, step: usize, at: Zone) -> Zone {
+    pub fn next_zone(&self, step: usize, at: Zone) -> Zone {
         self.cost_to_go.get(step).and_then(|row| row.get(at)).map_or(at, |(_, zone)| *zone)
     }
 
     /// Returns the cost of a given cut and next zone, followed by the minimum-cost assignment.
     pub fn cost_of_cut(
         &self,
-        world: &impl World,
+        world: &impl CostModel,
         steps: &[Step],
         home: Zone,
         cut: usize,
@@ -106,14 +106,14 @@
 
     /// Returns for each zone by how much the minimum cost of all steps from there exceeds that from the best zone, in
     /// microseconds: a term to add to the estimate for a worker in the zone.
-    pub fn rests(&self) -> Vec<f64> {
+    pub fn extra_cost_by_zone(&self) -> Vec<f64> {
         let least = self.cost_to_go[0].iter().map(|(cost, _)| cost.mean).fold(f64::INFINITY, f64::min);
         self.cost_to_go[0].iter().map(|(cost, _)| cost.mean - least).collect()
     }
 }
 
 /// Returns the minimum cost over all assignments of steps to zones by trying each. For tests and benchmarks.
-pub fn brute_force(world: &impl World, steps: &[Step], home: Zone) -> f64 {
+pub fn brute_force(world: &impl CostModel, steps: &[Step], home: Zone) -> f64 {
     match steps.split_first() {
         None => 0.0,
         Some((step, rest)) => (0..world.zones())
--- a/crates/placement/src/stands.rs
+++ b/crates/placement/src/stands.rs
@@ -1,7 +1,7 @@
 //! Estimates of where warm copies of functions are and of what loads and transfers cost, by function and zone. The tables
 //! do not depend on the number of workers and hold at most [`MAX_FUNCTIONS`] functions in [`MAX_ZONES`] zones.
 
-use crate::plan::World;
+use crate::plan::CostModel;
 use crate::{Cost, Function, MAX_FUNCTIONS, MAX_ZONES, Micros, Zone};
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 
 /// The estimates for all functions and zones of one dispatcher.
 #[derive(Clone, Debug)]
-pub struct Stands {
+pub struct WarmCopies {
     zones: usize,
     now: Micros,
     keep_alive: f64,
@@ -59,7 +59,7 @@
     0.5_f64.powf(now.saturating_sub(since) as f64 / RATE_HALF_LIFE)
 }
 
-impl Stands {
+impl WarmCopies {
     /// Returns estimates without any observation. A copy stays warm for `keep_alive` after its last call; `transfer_cost`
     /// is the cost of a transfer between zones, and `load_cost` that of a load of a function without observations.
     pub fn new(
@@ -67,13 +67,13 @@
         keep_alive: Micros,
         transfer_cost: Cost,
         load_cost: Cost,
-    ) -> Result<Stands, InvalidInput> {
+    ) -> Result<WarmCopies, InvalidInput> {
         if zones > MAX_ZONES {
             return Err(InvalidInput::Zone(zones));
         }
         check_value(transfer_cost.mean)?;
         check_value(load_cost.mean)?;
-        Ok(Stands {
+        Ok(WarmCopies {
             zones,
             now: 0,
             keep_alive: keep_alive.max(1) as f64,
@@ -89,14 +89,14 @@
     }
 
     /// Advances the time as of which estimates are returned.
-    pub fn at(&mut self, now: Micros) {
+    pub fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
     /// Records that a session in zone `from` called a function and that a worker in `zone`, the same or another, answered.
     /// The copy in `zone` is then warm.
-    pub fn called(&mut self, now: Micros, function: Function, from: Zone, zone: Zone) {
-        self.at(now);
+    pub fn record_call(&mut self, now: Micros, function: Function, from: Zone, zone: Zone) {
+        self.advance_to(now);
         if zone >= self.zones || from >= self.zones {
             return;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Records the duration of a load in microseconds.
-    pub fn loaded(&mut self, function: Function, duration: f64) -> Result<(), InvalidInput> {
+    pub fn record_load(&mut self, function: Function, duration: f64) -> Result<(), InvalidInput> {
         check_value(duration)?;
         if self.estimates.contains_key(&function) {
             let default = self.default_load_cost;
@@ -162,7 +162,7 @@
     }
 
     /// Returns the probability that a warm copy is in a zone.
-    pub fn standing(&self, function: Function, zone: Zone) -> f64 {
+    pub fn warm_chance(&self, function: Function, zone: Zone) -> f64 {
         let last_used = self.estimates.get(&function).and_then(|e| e.get(zone)).and_then(|e| e.last_used);
         match last_used.map(|used| self.now.saturating_sub(used) as f64 / self.keep_alive) {
             Some(idle_share) if idle_share < CERTAIN_SHARE => 0.98,
@@ -173,7 +173,7 @@
 
     /// Returns how many calls a copy loaded in the zone is expected to serve within its keep-alive time, at least 1, from
     /// the rate of calls by sessions in the zone.
-    pub fn uses(&self, function: Function, zone: Zone) -> f64 {
+    pub fn expected_uses(&self, function: Function, zone: Zone) -> f64 {
         let estimate = self.estimates.get(&function).and_then(|zones| zones.get(zone));
         let rate = estimate.map_or(0.0, |e| e.rate * decay_factor(e.last_call, self.now));
         (rate * self.keep_alive / 1e6).clamp(1.0, MAX_USES)
@@ -190,7 +190,7 @@
     valid.then_some(()).ok_or(InvalidInput::Value(value))
 }
 
-impl World for Stands {
+impl CostModel for WarmCopies {
     fn zones(&self) -> usize {
         self.zones
     }
@@ -200,10 +200,10 @@
         // A load waits longer for its turn the less budget is left.
         let slowdown = 1.0 / self.budget_left.get(zone).copied().unwrap_or(1.0).max(0.1);
         let eviction_cost = self.eviction_cost.get(zone).copied().unwrap_or(0.0);
-        let uses = self.uses(function, zone);
+        let uses = self.expected_uses(function, zone);
         let delayed_load = Cost { mean: load.mean * slowdown, var: load.var * slowdown * slowdown };
-        let cold_chance = 1.0 - self.standing(function, zone);
-        (delayed_load + Cost::sure(eviction_cost)).shared(uses).with_chance(cold_chance)
+        let cold_chance = 1.0 - self.warm_chance(function, zone);
+        (delayed_load + Cost::exact(eviction_cost)).per_use(uses).with_chance(cold_chance)
     }
 
     fn transfer(&self, from: Zone, to: Zone) -> Cost {
--- a/crates/placement/tests/laws.rs
+++ b/crates/placement/tests/laws.rs
@@ -12,7 +12,7 @@
     transfer: Vec<(f64, f64)>,
 }
 
-impl World for CostTable {
+impl CostModel for CostTable {
     fn zones(&self) -> usize {
         self.zones
     }
@@ -20,12 +20,12 @@
     fn recompute(&self, function: Function, zone: Zone) -> Cost {
         let (mean, deviation) =
             self.recompute[(function as usize * self.zones + zone) % self.recompute.len()];
-        Cost::within(mean, deviation)
+        Cost::with_deviation(mean, deviation)
     }
 
     fn transfer(&self, from: Zone, to: Zone) -> Cost {
         let (mean, deviation) = self.transfer[(from * self.zones + to) % self.transfer.len()];
-        Cost::within(mean, deviation)
+        Cost::with_deviation(mean, deviation)
     }
 }
 
@@ -48,7 +48,7 @@
     #[test]
     fn the_best_plan_has_the_cost_found_by_brute_force(world in cost_table(), steps in steps(), home in 0_usize..6) {
         let (home, steps) = (home % world.zones, &steps[..steps.len().min(6)]);
-        let ways = Ways::of(&world, steps);
+        let ways = Planner::new(&world, steps);
         let (best, least) = (ways.best(home), brute_force(&world, steps, home));
         prop_assert!(is_close(best.cost.mean, least), "{best:?} {least:?}");
         let recomputed = ways.cost_of_cut(&world, steps, home, best.cut, best.zone);
@@ -65,7 +65,7 @@
 
     #[test]
     fn extra_costs_by_zone_are_not_negative_and_one_is_zero(world in cost_table(), steps in steps()) {
-        let rests = Ways::of(&world, &steps).rests();
+        let rests = Planner::new(&world, &steps).extra_cost_by_zone();
         prop_assert_eq!(rests.len(), world.zones);
         prop_assert!(rests.iter().all(|r| *r >= 0.0) && rests.contains(&0.0));
     }
@@ -83,7 +83,7 @@
                 ..world.clone()
             };
             let plan = choices.decide(1, 1, 0, &steps, &shifted_world);
-            let ways = Ways::of(&shifted_world, &steps);
+            let ways = Planner::new(&shifted_world, &steps);
             let current = ways.cost_of_cut(&shifted_world, &steps, 0, first.cut, first.zone);
             let best = ways.best(0).cost;
             let clearly_better = best.mean + (current.var + best.var).sqrt() < current.mean;
@@ -99,10 +99,10 @@
     fn tables_stay_within_bounds_for_any_calls(
         calls in prop::collection::vec((any::<u64>(), 0_usize..40, any::<u32>()), 1..200),
     ) {
-        let mut estimates = Stands::new(3, 1_000_000, Cost::sure(1e4), Cost::sure(5e5)).expect("a world");
+        let mut estimates = WarmCopies::new(3, 1_000_000, Cost::exact(1e4), Cost::exact(5e5)).expect("a world");
         let mut choices = Choices::default();
         for (function, zone, at) in calls {
-            estimates.called(u64::from(at), function, at as usize % 5, zone);
+            estimates.record_call(u64::from(at), function, at as usize % 5, zone);
             let step = [Step { function, chance: 0.5 }];
             let plan = choices.decide(u64::from(at), function, zone % 3, &step, &estimates);
             prop_assert!(plan.cost.mean.is_finite() && plan.cost.var >= 0.0);
@@ -111,13 +111,18 @@
     }
 }
 
-fn world() -> Stands {
-    Stands::new(3, 10_000_000, Cost::within(20_000.0, 5_000.0), Cost::within(500_000.0, 50_000.0))
-        .expect("a world")
+fn world() -> WarmCopies {
+    WarmCopies::new(
+        3,
+        10_000_000,
+        Cost::with_deviation(20_000.0, 5_000.0),
+        Cost::with_deviation(500_000.0, 50_000.0),
+    )
+    .expect("a world")
 }
 
-fn best(world: &impl World, steps: &[Step], home: Zone) -> Plan {
-    Ways::of(world, steps).best(home)
+fn best(world: &impl CostModel, steps: &[Step], home: Zone) -> Plan {
+    Planner::new(world, steps).best(home)
 }
 
 fn calls(functions: &[u64]) -> Vec<Step> {
@@ -127,15 +132,15 @@
 #[test]
 fn sessions_are_sent_to_warm_copies_and_stay_where_a_load_is_cheaper() {
     let mut estimates = world();
-    [1, 2, 3, 4].iter().for_each(|f| estimates.called(0, *f, 1, 1));
+    [1, 2, 3, 4].iter().for_each(|f| estimates.record_call(0, *f, 1, 1));
     let plan = best(&estimates, &calls(&[1, 2, 3, 4]), 0);
     assert_eq!((plan.cut, plan.zone), (0, 1));
     // The first two are warm in the home zone as well, so they are served there and only the rest is transferred.
-    [1, 2].iter().for_each(|f| estimates.called(0, *f, 0, 0));
+    [1, 2].iter().for_each(|f| estimates.record_call(0, *f, 0, 0));
     let plan = best(&estimates, &calls(&[1, 2, 3, 4]), 0);
     assert_eq!((plan.cut, plan.zone), (2, 1));
     // After the keep-alive time the copies in the other zone no longer attract the session.
-    estimates.at(20_000_000);
+    estimates.advance_to(20_000_000);
     assert_eq!(best(&estimates, &calls(&[1, 2, 3, 4]), 0).zone, 0);
 }
 
@@ -144,7 +149,7 @@
     let steps = calls(&[1, 2, 3]);
     let warm = || {
         let mut estimates = world();
-        [1, 2, 3].iter().for_each(|f| estimates.called(0, *f, 1, 1));
+        [1, 2, 3].iter().for_each(|f| estimates.record_call(0, *f, 1, 1));
         assert_eq!(best(&estimates, &steps, 0).zone, 1);
         estimates
     };
@@ -166,7 +171,7 @@
     let mut chosen_zones = Vec::new();
     for n in 0..400 {
         // Ten calls per second by sessions in zone 0, answered in zone 1.
-        estimates.called(n * 100_000, 1, 0, 1);
+        estimates.record_call(n * 100_000, 1, 0, 1);
         chosen_zones.push(best(&estimates, &calls(&[1]), 0).zone);
     }
     assert_eq!(
@@ -174,7 +179,7 @@
         (1, 0),
         "one load that serves many calls is cheaper than many transfers"
     );
-    assert!(estimates.uses(1, 0) > 30.0 && estimates.uses(1, 1) == 1.0);
+    assert!(estimates.expected_uses(1, 0) > 30.0 && estimates.expected_uses(1, 1) == 1.0);
 }
 
 #[test]
@@ -192,8 +197,8 @@
     let mut estimates = world();
     assert_eq!(estimates.update_zone(7, 1.0, 0.0, 0.0), Err(InvalidInput::Zone(7)));
     assert!(matches!(estimates.update_zone(0, f64::NAN, 0.0, 0.0), Err(InvalidInput::Value(_))));
-    assert!(matches!(estimates.loaded(1, -3.0), Err(InvalidInput::Value(_))));
-    assert!(Stands::new(MAX_ZONES + 1, 1, Cost::default(), Cost::default()).is_err());
+    assert!(matches!(estimates.record_load(1, -3.0), Err(InvalidInput::Value(_))));
+    assert!(WarmCopies::new(MAX_ZONES + 1, 1, Cost::default(), Cost::default()).is_err());
 }
 
 #[test]
@@ -201,11 +206,11 @@
     let mut calibration = Calibration::default();
     for n in 0..1_000 {
         calibration.chance(0.8, n % 5 != 0);
-        calibration.cost(Cost::within(100.0, 10.0), if n % 10 == 0 { 200.0 } else { 105.0 });
+        calibration.cost(Cost::with_deviation(100.0, 10.0), if n % 10 == 0 { 200.0 } else { 105.0 });
     }
     let bins = calibration.reliability();
     assert_eq!(bins.len(), 1);
-    assert!((bins[0].foretold - 0.8).abs() < 1e-9 && (bins[0].came - 0.8).abs() < 1e-9);
+    assert!((bins[0].predicted - 0.8).abs() < 1e-9 && (bins[0].observed - 0.8).abs() < 1e-9);
     assert!((calibration.brier() - 0.16).abs() < 1e-9);
     let (within, ratio) = calibration.costs();
     assert!((within - 0.9).abs() < 1e-9 && (1.1..1.2).contains(&ratio), "{within} {ratio}");
