--- a/crates/control/src/catalog.rs
+++ b/crates/control/src/catalog.rs
@@ -4,7 +4,7 @@
 //! The numbers of versions kept and of merged snapshots cached are bounded.
 
 use crate::record::Published;
-use ochreward_stream::{Digest, Kind, Resource, Snapshot, Version, overlay};
+use ochreward_stream::{Digest, Kind, Resource, Snapshot, Version, layers};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -127,7 +127,7 @@
             return Some(snapshot.clone());
         }
         let mut merged = json!({});
-        layers.iter().for_each(|(_, layer)| overlay::merge(&mut merged, layer));
+        layers.iter().for_each(|(_, layer)| layers::merge(&mut merged, layer));
         let mut snapshot = Snapshot { version: published.version, resources: BTreeMap::new() };
         for kind in Kind::ALL {
             if let Some(value) = merged.get(kind.name()).filter(|v| !v.is_null()) {
@@ -154,8 +154,8 @@
         let published = self.versions.get(&number)?;
         let (mut merged, mut sources) = (json!({}), BTreeMap::new());
         for (name, layer) in layers(&published.document, instance, labels) {
-            overlay::merge(&mut merged, layer);
-            overlay::record_sources(layer, &name, &mut sources);
+            layers::merge(&mut merged, layer);
+            layers::record_sources(layer, &name, &mut sources);
         }
         let value =
             |path: &str| path.split('.').try_fold(&merged, |value, member| value.get(member)).cloned();
--- a/crates/control/src/cli.rs
+++ b/crates/control/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::admin::{Client, Error, Request};
 use clap::{Args, Subcommand};
 use comfy_table::{Table, presets};
-use ochreward_stream::overlay;
+use ochreward_stream::layers;
 use serde_json::Value;
 use std::fmt;
 use std::io::{self, Write};
@@ -166,7 +166,7 @@
             let (old, new) =
                 (ask(&at, &Request::Show { number: before })?, ask(&at, &Request::Show { number: after })?);
             let shown = |v: Option<Value>| v.map_or_else(|| "-".to_string(), |v| v.to_string());
-            let rows = overlay::differences(&old, &new).into_iter();
+            let rows = layers::differences(&old, &new).into_iter();
             print_line(table(
                 &["KEY", &before.to_string(), &after.to_string()],
                 rows.map(|(key, old, new)| vec![key, shown(old), shown(new)]),
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -12,13 +12,13 @@
 mod choices;
 mod cost;
 mod plan;
-mod stands;
+mod warm_copies;
 
 pub use calibration::{Calibration, Reliability};
 pub use choices::{Choice, Choices};
 pub use cost::Cost;
 pub use plan::{CostModel, Plan, Planner, Step, brute_force};
-pub use stands::{InvalidInput, WarmCopies};
+pub use warm_copies::{InvalidInput, WarmCopies};
 
 /// Microseconds on the host's monotonic clock.
 pub type Micros = u64;
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -10,7 +10,7 @@
 
 mod backoff;
 pub mod last_good;
-pub mod overlay;
+pub mod layers;
 mod snapshot;
 pub mod subscriber;
 pub mod trial;
--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -94,7 +94,7 @@
         match kind {
             Kind::Settings | Kind::Limits => {
                 let place = whole.as_object_mut().map(|o| o.entry(kind.name()).or_insert(Value::Null));
-                place.into_iter().for_each(|place| ochreward_stream::overlay::merge(place, &value));
+                place.into_iter().for_each(|place| ochreward_stream::layers::merge(place, &value));
             }
             Kind::Bans => banned = bans(&key),
             Kind::Fronts => brokers = Some(fronts(&key)),
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -7,9 +7,9 @@
 
 mod exchange;
 mod hints;
+mod list_search;
 mod options;
 mod report;
-mod starting;
 
 pub use options::{MAX_SEEDS, Options};
 pub use report::{lines, report};
@@ -20,11 +20,11 @@
 use crate::net::{Interest, Poll, PollEvent, Token};
 use exchange::Exchange;
 use hints::Hints;
+use list_search::{ListSearch, Offer, Step};
 use ochreward_membership::{Event, Identity, Membership, Record, Serving, sample};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
-use starting::{ListSearch, Offer, Step};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -358,7 +358,7 @@
 
     /// Returns how long after the start the name service may be silent before peers are asked for the list.
     pub fn name_service_silence_us() -> u64 {
-        starting::NAME_SERVICE_SILENCE_US
+        list_search::NAME_SERVICE_SILENCE_US
     }
 
     /// Returns whether a peer waits for a snapshot of this dispatcher's state and a new one has to be made.
--- a/src/versions/mod.rs
+++ b/src/versions/mod.rs
@@ -4,9 +4,9 @@
 //! versions may run, and a thread ([`VersionThread`]) reads, checks and stores versions, so that none of this blocks the
 //! event loop. A version's size is bounded by a part of the memory limit.
 
-mod keeper;
 pub mod rules;
+mod store_thread;
 mod stream;
 
-pub use keeper::{JobResult, VersionThread, read};
+pub use store_thread::{JobResult, VersionThread, read};
 pub use stream::{ConfigStream, StartOptions, StreamEvent};
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -4,8 +4,8 @@
 //! those that change the running configuration: these are left to the caller as [`StreamEvent`]s. Two messages fit into
 //! each buffer, and the size of a version is bounded by the memory limit and [`MAX_VERSION_BYTES`].
 
-use super::keeper::{self, Job, JobResult, VersionThread};
 use super::rules::CheckContext;
+use super::store_thread::{self, Job, JobResult, VersionThread};
 use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
 use crate::net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
@@ -160,7 +160,7 @@
         let running = loaded.snapshot.map(|(snapshot, _)| snapshot);
         let good = files.as_ref().and_then(|f| f.load().snapshot).map(|(s, _)| s);
         let subscriber = Subscriber::new(options.clone(), now, memory, running.clone(), good);
-        let thread = keeper::start(poll, thread_owner, files.clone())?;
+        let thread = store_thread::start(poll, thread_owner, files.clone())?;
         let mut stream = ConfigStream {
             options,
             subscriber,
