--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -5,7 +5,7 @@
 //! `MEMBERS=4000 cargo bench --bench membership` adds a simulated group of that many.
 
 use hdrhistogram::Histogram;
-use ochreward_membership::{Claim, Event, Membership, Micros, Own, Record, Settings, State};
+use ochreward_membership::{Claim, Event, Identity, Membership, Micros, Record, Settings, State};
 use ochreward_rig::fleet::{Fleet, sees};
 use ochreward_rig::process::used;
 use ochreward_rig::stand::{Client, Program, Reply, fields};
@@ -59,14 +59,14 @@
         for n in 0..count {
             let unix = group.now / MS;
             let (name, address) = (format!("n{n}").into(), at(n));
-            let own = Own {
+            let own = Identity {
                 name,
                 address,
                 instance: unix << 16 | n as u64,
                 incarnation: unix,
                 record: Record::default(),
             };
-            let set = Settings { expected: count, ..Settings::default() };
+            let set = Settings { expected_members: count, ..Settings::default() };
             group.members.push(Some(Membership::new(
                 own,
                 set,
@@ -85,7 +85,7 @@
     fn meet(&mut self) {
         let claims: Vec<Claim> = self.members.iter().flatten().map(|m| m.own().clone()).collect();
         let now = self.now;
-        self.members.iter_mut().flatten().for_each(|m| m.introduce(now, claims.iter()));
+        self.members.iter_mut().flatten().for_each(|m| m.merge_introduced(now, claims.iter()));
     }
 
     fn run(&mut self, until: Micros) {
@@ -101,12 +101,12 @@
             let n = if packet <= turn {
                 let Some(Reverse((_, _, from, to, bytes))) = self.packets.pop() else { return };
                 if let Some(member) = &mut self.members[to] {
-                    member.received(self.now, at(from), &bytes);
+                    member.handle_packet(self.now, at(from), &bytes);
                 }
                 to
             } else {
                 let Some(Reverse((_, n))) = self.turns.pop() else { return };
-                if let Some(member) = self.members[n].as_mut().filter(|m| m.due() <= self.now) {
+                if let Some(member) = self.members[n].as_mut().filter(|m| m.next_deadline() <= self.now) {
                     member.advance(self.now);
                 }
                 n
@@ -117,7 +117,7 @@
 
     fn carry(&mut self, n: usize) {
         let Some(member) = &mut self.members[n] else { return };
-        self.turns.push(Reverse((member.due().max(self.now + 1), n)));
+        self.turns.push(Reverse((member.next_deadline().max(self.now + 1), n)));
         let packets: Vec<(SocketAddr, Vec<u8>)> = member.packets.drain(..).collect();
         for event in member.events.drain(..) {
             if let Event::Changed(who, _, state, _) = event
@@ -138,7 +138,7 @@
     /// Packets and bytes sent, and suspicions begun.
     fn stats(&self) -> [u64; 3] {
         let all = self.members.iter().flatten().map(Membership::stats);
-        all.fold([0; 3], |sum, s| [sum[0] + s.sent, sum[1] + s.sent_bytes, sum[2] + s.accusations])
+        all.fold([0; 3], |sum, s| [sum[0] + s.sent, sum[1] + s.sent_bytes, sum[2] + s.suspicions_started])
     }
 }
 
--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -35,12 +35,12 @@
     let config = ochreward::config::Config::read(include_str!("../deploy/example.json"));
     let mut settings = config.expect("the shipped example reads").parts.settings.module;
     // As many dispatchers as the target has for so many workers: 173 calls a second at each.
-    settings.balancers = (workers * 16_000 / 15_600).max(1);
+    settings.dispatcher_count = (workers * 16_000 / 15_600).max(1);
     settings
 }
 
-fn listing(n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
-    Listing { worker: format!("s-{n:05}").into(), zone: n % 9, kind: 0, cell: n % 4, standing, ready_at }
+fn listing(n: usize, standing: WorkerStatus, ready_at: Option<Micros>) -> WorkerEntry {
+    WorkerEntry { worker: format!("s-{n:05}").into(), zone: n % 9, kind: 0, cell: n % 4, standing, ready_at }
 }
 
 /// How functions are asked for.
@@ -88,8 +88,8 @@
             calls: 0,
             failing: 0,
         };
-        bed.router.bound_functions(ochreward::control::USUAL_FUNCTION_BYTES);
-        let entries = (0..workers).map(|n| listing(n, Standing::Healthy, None)).collect();
+        bed.router.set_max_function_bytes(ochreward::control::DEFAULT_FUNCTION_BYTES);
+        let entries = (0..workers).map(|n| listing(n, WorkerStatus::Healthy, None)).collect();
         bed.tell(&Event::Workers { complete: true, entries });
         bed
     }
@@ -121,11 +121,19 @@
         while let Some((id, _)) = self.open.pop_front_if(|(_, due)| *due <= self.now) {
             let fails = self.rng.next_u32() % 100 < self.failing;
             let outcome = if fails { Outcome::ConnectFailed } else { Outcome::Ok };
-            let found = if fails { Found::Untold } else { Found::Warm };
+            let found = if fails { ReplicaStatus::NotReported } else { ReplicaStatus::Warm };
             let latency = RUN + Micros::from(self.rng.next_u32() % 40_000);
             let crowd = Some(1);
-            let event =
-                Event::Outcome { id, attempt: 0, last: true, outcome, found, crowd, latency, report: vec![] };
+            let event = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                is_final: true,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report: vec![],
+            };
             self.tell(&event);
         }
         let function = format!("{:016x}", self.function()).as_str().into();
@@ -136,10 +144,10 @@
             class: 0,
             tenant: 0,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time: Some(600_000),
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left: 3 * S,
         };
         self.tell(&event);
@@ -172,24 +180,24 @@
     for n in 0..300 {
         bed.now += 10_000;
         let (standing, ready_at) = match n % 3 {
-            0 => (Standing::Draining, None),
-            1 => (Standing::Gone, None),
-            _ => (Standing::Healthy, Some(bed.now)),
+            0 => (WorkerStatus::Draining, None),
+            1 => (WorkerStatus::Removed, None),
+            _ => (WorkerStatus::Healthy, Some(bed.now)),
         };
         // Now and then one that was not there before.
         let which = if n % 30 == 29 { workers + n } else { n / 3 % workers };
         let entries = vec![listing(which, standing, ready_at)];
         worst[0] = worst[0].max(bed.tell(&Event::Workers { complete: false, entries }));
     }
-    for standing in [Standing::Gone, Standing::Healthy] {
+    for standing in [WorkerStatus::Removed, WorkerStatus::Healthy] {
         bed.now += S;
-        let ready_at = (standing == Standing::Healthy).then_some(bed.now);
+        let ready_at = (standing == WorkerStatus::Healthy).then_some(bed.now);
         let entries = (0..workers).filter(|n| n % 9 == 3).map(|n| listing(n, standing, ready_at)).collect();
         worst[1] = worst[1].max(bed.tell(&Event::Workers { complete: false, entries }));
     }
     for first in [0, workers / 10] {
         bed.now += S;
-        let entries = (first..first + workers).map(|n| listing(n, Standing::Healthy, None)).collect();
+        let entries = (first..first + workers).map(|n| listing(n, WorkerStatus::Healthy, None)).collect();
         worst[2] = worst[2].max(bed.tell(&Event::Workers { complete: true, entries }));
     }
     worst.map(|ns| ns as f64 / 1e6)
@@ -212,22 +220,23 @@
     let mut bed = Bed::new(WORKERS, FUNCTIONS, Traffic::Rare);
     let mut before = 0.0;
     for worker in 0..WORKERS {
-        let entries = (0..WORKERS)
-            .map(|n| listing(n, if n == worker { Standing::Healthy } else { Standing::Draining }, None));
+        let entries = (0..WORKERS).map(|n| {
+            listing(n, if n == worker { WorkerStatus::Healthy } else { WorkerStatus::Draining }, None)
+        });
         bed.tell(&Event::Workers { complete: true, entries: entries.collect() });
         for _ in 0..FUNCTIONS {
             // All within one keep-alive.
             bed.now -= GAP;
             bed.call();
             if let Some((id, _)) = bed.open.pop_back() {
-                let (outcome, found, latency, report) = (Outcome::Ok, Found::Warm, RUN, vec![]);
-                bed.tell(&Event::Outcome {
+                let (outcome, found, latency, report) = (Outcome::Ok, ReplicaStatus::Warm, RUN, vec![]);
+                bed.tell(&Event::AttemptEnded {
                     id,
                     attempt: 0,
-                    last: true,
+                    is_final: true,
                     outcome,
                     found,
-                    crowd: None,
+                    concurrent_requests: None,
                     latency,
                     report,
                 });
@@ -238,7 +247,7 @@
             before = resident();
         }
     }
-    (resident() - before) / (bed.router.sizes().marks - FUNCTIONS) as f64
+    (resident() - before) / (bed.router.sizes().replicas - FUNCTIONS) as f64
 }
 
 fn main() {
@@ -276,7 +285,7 @@
             if workers == 15_600 {
                 println!("{label}_over_12_workers {:.2} ratio", mean / smallest);
                 println!("{label}_of_a_core_at_169 {:.3} %", mean * 169.0 / 1e4);
-                let known = sizes.functions + sizes.dormant;
+                let known = sizes.functions + sizes.dormant_functions;
                 println!("{label}_functions_known {known} functions");
                 println!("{label}_bytes_a_function {:.0} bytes", (seen - listed) / known as f64);
                 println!("{label}_counted {:.1} MB", sizes.function_bytes as f64 / 1e6);
@@ -291,7 +300,7 @@
                     bound(known == functions, format!("{label}: {known} functions are known"));
                 }
             }
-            bed.router.scan(true);
+            bed.router.set_exhaustive_search(true);
             let scanned = bed.calls(scans);
             println!("{label}_scan_mean {scanned:.2} us a call");
             println!("{label}_scan_over_search {:.1} ratio", scanned / mean);
@@ -301,7 +310,7 @@
                     format!("{label}: only {:.1} times cheaper than the scan", scanned / mean),
                 );
             }
-            bed.router.scan(false);
+            bed.router.set_exhaustive_search(false);
             if workers == 15_600 {
                 let [one, zone, whole] = lists(&mut bed, workers);
                 println!("{label}_list_one_changed {one:.3} ms");
--- a/benches/scale/hollow.rs
+++ b/benches/scale/hollow.rs
@@ -6,12 +6,12 @@
 use base64::engine::general_purpose::STANDARD;
 use ochreward::api::{Outcome, Settings as ModuleSettings};
 use ochreward::config::{Config, Operator};
-use ochreward::core::Trace;
-use ochreward::names::{Executor, State as ExecutorState};
+use ochreward::core::AttemptTrace;
+use ochreward::discovery::{Executor, ExecutorState};
 use ochreward::overload::{self, Overload};
 use ochreward::zones::{self, Zones};
-use ochreward_membership::{Claim, Event, Membership, Own, Record, Serving, State, wire};
-use ochreward_net::{Interest, Poll, Ready};
+use ochreward_membership::{Claim, Event, Identity, Membership, Record, Serving, State, wire};
+use ochreward_net::{Interest, Poll, PollEvent};
 use ochreward_rig::subscribers::{self, Subscribers};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -124,7 +124,7 @@
     machine: Membership,
     overload: Overload,
     zones: Zones,
-    view: overload::View,
+    view: overload::GroupView,
     others: Vec<(Arc<str>, Arc<str>)>,
     next_view: u64,
     next_evidence: u64,
@@ -212,7 +212,7 @@
         3_600_000_000 + self.started.elapsed().as_micros() as u64
     }
 
-    fn turn(&mut self, happened: &mut Vec<Ready>) {
+    fn turn(&mut self, happened: &mut Vec<PollEvent>) {
         self.poll.wait(TURN_US, happened).expect("a wait");
         let now = self.now();
         for ready in happened.drain(..) {
@@ -242,7 +242,7 @@
                 for (from, text) in packets {
                     let bytes = STANDARD.decode(text).expect("base64");
                     for member in &mut self.members {
-                        member.machine.received(now, from, &bytes);
+                        member.machine.handle_packet(now, from, &bytes);
                         member.machine.packets.clear();
                     }
                 }
@@ -251,7 +251,7 @@
             Ask::Greet(names) => {
                 for member in &mut self.members {
                     for name in &names {
-                        member.machine.note(now, name, 0, Vec::new());
+                        member.machine.send_message(now, name, 0, Vec::new());
                     }
                     member.send(|_| false);
                 }
@@ -273,9 +273,9 @@
                 let alive = self.members.iter().filter(|m| !m.dead);
                 Answer::Times(alive.filter_map(|m| m.failed.get(name.as_str()).copied()).collect())
             }
-            Ask::Alive => {
-                Answer::Counts(self.members.iter().filter(|m| !m.dead).map(|m| m.machine.alive()).collect())
-            }
+            Ask::Alive => Answer::Counts(
+                self.members.iter().filter(|m| !m.dead).map(|m| m.machine.up_count()).collect(),
+            ),
             Ask::Ran => {
                 let ran = self.ran.try_iter().filter_map(|event| match event {
                     subscribers::Event::Ran(at) => Some(unix_us() - at.elapsed().as_micros() as u64),
@@ -330,7 +330,7 @@
             zone: setup.zone.clone(),
             half: setup.half,
         };
-        let own = Own {
+        let own = Identity {
             name: introduction.name.as_str().into(),
             address: introduction.address,
             instance: introduction.instance,
@@ -338,22 +338,22 @@
             record: record(&setup.zone),
         };
         let mut settings = operator.peers.clone().expect("[peers]").settings;
-        settings.expected = setup.expected;
+        settings.expected_members = setup.expected;
         // Spread over a probe's time, as members that run for long are.
-        let now = 3_600_000_000 + (n as u64 * 7_919) % settings.probe_every;
+        let now = 3_600_000_000 + (n as u64 * 7_919) % settings.probe_period;
         let seed = introduction.instance;
         let overload = Overload::new(operator.overload.clone().expect("[overload]"), seed, now);
         let mut zones = Zones::new(&operator.zones.clone().expect("[zones]"), module, &setup.zone, now);
         let names: BTreeSet<String> = setup.workers.iter().map(|(_, _, zone)| zone.clone()).collect();
         let executors: Vec<Executor> = setup.workers.iter().map(executor).collect();
-        zones.listed(&executors, &names.into_iter().collect::<Vec<_>>());
+        zones.set_executors(&executors, &names.into_iter().collect::<Vec<_>>());
         Member {
             machine: Membership::new(own, settings, Vec::new(), seed, now),
             socket,
             introduction,
             overload,
             zones,
-            view: overload::View::default(),
+            view: overload::GroupView::default(),
             others: Vec::new(),
             next_view: 0,
             next_evidence: now,
@@ -365,38 +365,38 @@
     }
 
     fn introduce(&mut self, now: u64, claims: &[Claim]) -> Option<(SocketAddr, String)> {
-        self.machine.introduce(now, claims.iter());
+        self.machine.merge_introduced(now, claims.iter());
         self.machine.packets.clear();
         let own = self.introduction.name.as_str();
         let other = claims.iter().find(|c| &*c.name != own)?.name.clone();
-        self.machine.note(now, &other, 0, Vec::new());
+        self.machine.send_message(now, &other, 0, Vec::new());
         let (_, packet) = self.machine.packets.pop_back()?;
         Some((self.introduction.address, STANDARD.encode(packet)))
     }
 
     fn read(&mut self, now: u64, crosses: impl Fn(&SocketAddr) -> bool) {
-        let mut buffer = [0; wire::MOST_PACKET + 1];
+        let mut buffer = [0; wire::MAX_PACKET_BYTES + 1];
         for _ in 0..MOST_READ {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer) else { break };
             if !self.dead && !crosses(&from) {
-                self.machine.received(now, from, &buffer[..size]);
+                self.machine.handle_packet(now, from, &buffer[..size]);
             }
         }
-        while let Some(note) = self.machine.notes.pop_front() {
+        while let Some(note) = self.machine.messages.pop_front() {
             match note.channel {
                 overload::CHANNEL => {
-                    if let Some(answer) = self.overload.heard(now, &note.from, &note.bytes) {
-                        self.machine.note(now, &note.from, overload::CHANNEL, answer);
+                    if let Some(answer) = self.overload.handle_message(now, &note.from, &note.bytes) {
+                        self.machine.send_message(now, &note.from, overload::CHANNEL, answer);
                     }
                 }
-                zones::CHANNEL => self.zones.heard(now, &note.from, &note.bytes),
+                zones::CHANNEL => self.zones.handle_report(now, &note.from, &note.bytes),
                 _ => {}
             }
         }
     }
 
     fn advance(&mut self, now: u64, lost: Option<&str>, workers: &[(String, SocketAddr, String)]) {
-        if self.machine.due() <= now {
+        if self.machine.next_deadline() <= now {
             self.machine.advance(now);
         }
         if now >= self.next_view {
@@ -410,7 +410,7 @@
         if self.overload.due(now) <= now {
             let view = self.view.clone();
             for (to, word) in self.overload.advance(now, &view) {
-                self.machine.note(now, &to, overload::CHANNEL, word);
+                self.machine.send_message(now, &to, overload::CHANNEL, word);
             }
         }
         if now >= self.next_zones {
@@ -418,10 +418,10 @@
             let own = self.introduction.name.as_str().into();
             let home = self.introduction.zone.as_str().into();
             let share = 1_000_000 / (self.others.len() as u64 + 1);
-            let view = zones::View { own, home, others: self.others.clone(), share };
+            let view = zones::FleetView { own_name: own, home, others: self.others.clone(), share };
             for (to, report) in self.zones.advance(now, view) {
                 self.zone_bytes += report.len() as u64;
-                self.machine.note(now, &to, zones::CHANNEL, report);
+                self.machine.send_message(now, &to, zones::CHANNEL, report);
                 // The machine keeps a bounded number of packets: they leave as they are made.
                 self.send(|_| false);
             }
@@ -437,11 +437,11 @@
     }
 
     fn renew_view(&mut self, now: u64) {
-        let up = self.machine.members().filter(|m| m.is_up() && m.heard.is_some());
+        let up = self.machine.members().filter(|m| m.is_up() && m.last_heard.is_some());
         self.others = up.map(|m| (m.name.clone(), m.record.zone.clone())).collect();
         let others = self.others.iter().map(|(name, _)| name.clone()).collect();
-        let parts = self.machine.divisor(now);
-        self.view = overload::View { own: self.introduction.name.as_str().into(), parts, others };
+        let parts = self.machine.share_divisor(now);
+        self.view = overload::GroupView { own: self.introduction.name.as_str().into(), parts, peers: others };
     }
 
     /// What clients' requests would have shown of the workers.
@@ -452,8 +452,8 @@
                 if gone { (Outcome::ConnectFailed, 0, None) } else { (Outcome::Ok, 0, Some(ANSWER_US)) };
             let sent = now.saturating_sub(ANSWER_US);
             let worker: Arc<str> = name.as_str().into();
-            self.zones.seen(now, Trace { worker: worker.clone(), sent, end: None });
-            self.zones.seen(now, Trace { worker, sent, end: Some(end) });
+            self.zones.record_attempt(now, AttemptTrace { worker: worker.clone(), sent, end: None });
+            self.zones.record_attempt(now, AttemptTrace { worker, sent, end: Some(end) });
         }
     }
 
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -5,14 +5,15 @@
 //! becomes free, and all connections share one copy of the text, so that a thousand slow readers cost little more memory
 //! than a thousand rings.
 
-use crate::admin::{Answer, Ask, MAX_DOCUMENT_BYTES};
+use crate::admin::{Answer, MAX_DOCUMENT_BYTES, Request};
 use crate::log::{self, Log};
-use crate::rollout::Plan;
+use crate::rollout::RolloutPlan;
 use crate::service::{Action, ConnectionId, PublishOutcome, Service, Timestamp};
 use ochreward_net::{
-    Accepted, Callbacks, Clock, Closed, Link, Listener, Malformed, Poll, Ready, Ring, Signals, Wish,
+    Accepted, Clock, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring,
+    SignalRequest, Signals,
 };
-use ochreward_stream::wire::{self, Entry, Fault, FromService, MOST_FRAME, ToService};
+use ochreward_stream::wire::{self, Entry, Fault, FromService, MAX_FRAME_BYTES, ToService};
 use ochreward_stream::{Kind, Snapshot};
 use serde_json::{Value, json};
 use slab::Slab;
@@ -27,8 +28,8 @@
 const CONNECTIONS: u8 = 2;
 
 /// The capacities of a connection's input and output rings, in bytes.
-const INPUT_RING_BYTES: usize = 2 * (MOST_FRAME + 4);
-const OUTPUT_RING_BYTES: usize = 4 * (MOST_FRAME + 4);
+const INPUT_RING_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
+const OUTPUT_RING_BYTES: usize = 4 * (MAX_FRAME_BYTES + 4);
 /// A connection that is neither a subscriber's nor a watching client's after this long is closed, in microseconds.
 const IDENTIFY_TIMEOUT_US: u64 = 5_000_000;
 /// A stream without a message for this number of heartbeat intervals is closed.
@@ -48,15 +49,15 @@
     /// The address to listen on.
     pub listen: SocketAddr,
     /// The folder of the log.
-    pub store: PathBuf,
+    pub store_folder: PathBuf,
     /// The maximum number of concurrent connections.
-    pub streams: usize,
+    pub max_connections: usize,
     /// The heartbeat interval, in microseconds.
-    pub heartbeat: u64,
+    pub heartbeat_us: u64,
     /// The parameters of rollouts.
-    pub plan: Plan,
+    pub plan: RolloutPlan,
     /// Parses and validates documents.
-    pub reader: Reader,
+    pub parse_document: Reader,
 }
 
 /// The reason why the server could not start or had to stop.
@@ -79,13 +80,13 @@
 /// A message from a connection.
 enum Incoming {
     Stream(ToService),
-    Admin(Ask),
+    Admin(Request),
 }
 
-impl Callbacks for FrameReader {
+impl ProtocolHandler for FrameReader {
     type Out = Vec<Incoming>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Incoming>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Incoming>) -> Result<(), Malformed> {
         if self.discard {
             input.consume(input.len());
             return Ok(());
@@ -94,9 +95,9 @@
             let bytes = input.contiguous();
             let Some(body) = wire::body(bytes).map_err(|e| Malformed(e.0))? else { return Ok(()) };
             let size = body.len() + 4;
-            let message = match wire::parse(body) {
+            let message = match wire::decode(body) {
                 Ok(message) => Incoming::Stream(message),
-                Err(e) => Incoming::Admin(wire::parse(body).map_err(|_| Malformed(e.0))?),
+                Err(e) => Incoming::Admin(wire::decode(body).map_err(|_| Malformed(e.0))?),
             };
             out.push(message);
             input.consume(size);
@@ -112,8 +113,8 @@
 }
 
 /// A connection of a subscriber or an admin client.
-struct Connection {
-    link: Link<FrameReader>,
+struct ClientConnection {
+    link: Connection<FrameReader>,
     /// The time of acceptance, or of the last piece of a document.
     active_since: u64,
     last_received: u64,
@@ -134,7 +135,7 @@
     options: Options,
     service: Service,
     log: Log,
-    connections: Slab<Connection>,
+    connections: Slab<ClientConnection>,
     next_heartbeat_at: u64,
     incoming: Vec<Incoming>,
     /// Connections that have sent all their output and have more to send.
@@ -152,7 +153,7 @@
 impl Server {
     /// Opens the store, recovers the service from it, and starts to listen.
     pub fn new(options: Options) -> Result<Server, Error> {
-        let (mut log, records) = Log::open(&options.store)?;
+        let (mut log, records) = Log::open(&options.store_folder)?;
         let clock = Clock::start();
         let time = now(&clock);
         let mut poll = Poll::new()?;
@@ -160,10 +161,11 @@
         let signals = Signals::new(&mut poll, SIGNALS)?;
         // The id of a new store is unique unless two processes with the same id create stores in the same microsecond.
         let fresh_id = format!("{:x}-{:x}", time.us, std::process::id());
-        let mut service = Service::recover(options.plan.clone(), options.heartbeat, records, time, &fresh_id);
+        let mut service =
+            Service::recover(options.plan.clone(), options.heartbeat_us, records, time, &fresh_id);
         let (records, _) = service.flush();
         log.append(&records)?;
-        let next_heartbeat_at = time.us + options.heartbeat;
+        let next_heartbeat_at = time.us + options.heartbeat_us;
         Ok(Server {
             poll,
             clock,
@@ -202,7 +204,7 @@
             std::mem::take(&mut self.ready_to_send).into_iter().for_each(|slot| self.send_pending(slot));
             for ready in events.drain(..) {
                 match ready.token.owner {
-                    SIGNALS => self.signals.ready(ready.token),
+                    SIGNALS => self.signals.drain_wakeup(ready.token),
                     LISTENER => self.accept(time),
                     _ => self.ready(time, ready),
                 }
@@ -211,11 +213,11 @@
                 }
                 self.commit_and_act()?;
             }
-            if self.signals.asked().contains(&Wish::Stop) {
+            if self.signals.take_requests().contains(&SignalRequest::Stop) {
                 return Ok(());
             }
             if time.us >= self.next_heartbeat_at {
-                self.next_heartbeat_at = time.us + self.options.heartbeat;
+                self.next_heartbeat_at = time.us + self.options.heartbeat_us;
                 self.service.send_heartbeats();
                 self.close_silent(time);
             }
@@ -231,13 +233,13 @@
     fn accept(&mut self, time: Timestamp) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let fd = match self.listener.accept() {
-                Accepted::One(fd) => fd,
+                Accepted::Connection(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => {
                     return warn!("out of file descriptors: new connections are not accepted");
                 }
             };
-            if self.connections.len() >= self.options.streams {
+            if self.connections.len() >= self.options.max_connections {
                 warn!(
                     streams = self.connections.len(),
                     "closed a new connection: the maximum number of connections is reached"
@@ -246,14 +248,14 @@
             }
             let entry = self.connections.vacant_entry();
             let token = self.poll.token(CONNECTIONS, entry.key());
-            if let Ok(link) = Link::accepted(
+            if let Ok(link) = Connection::accepted(
                 &self.poll,
                 fd,
                 token,
                 FrameReader { discard: false },
                 (INPUT_RING_BYTES, OUTPUT_RING_BYTES),
             ) {
-                entry.insert(Connection {
+                entry.insert(ClientConnection {
                     link,
                     active_since: time.us,
                     last_received: time.us,
@@ -266,7 +268,7 @@
         }
     }
 
-    fn ready(&mut self, time: Timestamp, ready: Ready) {
+    fn ready(&mut self, time: Timestamp, ready: PollEvent) {
         let slot = ready.token.slot as usize;
         let Some(connection) =
             self.connections.get_mut(slot).filter(|connection| connection.link.io.token() == ready.token)
@@ -274,7 +276,7 @@
             return;
         };
         let mut incoming = std::mem::take(&mut self.incoming);
-        let result = connection.link.ready(&mut self.poll, ready, &mut incoming);
+        let result = connection.link.handle_event(&mut self.poll, ready, &mut incoming);
         if !incoming.is_empty() {
             connection.last_received = time.us;
         }
@@ -301,7 +303,7 @@
             }
             Ok(()) => self.send_pending(slot),
         }
-        if self.connections.get(slot).is_some_and(|connection| connection.link.io.ended) {
+        if self.connections.get(slot).is_some_and(|connection| connection.link.io.read_closed) {
             self.close(slot);
         }
     }
@@ -311,8 +313,8 @@
         warn!(why, "refused a subscriber");
         self.service.lost(slot);
         if let Some(connection) = self.connections.get_mut(slot) {
-            let _ = connection.link.io.queue(&wire::frame(&FromService::Refused { why }));
-            (connection.closing, connection.outgoing, connection.link.peer.discard) = (true, None, true);
+            let _ = connection.link.io.queue(&wire::encode_frame(&FromService::Refused { why }));
+            (connection.closing, connection.outgoing, connection.link.handler.discard) = (true, None, true);
         }
     }
 
@@ -323,8 +325,8 @@
 
     /// Closes connections that have not identified themselves in time, and streams that miss their heartbeats.
     fn close_silent(&mut self, time: Timestamp) {
-        let silence = self.options.heartbeat * MAX_MISSED_HEARTBEATS;
-        let timed_out = |(slot, connection): (usize, &Connection)| {
+        let silence = self.options.heartbeat_us * MAX_MISSED_HEARTBEATS;
+        let timed_out = |(slot, connection): (usize, &ClientConnection)| {
             let is_subscriber = self.service.is_subscriber(slot);
             let unidentified = !is_subscriber
                 && !connection.watches
@@ -357,8 +359,8 @@
                 let Some(connection) = self.connections.get_mut(slot) else { return };
                 // A heartbeat that does not fit is dropped rather than closing the connection: a full output ring means
                 // that other data is being sent. Between two parts of an offer a heartbeat is harmless.
-                let fits = connection.link.io.queue(&wire::frame(&message));
-                if !fits && !matches!(message, FromService::Beat {}) {
+                let fits = connection.link.io.queue(&wire::encode_frame(&message));
+                if !fits && !matches!(message, FromService::Heartbeat {}) {
                     return self.close(slot);
                 }
                 self.send_pending(slot);
@@ -367,7 +369,7 @@
             Action::Close(slot) => self.close(slot),
             Action::Notify(event) => {
                 info!(target: "ochreward_control", "{event}");
-                let frame = wire::frame(&Answer::Event { event });
+                let frame = wire::encode_frame(&Answer::Event { event });
                 let watching: Vec<usize> = self
                     .connections
                     .iter()
@@ -402,7 +404,7 @@
         let entries: Vec<Entry> = snapshot.resources.iter().map(entry).collect();
         let kinds = entries.iter().filter(|e| e.sent).map(|e| e.kind).collect();
         let offer = FromService::Offer { nonce, version: snapshot.version, entries };
-        if !connection.link.io.queue(&wire::frame(&offer)) {
+        if !connection.link.io.queue(&wire::encode_frame(&offer)) {
             return self.close(slot);
         }
         connection.outgoing = Some(Outgoing::Offer { nonce, snapshot, kinds, at: 0 });
@@ -413,7 +415,7 @@
     fn send_pending(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         for _ in 0..MAX_FRAMES_PER_TURN {
-            if connection.link.io.unsent() + MOST_FRAME + 4 > OUTPUT_RING_BYTES {
+            if connection.link.io.unsent_bytes() + MAX_FRAME_BYTES + 4 > OUTPUT_RING_BYTES {
                 break;
             }
             let Some(outgoing) = &mut connection.outgoing else { break };
@@ -431,12 +433,12 @@
         if connection.link.flush(&self.poll).is_err() {
             return self.close(slot);
         }
-        if connection.outgoing.is_some() && connection.link.io.unsent() == 0 {
+        if connection.outgoing.is_some() && connection.link.io.unsent_bytes() == 0 {
             self.ready_to_send.push(slot);
         }
-        if connection.closing && connection.link.io.unsent() == 0 {
+        if connection.closing && connection.link.io.unsent_bytes() == 0 {
             // Shut down only the sending side: closing a socket with unread input could reset it and lose the last frames.
-            connection.link.io.finish();
+            connection.link.io.shutdown_write();
         }
     }
 
@@ -444,14 +446,14 @@
 
     /// Handles an admin request. A connection is closed if it sends a request while another is being answered, or if it is
     /// a subscriber's.
-    fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Ask) {
+    fn on_admin_request(&mut self, time: Timestamp, slot: usize, ask: Request) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         if self.service.is_subscriber(slot) || connection.outgoing.is_some() || connection.closing {
             return self.close(slot);
         }
         let rejected = |faults: Vec<Fault>| (false, json!({"faults": faults}));
         let (ok, value) = match ask {
-            Ask::Piece { text } => {
+            Request::Piece { text } => {
                 if connection.document.len() + text.len() > MAX_DOCUMENT_BYTES {
                     return self.close(slot);
                 }
@@ -459,30 +461,32 @@
                 connection.document += &text;
                 return;
             }
-            Ask::Watch {} => {
+            Request::Watch {} => {
                 connection.watches = true;
                 return;
             }
-            Ask::Validate {} => match (self.options.reader)(&connection.document) {
+            Request::Validate {} => match (self.options.parse_document)(&connection.document) {
                 Ok(_) => (true, json!({"valid": true})),
                 Err(faults) => rejected(faults),
             },
-            Ask::Publish { at_once } => match (self.options.reader)(&connection.document) {
+            Request::Publish { at_once } => match (self.options.parse_document)(&connection.document) {
                 Ok(document) => publish_reply(self.service.publish(time, document, at_once)),
                 Err(faults) => rejected(faults),
             },
-            Ask::Rollback { number, at_once } => publish_reply(self.service.rollback(time, number, at_once)),
-            Ask::Resume {} => match self.service.resume(time) {
+            Request::Rollback { number, at_once } => {
+                publish_reply(self.service.rollback(time, number, at_once))
+            }
+            Request::Resume {} => match self.service.resume(time) {
                 true => (true, json!({"resumed": true})),
                 false => (false, json!({"why": "no rollout has halted"})),
             },
-            Ask::Status {} => (true, self.service.status(time)),
-            Ask::History {} => (true, self.service.history()),
-            Ask::Show { number } => match self.service.catalog().get(number) {
+            Request::Status {} => (true, self.service.status(time)),
+            Request::History {} => (true, self.service.history()),
+            Request::Show { number } => match self.service.catalog().get(number) {
                 Some(published) => (true, (*published.document).clone()),
                 None => (false, json!({"why": "there is no such version"})),
             },
-            Ask::Explain { instance } => match self.service.explain(&instance) {
+            Request::Explain { instance } => match self.service.explain(&instance) {
                 Some(value) => (true, value),
                 None => (false, json!({"why": "no such instance, or nothing that it is to run"})),
             },
@@ -520,22 +524,22 @@
                 let nonce = *nonce;
                 let text = kinds.first().and_then(|k| Some((*k, &snapshot.resources.get(k)?.text)));
                 let Some((kind, text)) = text else {
-                    return (wire::frame(&FromService::End { nonce }), true);
+                    return (wire::encode_frame(&FromService::End { nonce }), true);
                 };
-                let piece = wire::piece(text, *at);
+                let piece = wire::next_piece(text, *at);
                 *at += piece.len();
                 if *at >= text.len() {
                     kinds.remove(0);
                     *at = 0;
                 }
-                (wire::frame(&FromService::Part { nonce, kind, text: piece.to_string() }), false)
+                (wire::encode_frame(&FromService::Part { nonce, kind, text: piece.to_string() }), false)
             }
             Outgoing::Answer { text, at, ok } => {
-                let piece = wire::piece(text, *at).to_string();
+                let piece = wire::next_piece(text, *at).to_string();
                 *at += piece.len();
                 let is_last = piece.is_empty();
                 let answer = if is_last { Answer::Done { ok: *ok } } else { Answer::Piece { text: piece } };
-                (wire::frame(&answer), is_last)
+                (wire::encode_frame(&answer), is_last)
             }
         }
     }
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip::Gossip;
 use crate::health::LocalHealth;
-use crate::standing::{Agreement, HeldDivisor, Part, divisor};
+use crate::shares::{Connectivity, HeldDivisor, ViewSummary, divisor};
 use crate::table::{BucketSync, Member, Source, Table};
 use crate::wire::{self, Body, Claim, DecodeError, Header, Packet, Record, State};
 use crate::{Micros, Settings};
@@ -41,7 +41,7 @@
 
 /// The identity of a member at its start.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Identity {
     /// The name, unique among the dispatchers of a group.
     pub name: Arc<str>,
     /// The address at which others reach it.
@@ -61,20 +61,20 @@
     /// A member is new or changed state: its name, previous state, state, and the source of the information.
     Changed(Arc<str>, Option<State>, State, Source),
     /// This member refuted a claim that it is suspect, failed or has left.
-    Denied,
+    Refuted,
     /// This process stalled for this time.
     Stalled(Micros),
     /// Two processes use the same name, at these addresses.
-    Conflict(Arc<str>, SocketAddr, SocketAddr),
+    NameConflict(Arc<str>, SocketAddr, SocketAddr),
     /// A process that started earlier has this member's name; this member sends nothing until it retries.
-    Yielded,
+    NameYielded,
     /// This member's connectivity to the group changed.
-    Stands(Part),
+    ConnectivityChanged(Connectivity),
 }
 
 /// A message of another part of the program, received from another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct Message {
     /// The sender.
     pub from: Arc<str>,
     /// The sender's process.
@@ -93,9 +93,9 @@
     /// Bytes sent.
     pub sent_bytes: u64,
     /// Packets accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Packets that are malformed or out of bounds.
-    pub garbage: u64,
+    pub malformed: u64,
     /// Packets of another protocol version.
     pub other_version: u64,
     /// Packets of another group.
@@ -103,21 +103,21 @@
     /// Replayed packets.
     pub replayed: u64,
     /// Claims with an implausibly high incarnation.
-    pub absurd: u64,
+    pub implausible: u64,
     /// Probes started.
     pub probes: u64,
     /// Probes without an ack.
-    pub unanswered: u64,
+    pub probes_failed: u64,
     /// Suspicions started by this member's probes.
-    pub accusations: u64,
+    pub suspicions_started: u64,
     /// Refutations of claims about this member.
-    pub denials: u64,
+    pub refutations: u64,
     /// Stalls of this process.
     pub stalls: u64,
     /// Name conflicts detected.
     pub conflicts: u64,
     /// Claims dropped because the table was full.
-    pub crowded: u64,
+    pub claims_dropped_table_full: u64,
 }
 
 /// The open probe.
@@ -187,12 +187,12 @@
     yielded_at: Option<Micros>,
     left: bool,
     held_divisor: HeldDivisor,
-    connectivity: Part,
+    connectivity: Connectivity,
     stats: Stats,
     /// Packets to send, with their destinations.
     pub packets: VecDeque<(SocketAddr, Vec<u8>)>,
     /// Notes received for other parts of the program.
-    pub notes: VecDeque<Note>,
+    pub messages: VecDeque<Message>,
     /// Events for the host.
     pub events: VecDeque<Event>,
 }
@@ -200,17 +200,17 @@
 impl Membership {
     /// Creates a member that has no peers yet but the addresses of its seeds.
     pub fn new(
-        own: Own,
+        own: Identity,
         settings: Settings,
         seeds: Vec<SocketAddr>,
         rng_seed: u64,
         now: Micros,
     ) -> Membership {
-        let Own { name, address, instance, incarnation, record } = own;
+        let Identity { name, address, instance, incarnation, record } = own;
         let own = Claim { name, address, instance, incarnation, state: State::Alive, record };
         let seeds: Vec<SocketAddr> = seeds.into_iter().filter(|s| *s != address).collect();
         Membership {
-            group: wire::group(&settings.group),
+            group: wire::group_hash(&settings.group),
             own,
             load: 0,
             rng: Pcg32::seed_from_u64(rng_seed),
@@ -238,10 +238,10 @@
             yielded_at: None,
             left: false,
             held_divisor: HeldDivisor::default(),
-            connectivity: Part::Joining,
+            connectivity: Connectivity::Joining,
             stats: Stats::default(),
             packets: VecDeque::new(),
-            notes: VecDeque::new(),
+            messages: VecDeque::new(),
             events: VecDeque::new(),
             seeds,
             settings,
@@ -266,12 +266,12 @@
     }
 
     /// Returns the local health score: 0 is healthy, 8 the worst.
-    pub fn health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.health.score()
     }
 
     /// Returns the number of claims queued for gossip.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_claims(&self) -> usize {
         self.gossip.len()
     }
 
@@ -281,47 +281,54 @@
     }
 
     /// Returns the number of members that are alive or suspect, this one included.
-    pub fn alive(&self) -> usize {
+    pub fn up_count(&self) -> usize {
         self.table.counts().0 + 1
     }
 
     /// Returns this member's connectivity, and whether the views of the group agree.
-    pub fn agreement(&self) -> Agreement {
+    pub fn view_summary(&self) -> ViewSummary {
         let digest = self.digest();
         let (up, silent) = self.table.counts();
-        let same = self.members().filter(|m| m.is_up() && m.heard.is_some() && m.digest == digest).count();
-        Agreement { part: self.connectivity, digest, alive: up + 1, silent, same }
+        let same =
+            self.members().filter(|m| m.is_up() && m.last_heard.is_some() && m.digest == digest).count();
+        ViewSummary {
+            connectivity: self.connectivity,
+            digest,
+            alive: up + 1,
+            failed: silent,
+            same_view: same,
+        }
     }
 
     /// Returns the divisor of a common budget for this member: rises at once, falls after the hold time
     /// ([`crate::standing`]).
-    pub fn divisor(&mut self, now: Micros) -> usize {
+    pub fn share_divisor(&mut self, now: Micros) -> usize {
         self.now = self.now.max(now);
         self.update_connectivity();
         let (up, failed) = self.share_counts();
-        let connectivity = if self.yielded_at.is_some() { Part::Joining } else { self.connectivity };
+        let connectivity = if self.yielded_at.is_some() { Connectivity::Joining } else { self.connectivity };
         // A partitioned member takes time to mark all others as failed. Two failures among its last four probes already
         // limit it to one of `expected` shares. A member that never had a reply may have been partitioned since its
         // start.
         let well_connected = (self.failure_history & 0xf).count_ones() < 2 && self.last_answered_at.is_some();
-        let raw = divisor(connectivity, well_connected, up, failed, self.settings.expected);
-        self.held_divisor.update(self.now, self.settings.hold, raw)
+        let raw = divisor(connectivity, well_connected, up, failed, self.settings.expected_members);
+        self.held_divisor.update(self.now, self.settings.share_hold, raw)
     }
 
     /// Returns this member's index, by name, among the members that hold a share: from 0, below the divisor.
-    pub fn place(&self) -> usize {
+    pub fn share_index(&self) -> usize {
         self.members().filter(|m| m.state != State::Left && m.name < self.own.name).count()
     }
 
     /// Returns when [`Membership::advance`] is next due.
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         // The next probe starts only after the open one has ended.
         let open = |p: &Probe| p.deadline.min(p.direct_deadline).min(p.retry_at);
         let probe = self.probe.as_ref().map_or(self.next_probe_at, open);
         let suspicion = |name| self.table.members.get(name)?.suspicion.as_ref();
         let suspicions =
             self.suspects.iter().filter_map(suspicion).map(|s| s.deadline(SUSPICION_CONFIRMATIONS));
-        let joining = self.joined_at.is_none().then_some(self.started_at + self.settings.join_patience);
+        let joining = self.joined_at.is_none().then_some(self.started_at + self.settings.join_timeout);
         let all = suspicions.chain(joining).chain([probe, self.next_sync_at, self.held_divisor.due()]);
         if self.left { Micros::MAX } else { all.min().unwrap_or(Micros::MAX) }
     }
@@ -329,7 +336,7 @@
     // ---- Input ----
 
     /// Updates the load, and the record that this member publishes; a changed record raises its incarnation.
-    pub fn tell(&mut self, record: Record, load: u16) {
+    pub fn set_record(&mut self, record: Record, load: u16) {
         self.load = load.min(1_000);
         if record != self.own.record {
             self.own.record = record;
@@ -340,16 +347,16 @@
 
     /// Merges members that the host has learned of elsewhere, with the same trust as claims by others, and does not
     /// gossip them.
-    pub fn introduce<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
+    pub fn merge_introduced<'a>(&mut self, now: Micros, claims: impl Iterator<Item = &'a Claim>) {
         self.now = self.now.max(now);
         for claim in claims.filter(|c| c.name != self.own.name) {
-            self.table.merge(self.now, claim, Source::Told, self.settings.most_members);
+            self.table.merge(self.now, claim, Source::Told, self.settings.max_members);
         }
     }
 
     /// Sends a message of another part of the program to one member. Returns false if that member is not up, this one
     /// has left, or the message is too long. Delivery is at most once per process, and may be late or out of order.
-    pub fn note(&mut self, now: Micros, to: &str, channel: u8, bytes: Vec<u8>) -> bool {
+    pub fn send_message(&mut self, now: Micros, to: &str, channel: u8, bytes: Vec<u8>) -> bool {
         self.now = self.now.max(now);
         let recipient = self
             .table
@@ -357,7 +364,7 @@
             .get(to)
             .filter(|m| m.is_up() && bytes.len() <= wire::MAX_NOTE_BYTES && !self.left);
         let Some(address) = recipient.map(|m| m.address) else { return false };
-        self.send(address, &Body::Note { channel, bytes }, None);
+        self.send(address, &Body::Message { channel, bytes }, None);
         true
     }
 
@@ -383,7 +390,7 @@
         if self.left {
             return;
         }
-        let due = self.due();
+        let due = self.next_deadline();
         self.now = self.now.max(now);
         let late = self.now.saturating_sub(due);
         // Acks that this process had no time to receive during a stall are no evidence against other members. Open
@@ -400,18 +407,18 @@
             self.next_probe_at = self.now;
             self.push_event(Event::Stalled(late));
         }
-        if self.now >= self.started_at + self.settings.join_patience {
+        if self.now >= self.started_at + self.settings.join_timeout {
             self.joined_at.get_or_insert(self.now);
         }
         // A member that yielded its name retries after four hold times.
-        if self.yielded_at.is_some_and(|since| self.now >= since + 4 * self.settings.hold) {
+        if self.yielded_at.is_some_and(|since| self.now >= since + 4 * self.settings.share_hold) {
             (self.yielded_at, self.name_conflict) = (None, None);
         }
         self.run_probes();
         self.expire_suspicions();
         if self.now >= self.next_sync_at {
             self.next_sync_at =
-                self.now + self.settings.sync_every / 2 + self.random_below(self.settings.sync_every);
+                self.now + self.settings.sync_period / 2 + self.random_below(self.settings.sync_period);
             self.sync_tables();
             self.remove_departed();
         }
@@ -419,7 +426,7 @@
     }
 
     /// Handles a packet received from `from`.
-    pub fn received(&mut self, now: Micros, from: SocketAddr, packet: &[u8]) {
+    pub fn handle_packet(&mut self, now: Micros, from: SocketAddr, packet: &[u8]) {
         self.now = self.now.max(now);
         if self.left {
             return;
@@ -428,7 +435,7 @@
             Ok(packet) => packet,
             Err(error) => {
                 *match error {
-                    DecodeError::Malformed | DecodeError::OutOfBounds => &mut self.stats.garbage,
+                    DecodeError::Malformed | DecodeError::OutOfBounds => &mut self.stats.malformed,
                     DecodeError::OtherVersion(_) => &mut self.stats.other_version,
                     DecodeError::OtherGroup => &mut self.stats.other_group,
                 } += 1;
@@ -446,7 +453,7 @@
         if !self.record_sender(&header, from) {
             return;
         }
-        self.stats.taken += 1;
+        self.stats.accepted += 1;
         for claim in claims.iter().take(128) {
             self.apply_claim(claim, Source::Told, &sender);
         }
@@ -458,10 +465,10 @@
             }
             Body::Ack { number } => self.handle_ack(number, &sender),
             Body::PingRequest { number, target, .. } => self.relay_probe(number, from, target),
-            Body::Hello { answer } => {
+            Body::CompareDigest { answer } => {
                 let same = header.digest == self.digest();
                 if !answer {
-                    self.reply(from, &Body::Hello { answer: true }, &sender);
+                    self.reply(from, &Body::CompareDigest { answer: true }, &sender);
                 } else {
                     self.record_reply();
                 }
@@ -485,9 +492,9 @@
                 };
                 self.send_claims(from, differs);
             }
-            Body::Note { channel, bytes } => {
-                if self.notes.len() < MAX_QUEUED_NOTES {
-                    self.notes.push_back(Note {
+            Body::Message { channel, bytes } => {
+                if self.messages.len() < MAX_QUEUED_NOTES {
+                    self.messages.push_back(Message {
                         from: sender,
                         instance: header.own.instance,
                         channel,
@@ -510,11 +517,11 @@
         }
         if let Some(known) = self.table.members.get_mut(&own.name) {
             if own.instance == known.instance {
-                if !known.replay_window.accept(self.now, header.stamp) {
+                if !known.replay_window.accept(self.now, header.sequence) {
                     self.stats.replayed += 1;
                     return false;
                 }
-                if known.heard.replace(self.now).is_none() {
+                if known.last_heard.replace(self.now).is_none() {
                     self.table.count_revision += 1;
                 }
                 self.last_heard_at = Some(self.now);
@@ -522,13 +529,13 @@
                     known.address = from;
                 }
             } else if known.is_up()
-                && known.heard.is_some_and(|at| at + self.settings.hold > self.now)
+                && known.last_heard.is_some_and(|at| at + self.settings.share_hold > self.now)
                 && known.address != from
             {
                 let (name, old) = (own.name.clone(), known.address);
                 if own.incarnation > known.incarnation {
                     self.stats.conflicts += 1;
-                    self.push_event(Event::Conflict(name, old, from));
+                    self.push_event(Event::NameConflict(name, old, from));
                 }
             }
         }
@@ -536,11 +543,11 @@
         if let Some(known) = self.table.members.get_mut(&own.name)
             && known.instance == own.instance
         {
-            if known.heard.replace(self.now).is_none() {
+            if known.last_heard.replace(self.now).is_none() {
                 self.table.count_revision += 1;
             }
             self.last_heard_at = Some(self.now);
-            known.replay_window.accept(self.now, header.stamp);
+            known.replay_window.accept(self.now, header.sequence);
             (known.digest, known.load) = (header.digest, header.load);
         }
         true
@@ -551,7 +558,7 @@
     /// Derives this member's connectivity from the table and from the last packets and replies.
     fn update_connectivity(&mut self) {
         let (up, failed) = self.table.counts();
-        let window = self.settings.hold;
+        let window = self.settings.share_hold;
         let recent = |at: Option<Micros>| at.is_some_and(|at| at + window > self.now);
         // Members stay up in the table until their suspicion expires; a member that has had no reply within the hold
         // time must not count them as answering.
@@ -563,10 +570,10 @@
         let heard = recent(self.last_heard_at);
         // A joining member takes no share until the hold time has passed, in which the rest of the group learns of it.
         let joined = self.joined_at.is_some_and(|at| at + window <= self.now);
-        let connectivity = Part::of(joined, up + failed, answering, heard);
+        let connectivity = Connectivity::of(joined, up + failed, answering, heard);
         if connectivity != self.connectivity {
             self.connectivity = connectivity;
-            self.push_event(Event::Stands(connectivity));
+            self.push_event(Event::ConnectivityChanged(connectivity));
         }
     }
 
@@ -595,12 +602,12 @@
         let header = Header {
             group: self.group,
             own: self.own.clone(),
-            stamp: self.packet_sequence,
+            sequence: self.packet_sequence,
             digest: self.digest(),
             alive: (self.table.counts().0 + 1).min(usize::from(u16::MAX)) as u16,
             load: self.load,
         };
-        let (packet, count) = wire::write(&header, body, claims);
+        let (packet, count) = wire::encode(&header, body, claims);
         self.stats.sent += 1;
         self.stats.sent_bytes += packet.len() as u64;
         self.packets.push_back((to, packet));
--- a/crates/rig/src/subscribers.rs
+++ b/crates/rig/src/subscribers.rs
@@ -1,11 +1,11 @@
 //! Subscribers of a control service without dispatchers: the dispatcher's own subscriber state machine on real sockets, many of
 //! them on one thread. They accept every check and apply every version at once.
 
-use ochreward_net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
+use ochreward_net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_stream::subscriber::Options;
 use ochreward_stream::trial::Rules;
 use ochreward_stream::wire::{self, FromService, Health, ToService};
-use ochreward_stream::{Memory, Step, Subscriber};
+use ochreward_stream::{Action, Subscriber, SubscriberState};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -34,13 +34,13 @@
 
 struct FrameParser;
 
-impl Callbacks for FrameParser {
+impl ProtocolHandler for FrameParser {
     type Out = Vec<FromService>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
         while let Some(body) = wire::body(input.contiguous()).map_err(|e| Malformed(e.0))? {
             let size = body.len() + 4;
-            out.push(wire::parse(body).map_err(|e| Malformed(e.0))?);
+            out.push(wire::decode(body).map_err(|e| Malformed(e.0))?);
             input.consume(size);
         }
         Ok(())
@@ -49,7 +49,7 @@
 
 struct SubscriberConnection {
     subscriber: Subscriber,
-    link: Option<Link<FrameParser>>,
+    link: Option<Connection<FrameParser>>,
 }
 
 /// A set of subscribers that one thread drives.
@@ -75,7 +75,7 @@
                 seed: n as u64,
             };
             SubscriberConnection {
-                subscriber: Subscriber::new(options, 0, Memory::default(), None, None),
+                subscriber: Subscriber::new(options, 0, SubscriberState::default(), None, None),
                 link: None,
             }
         };
@@ -88,7 +88,7 @@
 
     /// Drives the subscribers until `stop` is set, and reports their events.
     pub fn run(&mut self, events: &Sender<Event>, stop: &AtomicBool) {
-        let mut poll_events: Vec<Ready> = Vec::new();
+        let mut poll_events: Vec<PollEvent> = Vec::new();
         while !stop.load(Ordering::SeqCst) {
             self.poll.wait(5_000, &mut poll_events).expect("a wait");
             let now = self.start.elapsed().as_micros() as u64;
@@ -99,20 +99,21 @@
                 };
                 let was_connecting = link.io.connecting();
                 let mut messages = Vec::new();
-                let ended = link.ready(&mut self.poll, ready, &mut messages).is_err() || link.io.ended;
+                let ended =
+                    link.handle_event(&mut self.poll, ready, &mut messages).is_err() || link.io.read_closed;
                 if was_connecting && !ended && !link.io.connecting() {
-                    connection.subscriber.connected_now(now);
+                    connection.subscriber.on_connected(now);
                     let _ = events.send(Event::Up(Instant::now()));
                 }
-                messages.into_iter().for_each(|m| connection.subscriber.received(now, m));
+                messages.into_iter().for_each(|m| connection.subscriber.on_message(now, m));
                 if ended {
                     connection.link = None;
-                    connection.subscriber.lost(now);
+                    connection.subscriber.on_connection_lost(now);
                 }
             }
             for slot in 0..self.streams.len() {
                 let connection = &mut self.streams[slot];
-                if now >= connection.subscriber.due() {
+                if now >= connection.subscriber.next_due() {
                     connection.subscriber.advance(now, Health::default());
                 }
                 perform_steps(&mut self.poll, connection, slot, now, events);
@@ -130,25 +131,25 @@
 ) {
     while let Some(step) = connection.subscriber.steps.pop_front() {
         match step {
-            Step::Connect(to) => {
+            Action::Connect(to) => {
                 let token = poll.token(0, slot);
-                match Link::connect(poll, to, token, FrameParser, (1 << 19, 1 << 19)) {
+                match Connection::connect(poll, to, token, FrameParser, (1 << 19, 1 << 19)) {
                     Ok(link) => connection.link = Some(link),
-                    Err(_) => connection.subscriber.lost(now),
+                    Err(_) => connection.subscriber.on_connection_lost(now),
                 }
             }
-            Step::Disconnect(_) => connection.link = None,
-            Step::Send(message) => {
+            Action::Disconnect(_) => connection.link = None,
+            Action::Send(message) => {
                 if matches!(message, ToService::Ack { .. }) {
                     let _ = events.send(Event::Ran(Instant::now()));
                 }
                 if let Some(link) = &mut connection.link {
-                    let _ = link.io.queue(&wire::frame(&message));
+                    let _ = link.io.queue(&wire::encode_frame(&message));
                     let _ = link.flush(poll);
                 }
             }
-            Step::Check(ticket, _) => connection.subscriber.checked(ticket, Ok(())),
-            Step::Apply(ticket, _) => connection.subscriber.applied(now, ticket, Ok(())),
+            Action::Check(ticket, _) => connection.subscriber.on_checked(ticket, Ok(())),
+            Action::Apply(ticket, _) => connection.subscriber.on_applied(now, ticket, Ok(())),
             _ => {}
         }
     }
--- a/crates/stream/src/lib.rs
+++ b/crates/stream/src/lib.rs
@@ -10,7 +10,7 @@
 
 mod backoff;
 pub mod last_good;
-pub mod overlay;
+pub mod layers;
 mod snapshot;
 pub mod subscriber;
 pub mod trial;
@@ -19,5 +19,5 @@
 
 pub use backoff::Backoff;
 pub use snapshot::{Assembly, Resource, Snapshot, content_digest};
-pub use subscriber::{Memory, Step, Subscriber};
-pub use version::{Digest, Hasher, Kind, NoVersion, Version};
+pub use subscriber::{Action, Subscriber, SubscriberState};
+pub use version::{Digest, Hasher, Kind, ParseVersionError, Version};
--- a/src/door/mod.rs
+++ b/src/admin/mod.rs
@@ -6,7 +6,7 @@
 use crate::api::WorkerId;
 use crate::counters::{Counters, count};
 use crate::http::{self, Asked, Bad, Http, MOST_CALL};
-use crate::net::{Accepted, Closed, Link, Listener, Poll, Ready, Token};
+use crate::net::{Accepted, Closed, Connection, Listener, Poll, PollEvent, Token};
 use crate::zones;
 use slab::Slab;
 use std::io;
@@ -28,7 +28,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum AdminCommand {
     /// Whether this process is ready to serve.
     Ready,
     /// To leave an executor out.
@@ -46,14 +46,14 @@
 }
 
 struct Caller {
-    link: Link<Http>,
+    link: Connection<Http>,
     since: u64,
     /// When it was answered.
     answered: Option<u64>,
 }
 
 /// The door.
-pub struct Door {
+pub struct AdminEndpoint {
     owner: u8,
     listener: Listener,
     callers: Slab<Caller>,
@@ -62,10 +62,10 @@
     paused_until: Option<u64>,
     counters: Rc<Counters>,
     /// Calls that wait for their answer.
-    pub orders: Vec<(Token, Order)>,
+    pub commands: Vec<(Token, AdminCommand)>,
 }
 
-impl Door {
+impl AdminEndpoint {
     /// Listens on the address, with so many places for callers.
     pub fn new(
         poll: &mut Poll,
@@ -73,11 +73,20 @@
         address: SocketAddr,
         places: usize,
         counters: Rc<Counters>,
-    ) -> io::Result<Door> {
+    ) -> io::Result<AdminEndpoint> {
         let listener = Listener::bind(poll, owner, address)?;
         let (callers, orders) = (Slab::new(), Vec::new());
         let (spares, paused_until) = (Vec::new(), None);
-        let mut door = Door { owner, listener, callers, places, spares, paused_until, counters, orders };
+        let mut door = AdminEndpoint {
+            owner,
+            listener,
+            callers,
+            places,
+            spares,
+            paused_until,
+            counters,
+            commands: orders,
+        };
         door.refill();
         Ok(door)
     }
@@ -86,7 +95,7 @@
     /// configuration says, and an operator would not get in.
     fn refill(&mut self) {
         while self.spares.len() < SPARES {
-            let Ok(spare) = self.listener.spare() else { return };
+            let Ok(spare) = self.listener.reserve_descriptor() else { return };
             self.spares.push(spare);
         }
     }
@@ -97,8 +106,8 @@
     }
 
     /// Handles what happened to a descriptor of the door.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.listener.is(ready.token) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
+        if self.listener.owns_token(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
@@ -106,9 +115,9 @@
             return;
         };
         let mut calls = Vec::new();
-        let result = caller.link.ready(poll, ready, &mut calls);
-        let unasked = !caller.link.peer.asked();
-        let ended = caller.link.io.ended;
+        let result = caller.link.handle_event(poll, ready, &mut calls);
+        let unasked = !caller.link.handler.asked();
+        let ended = caller.link.io.read_closed;
         match (result, calls.pop()) {
             (_, Some(Ok(asked))) => self.call(poll, now, ready.token, &asked),
             (_, Some(Err(Bad(status)))) => self.bad(poll, now, ready.token, status),
@@ -119,7 +128,8 @@
             (Ok(()), None) => {}
         }
         // Nothing more comes, and all that was owed has gone.
-        let over = |c: &Caller| c.link.io.ended && c.answered.is_some() && c.link.io.unsent() == 0;
+        let over =
+            |c: &Caller| c.link.io.read_closed && c.answered.is_some() && c.link.io.unsent_bytes() == 0;
         if self.callers.get(slot).is_some_and(over) {
             self.close(slot);
         }
@@ -131,11 +141,11 @@
                 return self.pause(poll, now);
             }
             match self.listener.accept() {
-                Accepted::One(fd) => {
+                Accepted::Connection(fd) => {
                     let entry = self.callers.vacant_entry();
                     let token = poll.token(self.owner, entry.key());
                     let limits = (MOST_CALL, MOST_ANSWER);
-                    if let Ok(link) = Link::accepted(poll, fd, token, Http::default(), limits) {
+                    if let Ok(link) = Connection::accepted(poll, fd, token, Http::default(), limits) {
                         count(&self.counters.door_accepted);
                         entry.insert(Caller { link, since: now, answered: None });
                     }
@@ -150,14 +160,14 @@
     /// Danger: with no place left, the listener stays readable and the loop would spin on it.
     fn pause(&mut self, poll: &Poll, now: u64) {
         self.paused_until = Some(now + PAUSE);
-        self.listener.listen(poll, false);
+        self.listener.set_accepting(poll, false);
     }
 
     /// Makes room: answered callers go first, then those that have said nothing, the oldest first. Danger: idle
     /// callers must not keep the door shut for others; nor may one go whose call has come and was not read yet.
     fn evict(&mut self, now: u64) -> bool {
-        let spare = |c: &Caller| c.answered.is_some() || (!c.link.peer.asked() && now >= c.since + STAY);
-        let worth = |c: &Caller| (c.answered.is_none(), c.link.io.unread() > 0, c.since);
+        let spare = |c: &Caller| c.answered.is_some() || (!c.link.handler.asked() && now >= c.since + STAY);
+        let worth = |c: &Caller| (c.answered.is_none(), c.link.io.unparsed_bytes() > 0, c.since);
         let spare = self.callers.iter().filter(|(_, c)| spare(c));
         let Some((slot, _)) = spare.min_by_key(|(_, c)| worth(c)) else { return false };
         count(&self.counters.door_evicted);
@@ -168,7 +178,7 @@
     fn call(&mut self, poll: &Poll, now: u64, token: Token, asked: &Asked) {
         count(&self.counters.door_calls);
         match order(asked) {
-            Ok(order) => self.orders.push((token, order)),
+            Ok(order) => self.commands.push((token, order)),
             Err((status, why)) => self.answer(poll, now, token, status, why),
         }
     }
@@ -189,7 +199,7 @@
             return self.close(slot);
         }
         // Only our side ends: a close with something unread would reset the connection, and cost the answer.
-        caller.link.io.finish();
+        caller.link.io.shutdown_write();
     }
 
     fn close(&mut self, slot: usize) {
@@ -201,7 +211,7 @@
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
-            self.listener.listen(poll, true);
+            self.listener.set_accepting(poll, true);
             self.accept(poll, now);
         }
         let mut over = Vec::new();
@@ -229,7 +239,7 @@
 }
 
 /// What a call asks for; else the status and the words of a no.
-fn order(asked: &Asked) -> Result<Order, (u16, &'static str)> {
+fn order(asked: &Asked) -> Result<AdminCommand, (u16, &'static str)> {
     const UNKNOWN: (u16, &str) = (404, "no such call");
     let path = asked.path.split(['?', '#']).next().unwrap_or_default();
     let worker = |id: &str| {
@@ -238,12 +248,16 @@
     };
     let method = asked.method.as_str();
     if path == "/_ready" {
-        return if matches!(method, "GET" | "HEAD") { Ok(Order::Ready) } else { Err((405, "GET is wanted")) };
+        return if matches!(method, "GET" | "HEAD") {
+            Ok(AdminCommand::Ready)
+        } else {
+            Err((405, "GET is wanted"))
+        };
     }
     let asks = match path {
-        "/_peers" => Some(Order::Peers),
-        "/_budgets" => Some(Order::Budgets),
-        "/_zones" => Some(Order::Zones),
+        "/_peers" => Some(AdminCommand::Peers),
+        "/_budgets" => Some(AdminCommand::Budgets),
+        "/_zones" => Some(AdminCommand::Zones),
         _ => None,
     };
     if let Some(order) = asks {
@@ -255,15 +269,15 @@
     }
     let (verb, id) = path.strip_prefix("/_executors/").and_then(|p| p.split_once('/')).ok_or(UNKNOWN)?;
     let order = match verb {
-        "detach" => Order::Detach(worker(id)?),
-        "attach" => Order::Attach(worker(id)?),
+        "detach" => AdminCommand::Detach(worker(id)?),
+        "attach" => AdminCommand::Attach(worker(id)?),
         _ => return Err(UNKNOWN),
     };
     if method == "PUT" { Ok(order) } else { Err((405, "PUT is wanted")) }
 }
 
 /// A word on a zone: `leave/ZONE/SECONDS`, `stay/ZONE/SECONDS`, or `follow/ZONE`, which takes such a word back.
-fn zone(words: &str) -> Option<Order> {
+fn zone(words: &str) -> Option<AdminCommand> {
     let parts: Vec<&str> = words.split('/').collect();
     let seconds =
         |text: &str| text.parse::<u64>().ok().filter(|s| *s > 0).map(|s| s.saturating_mul(1_000_000));
@@ -273,7 +287,7 @@
         ["follow", zone] => (zone, None),
         _ => return None,
     };
-    Some(Order::Zone(http::unescape(name).filter(|n| !n.is_empty())?, order))
+    Some(AdminCommand::Zone(http::unescape(name).filter(|n| !n.is_empty())?, order))
 }
 
 #[cfg(test)]
--- a/src/api.rs
+++ b/src/api.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Class {
     /// The latency objective: an answer within this time earns the full value.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The time after which the client stops waiting.
     pub deadline: Micros,
     /// The delivery guarantee.
@@ -72,11 +72,11 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of routers in this tier.
-    pub balancers: usize,
+    pub dispatcher_count: usize,
     /// Index of this router among them, from 0.
-    pub me: usize,
+    pub own_index: usize,
     /// The zone of this router.
-    pub my_zone: usize,
+    pub own_zone: usize,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// Quota of each tenant in requests per second, summed over all routers.
@@ -94,7 +94,7 @@
     /// The longest retry-after that clients honour; 0 if refusals carry none.
     pub max_retry_after: Micros,
     /// The minimum time between two batches of events.
-    pub tick: Micros,
+    pub min_batch_interval: Micros,
     /// The minimum fraction of its capacity that a worker has at its start.
     pub cold_share: f64,
     /// The time after its start at which a worker has full capacity at the latest.
@@ -105,11 +105,11 @@
     /// How long that overload lasts before the worker fails.
     pub fall_window: Micros,
     /// Whether the router may order workers to load and unload functions.
-    pub orders: bool,
+    pub load_orders_allowed: bool,
     /// Whether a worker without the function loads it while the request waits; otherwise it answers with a
     /// miss.
     pub loads_on_miss: bool,
-    /// The minimum time for which an idle copy stays loaded.
+    /// The minimum time for which an idle replica stays loaded.
     pub keep_alive: Micros,
     /// The window of the rate limit on loads; 0 if loads are not limited.
     pub load_window: Micros,
@@ -121,26 +121,26 @@
     pub cross_zone_price: f64,
     /// The cost of a fetch from the store, relative to the value of a request.
     pub fetch_price: f64,
-    /// The cost of the memory held by idle copies.
+    /// The cost of the memory held by idle replicas.
     pub memory_price: f64,
-    /// Whether the worker list is sent only on request ([`Action::Watch`]).
+    /// Whether the worker list is sent only on request ([`Action::WatchWorkers`]).
     pub list_on_request: bool,
 }
 
 /// The state of a worker according to the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerStatus {
     /// Accepts requests.
     Healthy,
     /// Draining: must receive no new requests.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// One entry of the worker list.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct WorkerEntry {
     /// The worker.
     pub worker: WorkerId,
     /// Its zone.
@@ -150,7 +150,7 @@
     /// Its cell.
     pub cell: usize,
     /// Its listed state.
-    pub standing: Standing,
+    pub standing: WorkerStatus,
     /// When its process last started, if that was recent.
     pub ready_at: Option<Micros>,
 }
@@ -158,7 +158,7 @@
 /// The result of an attempt, a probe or a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The request was served, or the copies are loaded.
+    /// The request was served, or the replicas are loaded.
     Ok,
     /// The worker answered with an error; the request may have run.
     Error,
@@ -173,22 +173,22 @@
     /// The attempt was cancelled; the request may have run.
     Cancelled,
     /// The attempt was never sent.
-    Moot,
+    NotSent,
     /// The function is not loaded on the worker; the request never ran.
     Miss,
     /// The status is unknown to the router; the request may have run.
     Unknown,
 }
 
-/// What an answer reports about the copy that handled the request.
+/// What an answer reports about the replica that handled the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ReplicaStatus {
     /// Nothing was reported.
-    Untold,
-    /// A copy was already loaded.
+    NotReported,
+    /// A replica was already loaded.
     Warm,
     /// The request started a load.
-    BeganLoad,
+    LoadStarted,
     /// The request waited for a load already in progress.
     WaitedForLoad,
     /// The load that the request waited for failed.
@@ -203,7 +203,7 @@
         /// Whether the list is complete: workers absent from it have been removed.
         complete: bool,
         /// Its entries.
-        entries: Vec<Listing>,
+        entries: Vec<WorkerEntry>,
     },
     /// The request for the worker list failed.
     ListRefused,
@@ -217,32 +217,32 @@
         tenant: usize,
         /// Its function.
         function: FunctionId,
-        /// The number of requests that one copy runs concurrently.
-        lanes: f64,
+        /// The number of requests that one replica runs concurrently.
+        replica_concurrency: f64,
         /// The typical load time, if known.
         load_time: Option<Micros>,
         /// A rough prediction of its run time, if known.
-        work: Option<Micros>,
+        work_hint: Option<Micros>,
         /// Whether the request is a client's retry, where clients mark retries; its first try was already
         /// counted against the tenant's quota.
-        again: bool,
+        is_retry: bool,
         /// The time until the client stops waiting.
         time_left: Micros,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The index of the attempt, from 0.
         attempt: usize,
         /// Whether the request has ended.
-        last: bool,
+        is_final: bool,
         /// How the attempt ended.
         outcome: Outcome,
-        /// What the answer reports about the copy.
-        found: Found,
+        /// What the answer reports about the replica.
+        found: ReplicaStatus,
         /// The number of requests for the function at the worker, if reported.
-        crowd: Option<u32>,
+        concurrent_requests: Option<u32>,
         /// Time since the send.
         latency: Micros,
         /// The load report of the answer; empty if there is none.
@@ -263,8 +263,8 @@
         outcome: Outcome,
         /// Time since the order.
         latency: Micros,
-        /// The number of copies now loaded on the worker.
-        copies: u32,
+        /// The number of replicas now loaded on the worker.
+        replicas: u32,
     },
     /// The client has disconnected, or the request's deadline has passed.
     Abandoned {
@@ -288,7 +288,7 @@
         /// The worker.
         worker: WorkerId,
         /// The deadline of the attempt; `None` means the deadline of the request.
-        until: Option<Micros>,
+        deadline: Option<Micros>,
     },
     /// Refuse the request; a retry is harmless.
     Refuse {
@@ -309,14 +309,14 @@
         /// The index of the attempt.
         attempt: usize,
     },
-    /// Order a worker to keep at least `copies` copies loaded; 0 only queries how many are loaded.
+    /// Order a worker to keep at least `replicas` replicas loaded; 0 only queries how many are loaded.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The minimum number of copies.
-        copies: u32,
+        /// The minimum number of replicas.
+        replicas: u32,
     },
     /// Set a timer that wakes the router.
     Timer {
@@ -326,5 +326,5 @@
         cookie: u64,
     },
     /// Subscribe to changes of the worker list.
-    Watch,
+    WatchWorkers,
 }
--- a/src/bin/ochreward-adapter/wire.rs
+++ b/src/bin/ochreward-adapter/wire.rs
@@ -253,9 +253,9 @@
     pub fn settings(&self) -> api::Settings {
         let family_info = &self.family_info;
         api::Settings {
-            balancers: self.balancers,
-            me: self.me,
-            my_zone: self.my_zone,
+            dispatcher_count: self.balancers,
+            own_index: self.me,
+            own_zone: self.my_zone,
             classes: self.lanes.iter().map(class).collect(),
             tenant_quotas: self.orgs.iter().map(|org| org.quota_per_s).collect(),
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
@@ -264,12 +264,12 @@
             may_duplicate: self.limits.may_duplicate,
             may_cancel: self.limits.cancel,
             max_retry_after: if self.limits.retry_after { self.limits.max_retry_after_us as u64 } else { 0 },
-            tick: self.tick_us,
+            min_batch_interval: self.tick_us,
             cold_share: self.rules.cold_share,
             warm_after: self.rules.warm_after_us as u64,
             fall_multiple: self.rules.fall_multiple,
             fall_window: self.rules.fall_us as u64,
-            orders: family_info.orders,
+            load_orders_allowed: family_info.orders,
             loads_on_miss: family_info.miss_mode != "miss",
             keep_alive: family_info.keep_alive_us as u64,
             load_window: family_info.load_window_us as u64,
@@ -285,7 +285,7 @@
 
 fn class(lane: &Lane) -> api::Class {
     api::Class {
-        aim: lane.promise_us as u64,
+        latency_target: lane.promise_us as u64,
         deadline: lane.deadline_us as u64,
         effect: match lane.effect.as_str() {
             "idempotent" => api::Effect::Idempotent,
@@ -320,32 +320,32 @@
         "C" => api::Outcome::ConnectFailed,
         "R" => api::Outcome::Reset,
         "X" => api::Outcome::Cancelled,
-        "N" => api::Outcome::Moot,
+        "N" => api::Outcome::NotSent,
         "M" => api::Outcome::Miss,
         _ => api::Outcome::Unknown,
     }
 }
 
-fn found(status: &str, remark: u32, settings: RemarkSettings) -> api::Found {
+fn found(status: &str, remark: u32, settings: RemarkSettings) -> api::ReplicaStatus {
     match (status, remark % 8) {
-        ("S", 1) if settings.reports_found => api::Found::Warm,
-        ("S", 2) if settings.reports_found => api::Found::BeganLoad,
-        ("S", 3) if settings.reports_found => api::Found::WaitedForLoad,
-        ("M" | "E", 4) => api::Found::LoadFailed,
-        _ => api::Found::Untold,
+        ("S", 1) if settings.reports_found => api::ReplicaStatus::Warm,
+        ("S", 2) if settings.reports_found => api::ReplicaStatus::LoadStarted,
+        ("S", 3) if settings.reports_found => api::ReplicaStatus::WaitedForLoad,
+        ("M" | "E", 4) => api::ReplicaStatus::LoadFailed,
+        _ => api::ReplicaStatus::NotReported,
     }
 }
 
-fn listing(item: Item) -> api::Listing {
-    api::Listing {
+fn listing(item: Item) -> api::WorkerEntry {
+    api::WorkerEntry {
         worker: item.worker.into(),
         zone: item.failure_domain,
         kind: item.hw,
         cell: item.cohort,
         standing: match item.condition.as_str() {
-            "healthy" => api::Standing::Healthy,
-            "deregistered" => api::Standing::Gone,
-            _ => api::Standing::Draining,
+            "healthy" => api::WorkerStatus::Healthy,
+            "deregistered" => api::WorkerStatus::Removed,
+            _ => api::WorkerStatus::Draining,
         },
         ready_at: (item.ready_at_us > 0).then_some(item.ready_at_us),
     }
@@ -365,31 +365,34 @@
                 class,
                 tenant: org,
                 function: unit_key.into(),
-                lanes: per_copy,
+                replica_concurrency: per_copy,
                 load_time: (warm_ms > 0.0).then_some((warm_ms * 1000.0) as u64),
-                work: (predicted_us > 0.0).then_some(predicted_us as u64),
-                again: retry,
+                work_hint: (predicted_us > 0.0).then_some(predicted_us as u64),
+                is_retry: retry,
                 time_left: ttl_us,
             }
         }
         Body::Flowing { rid } => api::Event::Streaming { id: rid },
-        Body::ClosedAttempt { rid, go, last, lag_us, remark, status, telemetry } => api::Event::Outcome {
-            id: rid,
-            attempt: go,
-            last,
-            outcome: outcome(&status),
-            found: found(&status, remark, remarks),
-            crowd: (remarks.reports_crowd && matches!(status.as_str(), "S" | "F")).then_some(remark / 8),
-            latency: lag_us,
-            report: telemetry.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect(),
-        },
+        Body::ClosedAttempt { rid, go, last, lag_us, remark, status, telemetry } => {
+            api::Event::AttemptEnded {
+                id: rid,
+                attempt: go,
+                is_final: last,
+                outcome: outcome(&status),
+                found: found(&status, remark, remarks),
+                concurrent_requests: (remarks.reports_crowd && matches!(status.as_str(), "S" | "F"))
+                    .then_some(remark / 8),
+                latency: lag_us,
+                report: telemetry.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect(),
+            }
+        }
         Body::Aborted { rid } => api::Event::Abandoned { id: rid },
         Body::LoadResult { worker, unit_key, status, lag_us, units_held } => api::Event::Loaded {
             worker: worker.into(),
             function: unit_key.into(),
             outcome: outcome(&status),
             latency: lag_us,
-            copies: units_held,
+            replicas: units_held,
         },
         Body::Wakeup { cookie } => api::Event::Timer { cookie },
         Body::Spawn { .. } | Body::Stop | Body::Other => return None,
@@ -426,17 +429,17 @@
 /// Converts an action of the library to the wire format.
 pub fn order(instance: &str, action: api::Action) -> Order {
     let body = match action {
-        api::Action::Send { id, worker, until } => {
+        api::Action::Send { id, worker, deadline: until } => {
             OrderBody::PassOn { rid: id, worker, abandon_at_us: until }
         }
         api::Action::Refuse { id, retry_after } => OrderBody::PushBack { rid: id, come_back_us: retry_after },
         api::Action::Fail { id } => OrderBody::ReportFailure { rid: id },
         api::Action::Cancel { id, attempt } => OrderBody::Withdraw { rid: id, go: attempt },
-        api::Action::Load { worker, function, copies } => {
+        api::Action::Load { worker, function, replicas: copies } => {
             OrderBody::StartCopy { worker, unit_key: function, units_held: copies }
         }
         api::Action::Timer { at, cookie } => OrderBody::SetTimer { alarm_time_us: at, cookie },
-        api::Action::Watch => OrderBody::Watch { enable: true },
+        api::Action::WatchWorkers => OrderBody::Watch { enable: true },
     };
     Order { i: instance.to_string(), body }
 }
--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -2,7 +2,7 @@
 
 use super::{Error, io_error, load};
 use crate::config::version;
-use crate::counters::say;
+use crate::counters::print_line;
 use clap::Subcommand;
 use ochreward_control::{Options, Server, cli};
 use ochreward_stream::wire::Fault;
@@ -33,7 +33,7 @@
         file: PathBuf,
     },
     #[command(flatten)]
-    Ask(cli::Words),
+    Ask(cli::Command),
 }
 
 /// Reads a document for the service.
@@ -48,7 +48,7 @@
         Words::Validate { file } => {
             let text = std::fs::read_to_string(&file).map_err(io_error(file.display().to_string()))?;
             version::read(&text)?;
-            say(format_args!("the version is good"));
+            print_line(format_args!("the version is good"));
             Ok(())
         }
         Words::Ask(words) => cli::run(words).map_err(Error::Control),
@@ -63,17 +63,17 @@
     let plan = told.as_ref().map(|t| t.rollout.clone()).unwrap_or_default();
     let options = Options {
         listen: listen.or(told.as_ref().map(|t| t.listen)).ok_or_else(|| missing("--listen"))?,
-        store: store.or(told.as_ref().map(|t| t.store.clone())).ok_or_else(|| missing("--store"))?,
-        streams: told.as_ref().map_or(4_096, |t| t.streams),
-        heartbeat: told.as_ref().map_or(1_000_000, |t| t.heartbeat),
+        store_folder: store.or(told.as_ref().map(|t| t.store.clone())).ok_or_else(|| missing("--store"))?,
+        max_connections: told.as_ref().map_or(4_096, |t| t.streams),
+        heartbeat_us: told.as_ref().map_or(1_000_000, |t| t.heartbeat),
         plan,
-        reader,
+        parse_document: reader,
     };
     let broken = |e: ochreward_control::ServerError| {
         Error::Io("the control service".to_string(), std::io::Error::other(e))
     };
     let mut server = Server::new(options).map_err(broken)?;
     let address = server.address().map_err(io_error("the control service"))?;
-    say(format_args!("ochreward control, epoch {}, listens on {address}", server.epoch()));
+    print_line(format_args!("ochreward control, epoch {}, listens on {address}", server.epoch()));
     server.run().map_err(broken)
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -88,7 +88,7 @@
         top.only(&["mqtt", "agent", "control", "stations", "peers", "overload", "zones", "routing"]);
         let peers = top.get("peers").optional(read_peers);
         // Danger: a part that grows while leases of before still run would be spent twice.
-        let hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.hold);
+        let hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.share_hold);
         Operator {
             brokers: brokers(&top.get("mqtt")),
             agent: top.get("agent").optional(read_agent),
@@ -199,13 +199,13 @@
         |name: &str| key.get(name).members().into_iter().map(|(name, at)| (name, at.address())).collect();
     let (seeds, group, zone) = (key.get("seeds"), key.get("group"), key.get("zone"));
     let list: Vec<SocketAddr> = seeds.entries().iter().map(Key::address).collect();
-    seeds.must(list.len() <= peers::MOST_SEEDS, "holds more than 64 addresses");
+    seeds.must(list.len() <= peers::MAX_SEEDS, "holds more than 64 addresses");
     let (named, place) = (group.text_or(&usual.group), zone.text_or(""));
-    let short = |text: &str| text.len() <= ochreward_membership::wire::MOST_TEXT;
+    let short = |text: &str| text.len() <= ochreward_membership::wire::MAX_TEXT_BYTES;
     group.must(!named.is_empty(), "a name is wanted");
     zone.must(short(&place), "is longer than 32 bytes");
     let (probe_every, probe_timeout) = (
-        ms("probe_ms", 20, 60_000, usual.probe_every),
+        ms("probe_ms", 20, 60_000, usual.probe_period),
         ms("probe_timeout_ms", 5, 30_000, usual.probe_timeout),
     );
     key.get("probe_timeout_ms")
@@ -218,13 +218,13 @@
         zone: place,
         settings: ochreward_membership::Settings {
             group: named,
-            probe_every,
+            probe_period: probe_every,
             probe_timeout,
-            indirect: key.get("indirect").between(0, 16, usual.indirect as u64) as usize,
-            sync_every: ms("sync_ms", 50, 600_000, usual.sync_every),
-            hold: ms("hold_ms", 100, 600_000, usual.hold),
-            join_patience: ms("join_patience_ms", 100, 600_000, usual.join_patience),
-            most_members: key.get("members").between(2, 4_096, usual.most_members as u64) as usize,
+            indirect_probes: key.get("indirect").between(0, 16, usual.indirect_probes as u64) as usize,
+            sync_period: ms("sync_ms", 50, 600_000, usual.sync_period),
+            share_hold: ms("hold_ms", 100, 600_000, usual.share_hold),
+            join_timeout: ms("join_patience_ms", 100, 600_000, usual.join_timeout),
+            max_members: key.get("members").between(2, 4_096, usual.max_members as u64) as usize,
             ..usual
         },
     }
@@ -251,23 +251,23 @@
         "must be a tenth shorter than hold_ms of [peers] at the least",
     );
     overload::Options {
-        resends,
-        orders,
+        resends_per_s: resends,
+        orders_per_s: orders,
         floor: key.get("floor_percent").between(0, 100, 50) * 10,
-        lease,
-        queue: key.get("queue_ms").between(0, 60_000, 0) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 1_000) * 1_000,
-        ramp: key.get("ramp_ms").between(0, 600_000, 0) * 1_000,
-        trial: key.get("trial_ms").between(20, 60_000, 250) * 1_000,
+        lease_us: lease,
+        max_queue_us: key.get("queue_ms").between(0, 60_000, 0) * 1_000,
+        level_hold_us: key.get("stay_ms").between(100, 600_000, 1_000) * 1_000,
+        ramp_us: key.get("ramp_ms").between(0, 600_000, 0) * 1_000,
+        trial_interval_us: key.get("trial_ms").between(20, 60_000, 250) * 1_000,
     }
 }
 
 fn read_zones(key: &Key) -> zones::Options {
     key.only(&["silent_ms", "stay_ms", "dwell_ms"]);
     zones::Options {
-        silent: key.get("silent_ms").between(50, 60_000, 1_000) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 2_000) * 1_000,
-        dwell: key.get("dwell_ms").between(50, 600_000, 500) * 1_000,
+        silence_us: key.get("silent_ms").between(50, 60_000, 1_000) * 1_000,
+        leave_us: key.get("stay_ms").between(100, 600_000, 2_000) * 1_000,
+        step_interval_us: key.get("dwell_ms").between(50, 600_000, 500) * 1_000,
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,12 +1,12 @@
 //! The decisions of a router; its interface (settings, events, actions) is src/api.rs.
 //!
 //! The policy is smallest estimated completion time: a request goes to the worker with the smallest predicted
-//! finish (load time if its copy of the function is not known to be warm, plus own pending work there, plus
+//! finish (load time if its replica of the function is not known to be warm, plus own pending work there, plus
 //! the learned run time). It is refused at once when even that exceeds the time left. Everything else here
-//! feeds that estimate, excludes workers from it, or keeps copies loaded.
+//! feeds that estimate, excludes workers from it, or keeps replicas loaded.
 //!
 //! The first workers of a function in an order of preference that all routers share are its homes. A router
-//! sends there even without knowing of a copy, because other routers probably keep one loaded.
+//! sends there even without knowing of a replica, because other routers probably keep one loaded.
 //!
 //! No I/O and no clock: the time comes with each event. All tables are bounded (`Router::sizes`).
 
@@ -17,10 +17,10 @@
 mod functions;
 mod hints;
 mod learned;
-mod places;
 mod preference;
 mod renewal;
 mod reports;
+mod slots;
 mod tables;
 
 use crate::api::*;
@@ -29,18 +29,20 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 pub use budget::{Budget, Tokens, ZoneGate};
-use candidates::{Known, MOST_RANKED, Rank, Search, least, least_of};
-use evidence::Evidence;
+use candidates::{ChoiceInputs, MAX_RENDEZVOUS_WORKERS, Rank, Search, min_by_key, min_key};
+use evidence::DecayingMean;
 use fleet::FleetSums;
 use functions::FunctionTable;
-pub use functions::{LEAST_FUNCTION_BYTES, USUAL_FUNCTION_BYTES};
-use hints::Size;
-pub use learned::Learned;
-pub use places::{Sizes, Tally};
+pub use functions::{DEFAULT_FUNCTION_BYTES, MIN_FUNCTION_BYTES};
+use hints::WorkHint;
+pub use learned::LearnedState;
 use preference::PreferenceRing;
-use renewal::{RenewalQueue, Use, drop_while};
-use reports::{Fields, Report};
-use tables::{Attempt, Function, Mark, Pool, Request, Worker, mark_mut, rendezvous, sanitized};
+use renewal::{RenewalQueue, ReplicaUse, pop_expired};
+use reports::{LoadReport, ReportFields};
+pub use slots::{DecisionCounters, TableSizes};
+use tables::{
+    Attempt, ClassEstimates, Function, Replica, Request, Worker, rendezvous, replica_mut, sanitized,
+};
 
 // ---- Learning of run times, load times and losses ----
 
@@ -53,7 +55,7 @@
 const RUN_TIME_LEARNING_RATE: f64 = 0.03;
 /// The prior expectation of a worker or function weighs as much as this many answers: run times vary, so that
 /// the first few answers say little.
-const DOUBT: f64 = 3.0;
+const PRIOR_SAMPLES: f64 = 3.0;
 /// At most this many answers of a worker are weighed, so that one that turns slow is noticed quickly.
 const MAX_WORKER_SAMPLES: f64 = 10.0;
 /// Weight of a new load in the load time of a function and of a class.
@@ -75,11 +77,11 @@
 const MAX_ZONE_SAMPLES: f64 = 5.0;
 const ZONE_LOSS_THRESHOLD: f64 = 0.4;
 /// Probability, before any answer, that other routers keep a function warm at its homes.
-const PRIOR_FOUND: f64 = 0.5;
+const PRIOR_HOME_HIT_PROBABILITY: f64 = 0.5;
 
-// ---- Which copies exist ----
+// ---- Which replicas exist ----
 
-/// An idle copy counts as warm for this share of the keep-alive: clocks differ and messages are late.
+/// An idle replica counts as warm for this share of the keep-alive: clocks differ and messages are late.
 const WARM_KEEP_ALIVE_SHARE: f64 = 0.95;
 /// A load counts as under way for this multiple of its expected time.
 const LOAD_TIMEOUT_FACTOR: f64 = 4.0;
@@ -96,16 +98,16 @@
 /// Multiplier on the price of crossing zones: an answer that comes a little later earns no less, so the price
 /// weighs more than the time that it equals.
 const CROSSING_PRICE_FACTOR: f64 = 10.0;
-/// Concurrent requests per lane that one copy is meant to carry. Beyond that, the function gets one more
+/// Concurrent requests per lane that one replica is meant to carry. Beyond that, the function gets one more
 /// home.
 const TARGET_LANE_USE: f64 = 0.3;
 /// The same for a router that sees little of the traffic. It guesses the number of homes badly, and all
-/// routers together hold as many copies as the highest guess asks for, so it fills copies further.
+/// routers together hold as many replicas as the highest guess asks for, so it fills replicas further.
 const TARGET_LANE_USE_SPARSE: f64 = 0.6;
 /// The same where workers report the requests they hold: the load from other routers is visible, and loading
-/// a copy costs more than a short wait.
+/// a replica costs more than a short wait.
 const TARGET_LANE_USE_REPORTED: f64 = 1.2;
-/// Concurrent requests that a worker is assumed to run, whatever one copy does, where workers report the
+/// Concurrent requests that a worker is assumed to run, whatever one replica does, where workers report the
 /// requests they hold. Pending work is divided by it.
 const WORKER_CONCURRENCY_REPORTED: f64 = 3.0;
 /// Share of a run that is left, on average, of each request that a worker reports for other routers. Evenly
@@ -159,13 +161,13 @@
 /// Upper bound of the refused requests that are remembered for each tenant.
 const MAX_REFUSALS_REMEMBERED: f64 = 1_000.0;
 
-// ---- Copies kept loaded ----
+// ---- Replicas kept loaded ----
 
-/// An idle copy is renewed after this share of the keep-alive.
+/// An idle replica is renewed after this share of the keep-alive.
 const RENEW_KEEP_ALIVE_SHARE: f64 = 0.75;
-/// A copy that this router has not used for this many keep-alives is no longer renewed.
+/// A replica that this router has not used for this many keep-alives is no longer renewed.
 const RENEWAL_MAX_UNUSED_KEEP_ALIVES: f64 = 3.0;
-/// Copies that other routers use this often per keep-alive need no renewal: with random arrivals only one in
+/// Replicas that other routers use this often per keep-alive need no renewal: with random arrivals only one in
 /// twenty goes unused for a whole keep-alive (e^-3).
 const MIN_PEER_USES_PER_KEEP_ALIVE: f64 = 3.0;
 /// Where loads are not rationed, requests within this share of the keep-alive show how much this router sees.
@@ -173,7 +175,7 @@
 /// Share of the ration of loads that is used: clocks differ.
 const LOAD_RATION_SHARE: f64 = 0.9;
 /// A function without a request for this many keep-alives is kept as a compact record.
-const DORMANT: f64 = 8.0;
+const DORMANT_AFTER_KEEP_ALIVES: f64 = 8.0;
 
 /// The predicted completion of a request at one worker. Times are in microseconds.
 #[derive(Clone, Copy)]
@@ -191,11 +193,11 @@
     work_factor: f64,
     /// The function would have to be loaded, more probably than not.
     cold: bool,
-    /// The worker is a home where this router has observed no copy, but other routers may keep one.
+    /// The worker is a home where this router has observed no replica, but other routers may keep one.
     unobserved: bool,
-    /// The total if a copy is loaded.
+    /// The total if a replica is loaded.
     total_if_warm: f64,
-    /// The total if the copy has to be loaded.
+    /// The total if the replica has to be loaded.
     total_if_cold: f64,
     /// Number of the turn at a cold worker that this request would use.
     cold_turn: u64,
@@ -215,7 +217,7 @@
         self.total - self.load_wait - (self.run_time - self.run_time / self.work_factor)
     }
 
-    /// Returns the more probable of the two totals: a copy that probably exists needs no time to load.
+    /// Returns the more probable of the two totals: a replica that probably exists needs no time to load.
     fn probable_total(&self) -> f64 {
         if self.unobserved && !self.cold { self.total_if_warm } else { self.total }
     }
@@ -232,12 +234,12 @@
 
 /// One dispatcher's decision logic.
 pub struct Router {
-    set: Settings,
-    report_fields: Fields,
+    settings: Settings,
+    report_fields: ReportFields,
     rng: Pcg32,
     now: Micros,
     /// Half-life of observations, in microseconds.
-    half: f64,
+    half_life_us: f64,
     workers: Vec<Worker>,
     worker_ids: HashMap<WorkerId, usize>,
     /// Slots of workers that are not listed.
@@ -246,25 +248,25 @@
     ring: PreferenceRing,
     /// Whether the order of preference is by rendezvous hashing over all workers, as it is with up to
     /// `most_ranked` listed workers. Larger fleets use the ring.
-    ranks_all: bool,
-    most_ranked: usize,
+    uses_rendezvous: bool,
+    max_rendezvous_workers: usize,
     functions: FunctionTable,
     renewals: RenewalQueue,
     /// Whether every choice estimates every worker. For tests and benchmarks only.
-    scans: bool,
+    exhaustive_search: bool,
     requests: BTreeMap<RequestId, Request>,
     /// What is learned for each class.
-    pools: Vec<Pool>,
+    class_estimates: Vec<ClassEstimates>,
     /// Answers received, for their rate.
-    served: Evidence,
+    answer_rate: DecayingMean,
     /// Recent losses in each zone over all its workers: 0 is an answer, 1 a loss.
-    zones: BTreeMap<usize, Evidence>,
+    zone_losses: BTreeMap<usize, DecayingMean>,
     /// Observed load times over expected ones: the slowness of the store.
-    store: Evidence,
+    store_slowness: DecayingMean,
     /// How little of each worker's load this router sees, from 0 (enough) to 1 (nothing). The more it sees,
     /// the less it infers from other workers.
-    thin: f64,
-    tally: Tally,
+    sparsity: f64,
+    counters: DecisionCounters,
     /// Where dispatchers are members of one group: how many serve, into how many parts a cold worker's budget
     /// is divided, and which part is this router's.
     division: Option<(usize, usize, usize)>,
@@ -272,9 +274,9 @@
     resend_tokens: f64,
     hedge_tokens: f64,
     /// Times of the requests taken and the loads ordered within the ration's window.
-    taken: VecDeque<Micros>,
-    ordered: VecDeque<Micros>,
-    /// When copies were last checked for renewal.
+    recent_requests: VecDeque<Micros>,
+    recent_load_orders: VecDeque<Micros>,
+    /// When replicas were last checked for renewal.
     renewals_checked_at: Micros,
     tenant_quotas: Vec<TenantQuota>,
 }
@@ -283,9 +285,9 @@
     /// Creates a router with these settings and nothing learned.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Router {
         let mut router = Router {
-            set: settings.clone(),
-            report_fields: Fields::default(),
-            half: 1.0,
+            settings: settings.clone(),
+            report_fields: ReportFields::default(),
+            half_life_us: 1.0,
             rng: Pcg32::seed_from_u64(seed),
             now,
             workers: Vec::new(),
@@ -293,24 +295,24 @@
             unlisted: BTreeSet::new(),
             fleet: FleetSums::default(),
             ring: PreferenceRing::default(),
-            ranks_all: true,
-            most_ranked: MOST_RANKED,
-            functions: FunctionTable::new(USUAL_FUNCTION_BYTES),
+            uses_rendezvous: true,
+            max_rendezvous_workers: MAX_RENDEZVOUS_WORKERS,
+            functions: FunctionTable::new(DEFAULT_FUNCTION_BYTES),
             renewals: RenewalQueue::default(),
-            scans: false,
+            exhaustive_search: false,
             requests: BTreeMap::new(),
-            pools: Vec::new(),
-            served: Evidence::default(),
-            zones: BTreeMap::new(),
-            store: Evidence::default(),
-            thin: 1.0,
-            tally: Tally::default(),
+            class_estimates: Vec::new(),
+            answer_rate: DecayingMean::default(),
+            zone_losses: BTreeMap::new(),
+            store_slowness: DecayingMean::default(),
+            sparsity: 1.0,
+            counters: DecisionCounters::default(),
             division: None,
             budget: Budget::default(),
             resend_tokens: MAX_TOKENS,
             hedge_tokens: MAX_TOKENS,
-            taken: VecDeque::new(),
-            ordered: VecDeque::new(),
+            recent_requests: VecDeque::new(),
+            recent_load_orders: VecDeque::new(),
             renewals_checked_at: 0,
             tenant_quotas: Vec::new(),
         };
@@ -319,18 +321,18 @@
     }
 
     /// Returns the number of workers, of functions known in full, and of requests in its tables.
-    pub fn held(&self) -> (usize, usize, usize) {
+    pub fn entry_counts(&self) -> (usize, usize, usize) {
         (self.workers.len(), self.functions.counts().0, self.requests.len())
     }
 
     /// Sets how many routers serve, into how many parts a cold worker's budget is divided, and the number of
     /// this router's part. With `None`, the settings apply.
-    pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
+    pub fn set_cold_budget_division(&mut self, division: Option<(usize, usize, usize)>) {
         self.division = division;
     }
 
     /// Records that a connection to a worker was refused although no attempt was sent there, as by a probe.
-    pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
+    pub fn probe_failed(&mut self, now: Micros, worker: &WorkerId) {
         if let Some(slot) = self.worker_ids.get(worker) {
             self.workers[*slot].connection_failed(now, true);
         }
@@ -340,19 +342,22 @@
     /// Requests under way keep the rules that their class had when they arrived.
     pub fn configure(&mut self, settings: Settings, fresh: &[usize]) {
         let settings = sanitized(settings);
-        self.half = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
+        self.half_life_us = (HALF_LIFE_KEEP_ALIVE_SHARE * settings.keep_alive as f64).max(MIN_HALF_LIFE_US);
         let highest_credit = settings.classes.iter().map(|c| c.credit).fold(f64::MIN_POSITIVE, f64::max);
-        let mut old_pools = std::mem::take(&mut self.pools);
+        let mut old_pools = std::mem::take(&mut self.class_estimates);
         for (index, class) in settings.classes.iter().enumerate() {
-            let known = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
-            let initial = || Pool { run: class.aim as f64 * PRIOR_RUN_AIM_SHARE, ..Pool::default() };
+            let inputs = old_pools.get_mut(index).filter(|_| !fresh.contains(&index)).map(std::mem::take);
+            let initial = || ClassEstimates {
+                run_time: class.latency_target as f64 * PRIOR_RUN_AIM_SHARE,
+                ..ClassEstimates::default()
+            };
             let worth = (class.credit / highest_credit).clamp(0.0, 1.0);
             let queue_aim_share = IDLE_AIM_SHARE + (1.0 - IDLE_AIM_SHARE) * worth.sqrt();
-            self.pools.push(Pool { queue_aim_share, ..known.unwrap_or_else(initial) });
+            self.class_estimates.push(ClassEstimates { queue_aim_share, ..inputs.unwrap_or_else(initial) });
         }
         for worker in &mut self.workers {
-            worker.lost.resize(settings.classes.len(), Evidence::default());
-            worker.heard.resize(settings.classes.len(), 0);
+            worker.losses_by_class.resize(settings.classes.len(), DecayingMean::default());
+            worker.last_answer_by_class.resize(settings.classes.len(), 0);
         }
         let full = |quota: &f64| TenantQuota {
             tokens: quota * QUOTA_BURST_US / 1e6,
@@ -360,45 +365,57 @@
             refused: 0.0,
         };
         self.tenant_quotas = settings.tenant_quotas.iter().map(full).collect();
-        self.report_fields = Fields::of(&settings.report_fields);
-        self.set = settings;
-        self.rebuild();
+        self.report_fields = ReportFields::of(&settings.report_fields);
+        self.settings = settings;
+        self.rebuild_indexes();
     }
 
     /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Workers { complete, entries } => self.list(*complete, entries, out),
-            Event::ListRefused if self.set.list_on_request => out.push(Action::Watch),
-            Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, copies, .. } => {
+            Event::Workers { complete, entries } => self.apply_worker_list(*complete, entries, out),
+            Event::ListRefused if self.settings.list_on_request => out.push(Action::WatchWorkers),
+            Event::Loaded { worker, function, outcome: Outcome::Full | Outcome::Error, replicas, .. } => {
                 let slots = self.worker_ids.get(worker).zip(self.functions.slot(function));
-                if let Some(mark) = slots.and_then(|(w, f)| self.workers[*w].marks.get_mut(&f)) {
-                    (mark.copies, mark.loading) = (*copies, None);
+                if let Some(replica) = slots.and_then(|(w, f)| self.workers[*w].replicas.get_mut(&f)) {
+                    (replica.count, replica.loading) = (*replicas, None);
                 }
             }
             Event::ListRefused | Event::Loaded { .. } => {}
-            Event::Request { id, class, tenant, function, lanes, load_time, work, again, time_left } => {
-                if *class >= self.set.classes.len() || self.requests.contains_key(id) {
+            Event::Request {
+                id,
+                class,
+                tenant,
+                function,
+                replica_concurrency: lanes,
+                load_time,
+                work_hint: work,
+                is_retry: again,
+                time_left,
+            } => {
+                if *class >= self.settings.classes.len() || self.requests.contains_key(id) {
                     return out.push(Action::Refuse { id: *id, retry_after: 0 });
                 }
-                let function = self.function(function, *class, *lanes, *load_time);
-                let (f, pool) = (&mut self.functions[function], &mut self.pools[*class]);
-                let size = Size::weigh(*work, &mut f.hinted, &mut pool.hinted, pool.hint_power);
+                let function = self.function_slot(function, *class, *lanes, *load_time);
+                let (f, pool) = (&mut self.functions[function], &mut self.class_estimates[*class]);
+                let size =
+                    WorkHint::estimate(*work, &mut f.usual_hint, &mut pool.usual_hint, pool.hint_power);
                 let up = self.fleet.up().max(1) as f64;
-                self.thin = 1.0 / (1.0 + self.taken.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
+                self.sparsity =
+                    1.0 / (1.0 + self.recent_requests.len() as f64 / up / HALF_SIGHT_REQUESTS_PER_WORKER);
                 let deadline = self.now.saturating_add(*time_left);
                 self.resend_tokens = (self.resend_tokens + RESEND_SHARE).min(MAX_TOKENS);
                 self.hedge_tokens = (self.hedge_tokens + HEDGE_SHARE).min(MAX_TOKENS);
                 let (class, tenant, over_quota) = (*class, *tenant, self.charge_quota(*tenant, *again));
-                let (rules, max_attempts) = (self.set.classes[class], self.set.max_attempts);
+                let (rules, max_attempts) = (self.settings.classes[class], self.settings.max_attempts);
                 if *again {
-                    self.budget.came_again();
+                    self.budget.count_client_retry();
                 }
                 let request = Request {
                     class,
                     tenant,
-                    rules,
+                    class_settings: rules,
                     max_attempts,
                     function,
                     size,
@@ -412,11 +429,11 @@
                 // arrives.
                 out.push(Action::Timer { at: deadline, cookie: *id });
                 self.dispatch(*id, out);
-                self.functions[function].seen.add(self.now, self.half, 1.0);
-                self.renew_copies(out);
+                self.functions[function].request_rate.add(self.now, self.half_life_us, 1.0);
+                self.renew_replicas(out);
                 self.retire_functions();
             }
-            Event::Outcome { id, last, .. } => {
+            Event::AttemptEnded { id, is_final: last, .. } => {
                 self.close_attempt(event);
                 let Some(request) = self.requests.get_mut(id) else { return };
                 request.ended |= *last;
@@ -438,66 +455,71 @@
         }
     }
 
-    // ---- Copies kept and loaded ahead ----
+    // ---- Replicas kept and loaded ahead ----
 
-    /// Orders idle copies loaded again before their keep-alive runs out, within the ration of loads.
+    /// Orders idle replicas loaded again before their keep-alive runs out, within the ration of loads.
     /// Otherwise they would be unloaded, and the next request would wait for a load.
-    fn renew_copies(&mut self, out: &mut Vec<Action>) {
-        self.taken.push_back(self.now);
-        if self.set.load_window == 0 || !self.set.orders {
-            // Without a ration nothing would bound the copies held: they would displace those that others
+    fn renew_replicas(&mut self, out: &mut Vec<Action>) {
+        self.recent_requests.push_back(self.now);
+        if self.settings.load_window == 0 || !self.settings.load_orders_allowed {
+            // Without a ration nothing would bound the replicas held: they would displace those that others
             // need, and memory has a price. So none is renewed.
             let since =
-                self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) as Micros);
+                self.now.saturating_sub((SIGHT_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64) as Micros);
             self.renewals.clear();
-            return drop_while(&mut self.taken, |t| t <= since);
+            return pop_expired(&mut self.recent_requests, |t| t <= since);
         }
-        let too_early = self.now < self.renewals_checked_at + self.set.load_window / 100;
+        let too_early = self.now < self.renewals_checked_at + self.settings.load_window / 100;
         if too_early {
             return;
         }
         self.renewals_checked_at = self.now;
-        let keep_alive = self.set.keep_alive as f64;
+        let keep_alive = self.settings.keep_alive as f64;
         let workers = &self.workers;
-        let is_latest =
-            |used: &Use| workers[used.worker].marks.get(&used.function).is_some_and(|m| m.used == used.at);
-        let uses: Vec<Use> = self
+        let is_latest = |used: &ReplicaUse| {
+            workers[used.worker].replicas.get(&used.function).is_some_and(|m| m.last_used == used.at)
+        };
+        let uses: Vec<ReplicaUse> = self
             .renewals
             .due(self.now, keep_alive, (RENEW_KEEP_ALIVE_SHARE, WARM_KEEP_ALIVE_SHARE), is_latest)
             .copied()
             .collect();
         let mut due: Vec<(f64, usize, usize)> = Vec::new();
-        for Use { worker: worker_slot, function: function_slot, .. } in uses {
+        for ReplicaUse { worker: worker_slot, function: function_slot, .. } in uses {
             let (worker, function) = (&self.workers[worker_slot], &self.functions[function_slot]);
-            let mark = &worker.marks[&function_slot];
-            let unused_keep_alives = (self.now - mark.asked) as f64 / keep_alive;
-            let idle_copy = worker.up && mark.copies > 0 && mark.loading.is_none() && mark.own == 0;
-            if idle_copy && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
-                // If every router renewed the copies that all of them use, there would be as many load orders
-                // as requests. So a copy that the others use often enough is left to them.
-                let rate = function.seen.rate(self.now, self.half);
-                let peers = (self.set.balancers - 1) as f64;
+            let replica = &worker.replicas[&function_slot];
+            let unused_keep_alives = (self.now - replica.last_requested) as f64 / keep_alive;
+            let idle_replica =
+                worker.up && replica.count > 0 && replica.loading.is_none() && replica.own_in_flight == 0;
+            if idle_replica && unused_keep_alives < RENEWAL_MAX_UNUSED_KEEP_ALIVES && function.served {
+                // If every router renewed the replicas that all of them use, there would be as many load orders
+                // as requests. So a replica that the others use often enough is left to them.
+                let rate = function.request_rate.rate(self.now, self.half_life_us);
+                let peers = (self.settings.dispatcher_count - 1) as f64;
                 let peer_uses = peers * (rate * keep_alive).max(1.0 / unused_keep_alives);
                 let left_to_peers = peer_uses / self.demand(function).1 >= MIN_PEER_USES_PER_KEEP_ALIVE;
-                self.tally.loads_left += u64::from(left_to_peers);
+                self.counters.renewals_skipped += u64::from(left_to_peers);
                 due.extend((!left_to_peers).then_some((rate, worker_slot, function_slot)));
             }
         }
         due.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
-        let since = self.now.saturating_sub(self.set.load_window);
-        drop_while(&mut self.taken, |t| t <= since);
-        drop_while(&mut self.ordered, |t| t < since);
-        let ration = self.set.loads_anyway + self.set.loads_per_request * self.taken.len() as f64;
+        let since = self.now.saturating_sub(self.settings.load_window);
+        pop_expired(&mut self.recent_requests, |t| t <= since);
+        pop_expired(&mut self.recent_load_orders, |t| t < since);
+        let ration =
+            self.settings.loads_anyway + self.settings.loads_per_request * self.recent_requests.len() as f64;
         let usable_ration = (LOAD_RATION_SHARE * ration) as usize;
-        for (_, worker, function) in due.into_iter().take(usable_ration.saturating_sub(self.ordered.len())) {
-            if !self.budget.order() {
+        for (_, worker, function) in
+            due.into_iter().take(usable_ration.saturating_sub(self.recent_load_orders.len()))
+        {
+            if !self.budget.take_load_order() {
                 break;
             }
-            self.ordered.push_back(self.now);
+            self.recent_load_orders.push_back(self.now);
             let (w, id) = (&mut self.workers[worker], self.functions[function].id.clone());
-            w.marks.entry(function).and_modify(|m| m.used = self.now);
-            self.renewals.push(Use { at: self.now, worker, function });
-            out.push(Action::Load { worker: w.id.clone(), function: id, copies: 1 });
+            w.replicas.entry(function).and_modify(|m| m.last_used = self.now);
+            self.renewals.push(ReplicaUse { at: self.now, worker, function });
+            out.push(Action::Load { worker: w.id.clone(), function: id, replicas: 1 });
         }
     }
 
@@ -507,8 +529,12 @@
     /// the weight. The weight is one sample at most, and none for a cold worker.
     fn slowness_sample(&self, worker: &Worker) -> (f64, f64) {
         let cold = self.present_share(worker) < 1.0;
-        let weight = if cold { 0.0 } else { self.thin * worker.slow.samples(self.now, self.half).min(1.0) };
-        (weight * worker.slow.own_mean().unwrap_or(1.0), weight)
+        let weight = if cold {
+            0.0
+        } else {
+            self.sparsity * worker.slowness.samples(self.now, self.half_life_us).min(1.0)
+        };
+        (weight * worker.slowness.own_mean().unwrap_or(1.0), weight)
     }
 
     /// Returns the estimated slowness of a worker: observed over expected times. One of many routers observes
@@ -516,48 +542,64 @@
     /// colder it is, the less of their queueing is assumed.
     fn slowness(&self, worker: &Worker, peers: (f64, f64)) -> f64 {
         let own = self.slowness_sample(worker);
-        let peers = (DOUBT + peers.0 - own.0) / (DOUBT + peers.1 - own.1);
-        worker.slow.mean(self.now, self.half, peers.powf(self.present_share(worker)), DOUBT)
+        let peers = (PRIOR_SAMPLES + peers.0 - own.0) / (PRIOR_SAMPLES + peers.1 - own.1);
+        worker.slowness.mean_with_prior(
+            self.now,
+            self.half_life_us,
+            peers.powf(self.present_share(worker)),
+            PRIOR_SAMPLES,
+        )
     }
 
     /// Returns the weighted sum of the slowness of all workers, and the sum of the weights.
-    fn peers(&self) -> (f64, f64) {
+    fn fleet_slowness(&self) -> (f64, f64) {
         let (sum, weight) = self.fleet.slowness(self.now);
-        (self.thin * sum, self.thin * weight)
+        (self.sparsity * sum, self.sparsity * weight)
     }
 
     /// Returns the load time of a function while the store works at its usual speed.
     fn base_load_time(&self, function: &Function) -> f64 {
-        function.told_load.or(function.load).or(self.pools[function.class].load).unwrap_or(PRIOR_LOAD_US)
+        function
+            .stated_load_time
+            .or(function.load_time)
+            .or(self.class_estimates[function.class].load_time)
+            .unwrap_or(PRIOR_LOAD_US)
     }
 
     /// Returns the expected load time of a function at the present speed of the store.
     fn load_time(&self, function: usize) -> f64 {
         self.base_load_time(&self.functions[function])
-            * self.store.mean(self.now, self.half, 1.0, DOUBT).max(0.5)
+            * self.store_slowness.mean_with_prior(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES).max(0.5)
     }
 
     /// Adjusts a worker's slowness by the relative error of a prediction.
     fn learn_slowness(&mut self, worker: usize, error: f64) {
         self.fleet.advance(self.now);
-        let slow = self.slowness(&self.workers[worker], self.peers());
-        self.workers[worker].slow.learn(self.now, self.half, slow * (1.0 + error), MAX_WORKER_SAMPLES);
+        let slow = self.slowness(&self.workers[worker], self.fleet_slowness());
+        self.workers[worker].slowness.add_limited(
+            self.now,
+            self.half_life_us,
+            slow * (1.0 + error),
+            MAX_WORKER_SAMPLES,
+        );
         self.fleet.update(worker, &self.workers[worker], self.now);
     }
 
     /// Updates the run times of the function and its class and the worker's slowness from an answer of a warm
-    /// copy.
+    /// replica.
     fn learn_run_time(&mut self, function: usize, worker: usize, took: f64, expected: f64) {
         let error = (took / expected.max(1.0)).min(MAX_ERROR_RATIO) - 1.0;
         self.learn_slowness(worker, error);
         let f = &mut self.functions[function];
-        f.answers += 1;
+        f.answer_count += 1;
         // A large excess is a queue at the worker and says nothing about the function, whose run time would
         // otherwise grow with every queue. So the error is capped here.
         let error = error.min(1.0);
-        f.run += (1.0 / (f64::from(f.answers) + DOUBT)).max(RUN_TIME_LEARNING_RATE) * f.run * error;
-        let class = &mut self.pools[f.class].run;
-        *class += RUN_TIME_LEARNING_RATE * (f.run - *class);
+        f.run_time += (1.0 / (f64::from(f.answer_count) + PRIOR_SAMPLES)).max(RUN_TIME_LEARNING_RATE)
+            * f.run_time
+            * error;
+        let class = &mut self.class_estimates[f.class].run_time;
+        *class += RUN_TIME_LEARNING_RATE * (f.run_time - *class);
     }
 
     /// Updates the load times of the function and its class and the slowness of the store from a load that
@@ -568,32 +610,32 @@
         if took < MIN_LOAD_TIME_SHARE * base {
             return;
         }
-        let store = self.store.mean(self.now, self.half, 1.0, DOUBT);
+        let store = self.store_slowness.mean_with_prior(self.now, self.half_life_us, 1.0, PRIOR_SAMPLES);
         let f = &mut self.functions[function];
-        if f.told_load.or(f.load).is_some() {
-            self.store.add(self.now, self.half, (took / base).min(MAX_ERROR_RATIO));
+        if f.stated_load_time.or(f.load_time).is_some() {
+            self.store_slowness.add(self.now, self.half_life_us, (took / base).min(MAX_ERROR_RATIO));
         }
         let sample = took / store.max(1.0);
-        let load = f.load.unwrap_or(sample);
-        f.load = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
-        let class = self.pools[f.class].load.unwrap_or(sample);
-        self.pools[f.class].load = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
+        let load = f.load_time.unwrap_or(sample);
+        f.load_time = Some(load + LOAD_TIME_LEARNING_RATE * (sample - load));
+        let class = self.class_estimates[f.class].load_time.unwrap_or(sample);
+        self.class_estimates[f.class].load_time = Some(class + LOAD_TIME_LEARNING_RATE * (sample - class));
     }
 
     // ---- Requests and attempts: which sends are allowed ----
 
     /// Returns whether the request may be sent to the worker now. Every send is checked here.
     fn may_send(&self, request: &Request, worker: usize) -> bool {
-        let (class, target) = (&request.rules, &self.workers[worker]);
+        let (class, target) = (&request.class_settings, &self.workers[worker]);
         let over = request.ended || request.streaming || self.now >= request.deadline;
-        let blocks = |a: &Attempt| a.open && (!self.set.may_duplicate || a.e.worker == worker);
-        let exhausted = request.attempts.len() >= request.max_attempts.min(self.set.max_attempts);
-        let allowed = !over && target.up && !exhausted && self.budget.open(target);
+        let blocks = |a: &Attempt| a.open && (!self.settings.may_duplicate || a.estimate.worker == worker);
+        let exhausted = request.attempts.len() >= request.max_attempts.min(self.settings.max_attempts);
+        let allowed = !over && target.up && !exhausted && self.budget.allows(target);
         if !allowed || request.attempts.iter().any(blocks) {
             return false;
         }
         let Some(first) = request.attempts.iter().find(|a| a.may_have_run) else { return true };
-        let first_worker = &self.workers[first.e.worker];
+        let first_worker = &self.workers[first.estimate.worker];
         match class.effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => false,
@@ -614,7 +656,7 @@
 
     /// Returns whether the request may be refused: if the client may retry it, or if no attempt can have run.
     fn may_refuse(&self, request: &Request) -> bool {
-        let class = &request.rules;
+        let class = &request.class_settings;
         class.effect == Effect::Idempotent
             || (class.effect == Effect::Deduplicated && class.key_scope == KeyScope::All)
             || request.attempts.iter().all(|a| !a.may_have_run)
@@ -623,7 +665,7 @@
     /// Returns the share of its full capacity that a worker is sure to have now.
     fn present_share(&self, worker: &Worker) -> f64 {
         let Some(age) = worker.ready_at.map(|r| self.now.saturating_sub(r)) else { return 1.0 };
-        let (least, warm) = (self.set.cold_share, self.set.warm_after.max(1) as f64);
+        let (least, warm) = (self.settings.cold_share, self.settings.warm_after.max(1) as f64);
         (least + (1.0 - least) * age as f64 / warm).min(1.0)
     }
 
@@ -632,34 +674,40 @@
     /// started. Its budget is dealt out to the routers in rotation, one request per turn, and an unused turn
     /// lapses. The worker's full capacity is taken to be what its peers serve each, and at least what one
     /// core could.
-    fn next_cold_turn(&self, worker: &Worker, function: &Function, known: &Known) -> Option<u64> {
+    fn next_cold_turn(&self, worker: &Worker, function: &Function, inputs: &ChoiceInputs) -> Option<u64> {
         let age = worker.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
-        let warm_after = self.set.warm_after as f64;
+        let warm_after = self.settings.warm_after as f64;
         if age >= warm_after {
-            return Some(worker.turn);
+            return Some(worker.last_cold_turn);
         }
-        let (alive, parts, my_part) =
-            self.division.unwrap_or((self.set.balancers, self.set.balancers, self.set.me));
+        let (alive, parts, my_part) = self.division.unwrap_or((
+            self.settings.dispatcher_count,
+            self.settings.dispatcher_count,
+            self.settings.own_index,
+        ));
         let parts = parts.max(1) as u64;
-        let fleet_capacity = known.capacity.get_or_init(|| self.capacity()).max(1.0);
-        let rate_per_worker = self.served.rate(self.now, self.half) * alive as f64 / fleet_capacity;
-        let rate_per_worker = rate_per_worker.max(1.0 / self.pools[function.class].run.max(1.0));
+        let fleet_capacity = inputs.capacity.get_or_init(|| self.capacity()).max(1.0);
+        let rate_per_worker =
+            self.answer_rate.rate(self.now, self.half_life_us) * alive as f64 / fleet_capacity;
+        let rate_per_worker =
+            rate_per_worker.max(1.0 / self.class_estimates[function.class].run_time.max(1.0));
         // With many routers, the one whose turn it is often has no request to use it for. The rotation is
         // sped up to make up for the turns that are expected to lapse.
-        let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.set.fall_window as f64;
-        let observed_for = self.taken.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
-        let expected_requests =
-            COLD_ATTRACTION_FACTOR * lifetime / fleet_capacity * (self.taken.len() + 1) as f64 / observed_for;
+        let lifetime = TURN_LIFETIME_WINDOW_SHARE * self.settings.fall_window as f64;
+        let observed_for = self.recent_requests.front().map_or(1.0, |t| (self.now - t).max(1) as f64);
+        let expected_requests = COLD_ATTRACTION_FACTOR * lifetime / fleet_capacity
+            * (self.recent_requests.len() + 1) as f64
+            / observed_for;
         let used_share = (1.0 - (-expected_requests).exp()).max(MIN_TURN_USE_SHARE);
-        let full_rate = COLD_BUDGET_SHARE / used_share * self.set.fall_multiple * rate_per_worker;
-        let cold_share = self.set.cold_share;
+        let full_rate = COLD_BUDGET_SHARE / used_share * self.settings.fall_multiple * rate_per_worker;
+        let cold_share = self.settings.cold_share;
         // Turns dealt out up to an age: the integral of a rate that grows linearly from the cold share to the
         // full one.
         let turns_at = |age: f64| {
             (full_rate * (cold_share * age + (1.0 - cold_share) * age * age / (2.0 * warm_after))) as u64
         };
         let lapsed = turns_at((age - lifetime).max(0.0));
-        let after = lapsed.max(worker.turn);
+        let after = lapsed.max(worker.last_cold_turn);
         let offset = rendezvous(&worker.id, &worker.id).wrapping_add(my_part as u64) % parts;
         let next = after + 1 + (offset + parts - (after + 1) % parts) % parts;
         (next <= turns_at(age)).then_some(next)
@@ -670,8 +718,8 @@
     /// Charges a request to this router's part of its tenant's quota and returns whether the quota was
     /// exhausted. A client's retry of a request that this router refused is not charged again.
     fn charge_quota(&mut self, tenant: usize, is_retry: bool) -> bool {
-        let Some(quota) = self.set.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
-        let tokens_per_us = quota / self.set.balancers as f64 / 1e6;
+        let Some(quota) = self.settings.tenant_quotas.get(tenant).filter(|q| **q > 0.0) else { return false };
+        let tokens_per_us = quota / self.settings.dispatcher_count as f64 / 1e6;
         let TenantQuota { tokens, updated_at, refused } = self.tenant_quotas[tenant];
         let refilled = tokens + tokens_per_us * (self.now - updated_at) as f64;
         let tokens = refilled.min((tokens_per_us * QUOTA_BURST_US).max(1.0));
@@ -684,8 +732,9 @@
     }
 
     /// Returns the time of a load, plus the price of its fetch converted to time.
-    fn whole_load(&self, request: &Request) -> f64 {
-        self.load_time(request.function) + self.set.fetch_price * request.rules.aim as f64
+    fn load_cost(&self, request: &Request) -> f64 {
+        self.load_time(request.function)
+            + self.settings.fetch_price * request.class_settings.latency_target as f64
     }
 
     /// Predicts the completion of a request at a worker; `None` if it may not be sent there now. `rank` is
@@ -695,59 +744,70 @@
         request: &Request,
         worker: usize,
         rank: Option<&Rank>,
-        known: &Known,
+        inputs: &ChoiceInputs,
     ) -> Option<Estimate> {
         let target = &self.workers[worker];
         let function = &self.functions[request.function];
-        let class = &request.rules;
-        let slowness =
-            self.slowness(target, known.peers) / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
-        let run_time = function.run * slowness * request.size.size;
+        let class = &request.class_settings;
+        let slowness = self.slowness(target, inputs.fleet_slowness)
+            / self.present_share(target).powf(COLD_CAPACITY_EXPONENT);
+        let run_time = function.run_time * slowness * request.size.run_time_factor;
         let cold_turn =
-            self.next_cold_turn(target, function, known).filter(|_| self.may_send(request, worker))?;
-        let mark = target.marks.get(&request.function).copied().unwrap_or_default();
-        let warmth = self.warmth(&mark);
-        let whole_load = self.whole_load(request);
+            self.next_cold_turn(target, function, inputs).filter(|_| self.may_send(request, worker))?;
+        let replica = target.replicas.get(&request.function).copied().unwrap_or_default();
+        let warmth = self.warmth(&replica);
+        let whole_load = self.load_cost(request);
         let rank = rank.filter(|_| matches!(warmth, Warmth::Cold));
-        let peer_copy = rank.map(|rank| self.peer_copy_probability(function, rank, known));
-        let (load_wait, copies) = match warmth {
-            Warmth::Warm => (0.0, mark.copies),
+        let peer_replica = rank.map(|rank| self.peer_replica_probability(function, rank, inputs));
+        let (load_wait, replicas) = match warmth {
+            Warmth::Warm => (0.0, replica.count),
             Warmth::Loading(left) => (left, 1),
-            Warmth::Cold => ((1.0 - peer_copy.unwrap_or(0.0)) * whole_load, 1),
+            Warmth::Cold => ((1.0 - peer_replica.unwrap_or(0.0)) * whole_load, 1),
         };
         let run_time_of =
-            |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.e.run_time);
-        let own_work: f64 = target.open.iter().filter_map(run_time_of).sum();
-        let routers = self.set.balancers as f64;
+            |(id, n): &(RequestId, usize)| Some(self.requests.get(id)?.attempts.get(*n)?.estimate.run_time);
+        let own_work: f64 = target.open_attempts.iter().filter_map(run_time_of).sum();
+        let routers = self.settings.dispatcher_count as f64;
         let unseen_work = MAX_UNSEEN_PER_OWN * own_work * (routers - 1.0) / (routers + 1.0);
-        let (reported, report_weight) = target.report.others(self.now);
-        let reported_work = report_weight * REMAINING_RUN_SHARE * reported * self.pools[request.class].run;
-        let concurrency =
-            if self.report_fields.told() { WORKER_CONCURRENCY_REPORTED } else { function.lanes.min(2.0) };
+        let (reported, report_weight) = target.report.held_for_others(self.now);
+        let reported_work =
+            report_weight * REMAINING_RUN_SHARE * reported * self.class_estimates[request.class].run_time;
+        let concurrency = if self.report_fields.reports_held() {
+            WORKER_CONCURRENCY_REPORTED
+        } else {
+            function.lanes.min(2.0)
+        };
         let pending = (own_work + reported_work + (1.0 - report_weight) * unseen_work) / concurrency;
-        let in_flight = f64::from(mark.own) + mark.others_in_flight;
-        let lanes = function.lanes * f64::from(copies.max(1));
+        let in_flight = f64::from(replica.own_in_flight) + replica.others_in_flight;
+        let lanes = function.lanes * f64::from(replicas.max(1));
         let lane_wait = run_time * ((in_flight + 1.0 - lanes) / lanes).max(0.0);
-        let total = self.set.tick as f64 + load_wait + pending.max(lane_wait) + run_time;
+        let total = self.settings.min_batch_interval as f64 + load_wait + pending.max(lane_wait) + run_time;
         // A worker that has just rejected this request would probably do so again: every other worker comes
         // first.
-        let rejected = request.attempts.iter().any(|a| a.e.worker == worker && a.rejected);
-        let crossing = if target.zone == self.set.my_zone {
+        let rejected = request.attempts.iter().any(|a| a.estimate.worker == worker && a.rejected);
+        let crossing = if target.zone == self.settings.own_zone {
             0.0
         } else {
-            CROSSING_PRICE_FACTOR * self.set.cross_zone_price
+            CROSSING_PRICE_FACTOR * self.settings.cross_zone_price
         };
         // When a zone is lost, attempts fail at all its workers: failures at a few are held against the rest
         // too.
-        let zone_loss = self.zones.get(&target.zone).map_or(0.0, |h| h.mean(self.now, self.half, 0.0, 1.0));
+        let zone_loss = self
+            .zone_losses
+            .get(&target.zone)
+            .map_or(0.0, |h| h.mean_with_prior(self.now, self.half_life_us, 0.0, 1.0));
         let excess_loss = ((zone_loss - ZONE_LOSS_THRESHOLD) / (1.0 - ZONE_LOSS_THRESHOLD)).max(0.0);
-        let expected_loss = self.thin * excess_loss;
+        let expected_loss = self.sparsity * excess_loss;
         // Fast failures make a worker look idle, and without this penalty it would attract all traffic. A
         // hang or a broken link shows only as missing answers. A loss costs the client its whole deadline.
         // The penalty only ranks workers; it causes no refusal.
-        let risk_penalty = target.lost[request.class].mean(self.now, self.half, expected_loss, DOUBT)
-            * class.deadline as f64
-            + crossing * class.aim as f64
+        let risk_penalty = target.losses_by_class[request.class].mean_with_prior(
+            self.now,
+            self.half_life_us,
+            expected_loss,
+            PRIOR_SAMPLES,
+        ) * class.deadline as f64
+            + crossing * class.latency_target as f64
             + if rejected { class.deadline as f64 } else { 0.0 };
         let total_if_warm = total - load_wait;
         Some(Estimate {
@@ -757,17 +817,19 @@
             // Only the usual load time is excused as a load: what a slow store adds counts as queueing.
             load_wait: load_wait.min(self.base_load_time(function)),
             run_time,
-            work_factor: request.size.size,
-            cold: matches!(warmth, Warmth::Cold) && peer_copy.is_none_or(|p| p <= PRIOR_FOUND),
-            unobserved: peer_copy.is_some(),
+            work_factor: request.size.run_time_factor,
+            cold: matches!(warmth, Warmth::Cold)
+                && peer_replica.is_none_or(|p| p <= PRIOR_HOME_HIT_PROBABILITY),
+            unobserved: peer_replica.is_some(),
             total_if_warm,
-            total_if_cold: if peer_copy.is_some() { total_if_warm + whole_load } else { total },
+            total_if_cold: if peer_replica.is_some() { total_if_warm + whole_load } else { total },
             cold_turn,
             // The wait grows with the number of routers, so that all of them together try an unused worker
             // with about one request at a time.
-            idle: target.open.is_empty()
-                && (self.now - target.sent) as f64
-                    >= (self.set.balancers - 1) as f64 * self.pools[request.class].run,
+            idle: target.open_attempts.is_empty()
+                && (self.now - target.last_sent) as f64
+                    >= (self.settings.dispatcher_count - 1) as f64
+                        * self.class_estimates[request.class].run_time,
         })
     }
 
@@ -777,47 +839,61 @@
         // Of many rarely used functions each router sees a few by chance. Scaling every request up by the
         // number of routers would give all of them many homes. So the request that made the function known
         // here counts once, and only further ones are scaled up.
-        let (seen, routers) = (function.seen.samples(self.now, self.half), self.set.balancers as f64);
+        let (seen, routers) = (
+            function.request_rate.samples(self.now, self.half_life_us),
+            self.settings.dispatcher_count as f64,
+        );
         let further_share = (seen - 1.0).max(0.0) / seen.max(1.0);
-        let rate = function.seen.rate(self.now, self.half) * (1.0 + (routers - 1.0) * further_share);
-        let rate_times_run = rate * function.run;
-        let of_class = self.pools[function.class].concurrency.mean(self.now, self.half, rate_times_run, 1.0);
-        let expected = (of_class + seen * rate * function.run) / (1.0 + seen);
-        let concurrency = function.concurrency.mean(self.now, self.half, expected, 1.0);
-        let lane_use = if self.report_fields.told() {
+        let rate =
+            function.request_rate.rate(self.now, self.half_life_us) * (1.0 + (routers - 1.0) * further_share);
+        let rate_times_run = rate * function.run_time;
+        let of_class = self.class_estimates[function.class].concurrency.mean_with_prior(
+            self.now,
+            self.half_life_us,
+            rate_times_run,
+            1.0,
+        );
+        let expected = (of_class + seen * rate * function.run_time) / (1.0 + seen);
+        let concurrency = function.concurrency.mean_with_prior(self.now, self.half_life_us, expected, 1.0);
+        let lane_use = if self.report_fields.reports_held() {
             TARGET_LANE_USE_REPORTED
         } else {
-            TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.thin
+            TARGET_LANE_USE + (TARGET_LANE_USE_SPARSE - TARGET_LANE_USE) * self.sparsity
         };
         (rate, (concurrency / (function.lanes.min(2.0) * lane_use)).max(1.0).ceil())
     }
 
     /// Returns the probability that other routers keep the function warm at a worker, one of its homes. A
     /// worker that became a home only because others left counts as one from the time they left: otherwise,
-    /// after the loss of many workers, all routers would assume copies that none has loaded yet.
-    fn peer_copy_probability(&self, function: &Function, rank: &Rank, known: &Known) -> f64 {
-        let (rate, homes, up_before) = (known.rate, known.homes, rank.up);
-        let home_since = Some(rank.fell).filter(|_| rank.all >= homes);
+    /// after the loss of many workers, all routers would assume replicas that none has loaded yet.
+    fn peer_replica_probability(&self, function: &Function, rank: &Rank, inputs: &ChoiceInputs) -> f64 {
+        let (rate, homes, up_before) = (inputs.request_rate, inputs.homes, rank.up_before);
+        let home_since = Some(rank.last_down_at).filter(|_| rank.workers_before >= homes);
         let age = match self.workers[rank.worker].ready_at.max(home_since) {
             Some(since) => (self.now.saturating_sub(since) as f64 - self.base_load_time(function)).max(0.0),
             None => f64::INFINITY,
         };
-        let uses = (rate / homes).max(1.0 / self.set.keep_alive as f64) * age;
+        let uses = (rate / homes).max(1.0 / self.settings.keep_alive as f64) * age;
         // All routers fill the homes in the same order, but estimate different numbers of them: the first
         // workers are homes by every estimate, the last ones by few.
-        known.found * (1.0 - (-uses).exp()) * (-self.thin * up_before / homes).exp()
+        inputs.home_hit_probability * (1.0 - (-uses).exp()) * (-self.sparsity * up_before / homes).exp()
     }
 
     /// Returns the probability that a function is found warm at one of its homes where this router has
-    /// observed no copy, once there has been time to load it.
-    fn found(&self, f: &Function) -> f64 {
-        let of_class = self.pools[f.class].found.mean(self.now, self.half, PRIOR_FOUND, 1.0);
-        f.found.mean(self.now, self.half, of_class, 1.0)
+    /// observed no replica, once there has been time to load it.
+    fn home_hit_probability(&self, f: &Function) -> f64 {
+        let of_class = self.class_estimates[f.class].home_hits.mean_with_prior(
+            self.now,
+            self.half_life_us,
+            PRIOR_HOME_HIT_PROBABILITY,
+            1.0,
+        );
+        f.home_hits.mean_with_prior(self.now, self.half_life_us, of_class, 1.0)
     }
 
-    /// Returns whether a copy is assumed to be loaded, and if not, how much of a load under way is left.
-    fn warmth(&self, mark: &Mark) -> Warmth {
-        if let Some((began, due)) = mark.loading {
+    /// Returns whether a replica is assumed to be loaded, and if not, how much of a load under way is left.
+    fn warmth(&self, replica: &Replica) -> Warmth {
+        if let Some((began, due)) = replica.loading {
             let timeout = LOAD_TIMEOUT_FACTOR * (due - began) as f64;
             if ((self.now - began) as f64) < timeout {
                 // A load that is overdue is expected to take as long again, up to the whole expected time.
@@ -825,8 +901,10 @@
                 return Warmth::Loading(left.max(so_far.min(due - began)) as f64);
             }
         }
-        let idle = self.now.saturating_sub(mark.used) as f64;
-        if mark.copies > 0 && (mark.own > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.set.keep_alive as f64) {
+        let idle = self.now.saturating_sub(replica.last_used) as f64;
+        if replica.count > 0
+            && (replica.own_in_flight > 0 || idle < WARM_KEEP_ALIVE_SHARE * self.settings.keep_alive as f64)
+        {
             return Warmth::Warm;
         }
         Warmth::Cold
@@ -834,49 +912,56 @@
 
     /// Returns the worker with the smallest estimate. Ties between cold workers are broken by the order of
     /// preference that all routers share, ties between warm ones at random.
-    fn best(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
-        let known = self.known(request.function);
+    fn best_worker(&mut self, request: &Request, only_cold: bool) -> Option<Estimate> {
+        let inputs = self.choice_inputs(request.function);
         let load = self.load_time(request.function);
-        let tie =
-            load * if self.report_fields.told() { COLD_TIE_LOAD_TIMES_REPORTED } else { COLD_TIE_LOAD_TIMES };
+        let tie = load
+            * if self.report_fields.reports_held() {
+                COLD_TIE_LOAD_TIMES_REPORTED
+            } else {
+                COLD_TIE_LOAD_TIMES
+            };
         // Without randomness, routers with the same delayed view would all choose the worker that looked best
         // and overload it.
-        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.set.balancers as f64));
+        let error = VIEW_ERROR_RUN_SHARE * (1.0 - 1.0 / (1.0 + self.settings.dispatcher_count as f64));
         let draw = u64::from(self.rng.next_u32()) << 32 | u64::from(self.rng.next_u32());
-        let key = |e: &Estimate| e.key() + error * preference::unit(draw, e.worker) * e.run_time;
-        if self.scans {
-            return self.best_of_all(request, &known, only_cold, tie, key);
+        let key = |e: &Estimate| e.key() + error * preference::slot_jitter(draw, e.worker) * e.run_time;
+        if self.exhaustive_search {
+            return self.best_by_scan(request, &inputs, only_cold, tie, key);
         }
-        self.find_preferred(request.function, 0);
-        let mut search = Search::new(self, request, &known);
-        search.take_warm(key);
-        let least_warm = least(&search.warm, Estimate::key);
+        self.cache_preferred(request.function, 0);
+        let mut search = Search::new(self, request, &inputs);
+        search.visit_warm_homes(key);
+        let least_warm = min_key(&search.warm, Estimate::key);
         let cold = only_cold || search.any_cold_before(least_warm);
-        let found = if cold { search.first_cold(tie) } else { least_of(&search.warm, key) };
+        let found = if cold { search.first_cold_within(tie) } else { min_by_key(&search.warm, key) };
         // Keeps as many preferred workers for the next choice, so that the ring is not searched again for
         // each.
-        let taken = search.end();
-        self.find_preferred(request.function, taken);
+        let taken = search.finish();
+        self.cache_preferred(request.function, taken);
         found
     }
 
     /// Sends a request that has no open attempt to a worker, or refuses or fails it.
     fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
-        if let Some(retry_after) = self.sheds(&request) {
+        if let Some(retry_after) = self.shed_retry_after(&request) {
             self.requests.insert(id, request);
             return self.finish(id, Action::Refuse { id, retry_after }, out);
         }
-        let worth = self.worth(request.class);
+        let worth = self.relative_credit(request.class);
         let left = request.deadline.saturating_sub(self.now) as f64;
-        let aim_share =
-            if request.over_quota { IDLE_AIM_SHARE } else { self.pools[request.class].queue_aim_share };
-        let (function, aim) = (request.function, request.rules.aim as f64);
+        let aim_share = if request.over_quota {
+            IDLE_AIM_SHARE
+        } else {
+            self.class_estimates[request.class].queue_aim_share
+        };
+        let (function, aim) = (request.function, request.class_settings.latency_target as f64);
         let queue_limit = aim_share * aim;
-        let mut choice = self.trial(&request).or_else(|| self.best(&request, false));
+        let mut choice = self.zone_probe(&request).or_else(|| self.best_worker(&request, false));
         if choice.is_some_and(|e| !e.idle && e.total_without_load() > queue_limit) {
             let unqueued = |e: &Estimate| e.total_without_load() <= IDLE_AIM_SHARE * queue_limit;
-            choice = self.best(&request, true).filter(unqueued).or(choice);
+            choice = self.best_worker(&request, true).filter(unqueued).or(choice);
         }
         let may_refuse = self.may_refuse(&request);
         let resend_cost =
@@ -890,7 +975,7 @@
                 if e.probable_total() <= left
                     && (e.idle || e.total_without_load() <= queue_limit)
                     && self.resend_tokens >= resend_cost
-                    && self.budget.resend(resend_cost > 0.0, worth) =>
+                    && self.budget.take_resend(resend_cost > 0.0, worth) =>
             {
                 self.resend_tokens -= resend_cost;
                 self.send(id, e, out);
@@ -899,12 +984,12 @@
                 // An estimate that refuses every request gets no answers to correct it. So each refusal moves
                 // the run time back towards its prior.
                 let f = &mut self.functions[function];
-                f.run -= RUN_TIME_LEARNING_RATE * (f.run - PRIOR_RUN_AIM_SHARE * aim).max(0.0);
+                f.run_time -= RUN_TIME_LEARNING_RATE * (f.run_time - PRIOR_RUN_AIM_SHARE * aim).max(0.0);
                 let excess = |e: Estimate| {
                     (e.probable_total() - left).max(e.total_without_load() - queue_limit).max(0.0)
                 };
-                let wait = choice.map_or(self.set.max_retry_after as f64, excess);
-                let retry_after = (wait as Micros).min(self.set.max_retry_after);
+                let wait = choice.map_or(self.settings.max_retry_after as f64, excess);
+                let retry_after = (wait as Micros).min(self.settings.max_retry_after);
                 self.finish(id, Action::Refuse { id, retry_after }, out);
             }
             _ => self.finish(id, Action::Fail { id }, out),
@@ -917,28 +1002,28 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let function = request.function;
         let w = &mut self.workers[e.worker];
-        self.budget.enter(w);
-        w.open.push((id, request.attempts.len()));
-        let mark = mark_mut(w, e.worker, &mut self.functions[function], function);
-        self.renewals.push(Use { at: self.now, worker: e.worker, function });
-        mark.own += 1;
-        (mark.used, mark.asked) = (self.now, self.now);
+        self.budget.count_sent(w);
+        w.open_attempts.push((id, request.attempts.len()));
+        let replica = replica_mut(w, e.worker, &mut self.functions[function], function);
+        self.renewals.push(ReplicaUse { at: self.now, worker: e.worker, function });
+        replica.own_in_flight += 1;
+        (replica.last_used, replica.last_requested) = (self.now, self.now);
         if e.cold {
-            (mark.copies, mark.others_in_flight) = (0, 0.0);
-            mark.loading = Some((self.now, self.now.saturating_add(load)));
+            (replica.count, replica.others_in_flight) = (0, 0.0);
+            replica.loading = Some((self.now, self.now.saturating_add(load)));
         }
         request.attempts.push(Attempt {
-            e,
+            estimate: e,
             sent_at: self.now,
             open: true,
             may_have_run: true,
             rejected: false,
             presumed_lost: false,
         });
-        self.tally.cold_turns += u64::from(w.turn != e.cold_turn);
-        (w.sent, w.turn) = (self.now, e.cold_turn);
+        self.counters.cold_turns += u64::from(w.last_cold_turn != e.cold_turn);
+        (w.last_sent, w.last_cold_turn) = (self.now, e.cold_turn);
         let hedge_at = self.now.saturating_add((HEDGE_DELAY_FACTOR * e.total_if_cold) as Micros);
-        out.push(Action::Send { id, worker: w.id.clone(), until: None });
+        out.push(Action::Send { id, worker: w.id.clone(), deadline: None });
         if hedge_at < request.deadline {
             out.push(Action::Timer { at: hedge_at, cookie: id });
         }
@@ -954,13 +1039,18 @@
         let (class, last_number) = (request.class, request.attempts.len() - 1);
         let mut due = Micros::MAX;
         for a in request.attempts.iter_mut().filter(|a| a.open && !a.presumed_lost) {
-            let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.e.total_if_cold) as Micros);
-            let no_answer_since = self.workers[a.e.worker].heard[class] <= a.sent_at;
+            let lost_at = a.sent_at.saturating_add((LOST_DELAY_FACTOR * a.estimate.total_if_cold) as Micros);
+            let no_answer_since = self.workers[a.estimate.worker].last_answer_by_class[class] <= a.sent_at;
             a.presumed_lost = self.now >= lost_at;
             if !a.presumed_lost {
                 due = due.min(lost_at);
             } else if no_answer_since {
-                self.workers[a.e.worker].lost[class].learn(self.now, self.half, 1.0, MAX_WORKER_SAMPLES);
+                self.workers[a.estimate.worker].losses_by_class[class].add_limited(
+                    self.now,
+                    self.half_life_us,
+                    1.0,
+                    MAX_WORKER_SAMPLES,
+                );
             }
         }
         if due < request.deadline {
@@ -970,15 +1060,15 @@
         // and none is sent while the worker still answers others of the class.
         let last = request.attempts.last().filter(|a| a.open);
         let too_early = |a: &Attempt| {
-            (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.e.total_if_cold
-                || self.workers[a.e.worker].heard[class] > a.sent_at
+            (self.now - a.sent_at) as f64 + 1.0 < HEDGE_DELAY_FACTOR * a.estimate.total_if_cold
+                || self.workers[a.estimate.worker].last_answer_by_class[class] > a.sent_at
         };
         if self.hedge_tokens < 1.0 || last.is_none_or(too_early) {
             return;
         }
-        if self.set.may_duplicate {
+        if self.settings.may_duplicate {
             self.send_hedge(id, out);
-        } else if self.set.may_cancel && request.rules.effect == Effect::Idempotent {
+        } else if self.settings.may_cancel && request.class_settings.effect == Effect::Idempotent {
             out.push(Action::Cancel { id, attempt: last_number });
         }
     }
@@ -987,13 +1077,13 @@
     fn send_hedge(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else { return };
         let left = request.deadline.saturating_sub(self.now) as f64;
-        // A copy loaded for a second attempt displaces others and mostly comes too late. So a cold worker
+        // A replica loaded for a second attempt displaces others and mostly comes too late. So a cold worker
         // qualifies only if the answer is still expected within the aim.
-        let aim = request.rules.aim as f64;
+        let aim = request.class_settings.latency_target as f64;
         let spent = (self.now - request.attempts[0].sent_at) as f64;
         let worth_it =
             |e: &Estimate| e.probable_total() <= left && (!e.cold || spent + e.probable_total() <= aim);
-        let choice = self.best(&request, false).filter(worth_it);
+        let choice = self.best_worker(&request, false).filter(worth_it);
         let already_hedged = request.attempts.iter().filter(|a| a.open).count() > 1;
         self.requests.insert(id, request);
         if let Some(e) = choice.filter(|_| !already_hedged) {
@@ -1018,8 +1108,8 @@
     /// attempt that starts a load is not cancelled.
     fn clean_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
-        let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.e.cold);
-        if self.set.may_cancel {
+        let open = request.attempts.iter().enumerate().filter(|(_, a)| a.open && !a.estimate.cold);
+        if self.settings.may_cancel {
             out.extend(open.map(|(attempt, _)| Action::Cancel { id, attempt }));
         }
         if request.attempts.iter().all(|a| !a.open) {
@@ -1031,7 +1121,17 @@
 
     /// Records the outcome of an attempt and learns from it.
     fn close_attempt(&mut self, event: &Event) {
-        let Event::Outcome { id, attempt, outcome, found, crowd, latency, report, .. } = event else {
+        let Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+            ..
+        } = event
+        else {
             return;
         };
         let (id, number, outcome, found) = (*id, *attempt, *outcome, *found);
@@ -1039,7 +1139,7 @@
         let (function, size) = (request.function, request.size);
         let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.open) else { return };
         attempt.open = false;
-        let (now, worker) = (self.now, attempt.e.worker);
+        let (now, worker) = (self.now, attempt.estimate.worker);
         // How far the attempt counts as lost, from 0 (answered) to 1; `None` if it says nothing about the
         // worker.
         let loss = match outcome {
@@ -1060,7 +1160,7 @@
             // that.
             Outcome::Timeout
                 if !attempt.presumed_lost
-                    && *latency as f64 > LOST_DELAY_FACTOR * attempt.e.total_if_cold =>
+                    && *latency as f64 > LOST_DELAY_FACTOR * attempt.estimate.total_if_cold =>
             {
                 Some(1.0)
             }
@@ -1068,71 +1168,83 @@
         };
         attempt.rejected = outcome == Outcome::Full;
         attempt.may_have_run =
-            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
-        let e = attempt.e;
+            !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss);
+        let e = attempt.estimate;
         let class = self.functions[function].class;
-        if let Some(crowd) = crowd.filter(|_| found == Found::Warm) {
+        if let Some(crowd) = crowd.filter(|_| found == ReplicaStatus::Warm) {
             let f = &self.functions[function];
             let concurrency = f64::from(crowd).min(f.lanes) * self.demand(f).1;
-            self.functions[function].concurrency.learn(now, self.half, concurrency, MAX_WORKER_SAMPLES);
-            self.pools[class].concurrency.add(now, self.half, concurrency);
+            self.functions[function].concurrency.add_limited(
+                now,
+                self.half_life_us,
+                concurrency,
+                MAX_WORKER_SAMPLES,
+            );
+            self.class_estimates[class].concurrency.add(now, self.half_life_us, concurrency);
         }
         let w = &mut self.workers[worker];
-        if let Some(sample) = loss.filter(|_| found != Found::LoadFailed) {
-            w.lost[class].learn(now, self.half, sample, MAX_WORKER_SAMPLES);
-            self.zones.entry(w.zone).or_default().learn(now, self.half, sample, MAX_ZONE_SAMPLES);
-            w.heard[class] = now;
+        if let Some(sample) = loss.filter(|_| found != ReplicaStatus::LoadFailed) {
+            w.losses_by_class[class].add_limited(now, self.half_life_us, sample, MAX_WORKER_SAMPLES);
+            self.zone_losses.entry(w.zone).or_default().add_limited(
+                now,
+                self.half_life_us,
+                sample,
+                MAX_ZONE_SAMPLES,
+            );
+            w.last_answer_by_class[class] = now;
             w.last_answer = if sample == 0.0 { now } else { w.last_answer };
         }
-        w.open.retain(|o| *o != (id, number));
+        w.open_attempts.retain(|o| *o != (id, number));
         if let Some(held) = self.report_fields.held(report) {
-            w.report = Report::hear(now, held, w.open.len());
+            w.report = LoadReport::new(now, held, w.open_attempts.len());
         }
-        let mark = mark_mut(w, worker, &mut self.functions[function], function);
-        mark.own = mark.own.saturating_sub(1);
+        let replica = replica_mut(w, worker, &mut self.functions[function], function);
+        replica.own_in_flight = replica.own_in_flight.saturating_sub(1);
         if let Some(crowd) = crowd {
-            mark.others_in_flight = f64::from(crowd.saturating_sub(mark.own));
+            replica.others_in_flight = f64::from(crowd.saturating_sub(replica.own_in_flight));
         }
         // A load that outlasts its request is never reported, and the next request would be sent there to
-        // wait for it too. So such a timeout counts as a copy not found. It is not counted for the class,
+        // wait for it too. So such a timeout counts as a replica not found. It is not counted for the class,
         // because queues under overload look the same.
-        let outlasted = self.thin > 0.5
+        let outlasted = self.sparsity > 0.5
             && outcome == Outcome::Timeout
             && *latency as f64 > LOST_DELAY_FACTOR * e.total_if_warm;
-        if e.unobserved && (outlasted || matches!(found, Found::Warm | Found::BeganLoad)) {
-            let sample = if found == Found::Warm { 1.0 } else { 0.0 };
+        if e.unobserved && (outlasted || matches!(found, ReplicaStatus::Warm | ReplicaStatus::LoadStarted)) {
+            let sample = if found == ReplicaStatus::Warm { 1.0 } else { 0.0 };
             let f = &mut self.functions[function];
-            f.found.add(now, self.half, sample);
+            f.home_hits.add(now, self.half_life_us, sample);
             if !outlasted {
-                self.pools[f.class].found.add(now, self.half, sample);
+                self.class_estimates[f.class].home_hits.add(now, self.half_life_us, sample);
             }
         }
         match outcome {
             Outcome::Ok => {
-                self.served.add(now, self.half, 1.0);
+                self.answer_rate.add(now, self.half_life_us, 1.0);
                 self.functions.served(now, function);
-                self.renewals.push(Use { at: now, worker, function });
-                mark.used = now;
-                mark.copies = mark.copies.max(1);
-                mark.loading = None;
+                self.renewals.push(ReplicaUse { at: now, worker, function });
+                replica.last_used = now;
+                replica.count = replica.count.max(1);
+                replica.loading = None;
                 let took = *latency as f64;
                 match found {
-                    Found::BeganLoad => self.learn_load_time(function, (took - e.run_time).max(0.0)),
-                    Found::Warm => {
-                        let usual = (e.total_if_warm / size.size).max(1.0);
-                        self.pools[class].hint_power.learn(size.ratio, took / usual);
+                    ReplicaStatus::LoadStarted => {
+                        self.learn_load_time(function, (took - e.run_time).max(0.0))
+                    }
+                    ReplicaStatus::Warm => {
+                        let usual = (e.total_if_warm / size.run_time_factor).max(1.0);
+                        self.class_estimates[class].hint_power.learn(size.ratio, took / usual);
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
-                    Found::Untold if !e.cold && took < e.total_if_warm => {
+                    ReplicaStatus::NotReported if !e.cold && took < e.total_if_warm => {
                         self.learn_run_time(function, worker, took, e.total_if_warm)
                     }
                     _ => {}
                 }
             }
-            Outcome::Miss => *mark = Mark { copies: 0, loading: None, ..*mark },
+            Outcome::Miss => *replica = Replica { count: 0, loading: None, ..*replica },
             Outcome::Error | Outcome::Full => {
-                if found == Found::LoadFailed {
-                    mark.loading = None;
+                if found == ReplicaStatus::LoadFailed {
+                    replica.loading = None;
                 } else if outcome == Outcome::Full {
                     // A rejection counts as an answer that took twice the expected time.
                     self.learn_slowness(worker, 1.0);
@@ -1142,13 +1254,13 @@
                 w.connection_failed(now, outcome == Outcome::ConnectFailed);
             }
             // The attempt was never sent, so the load that it was meant to start is not under way.
-            Outcome::Moot if e.cold && mark.own == 0 => mark.loading = None,
-            Outcome::Timeout | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::NotSent if e.cold && replica.own_in_flight == 0 => replica.loading = None,
+            Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 }
 
-/// Whether a worker is assumed to hold a copy of a function.
+/// Whether a worker is assumed to hold a replica of a function.
 enum Warmth {
     Warm,
     /// A load is under way; the expected time left, in microseconds.
--- a/src/control/candidates.rs
+++ b/src/control/candidates.rs
@@ -14,7 +14,7 @@
 //! of the fleet's size. Where much of the fleet is failing or nearly all of it is slow, every worker may be estimated.
 
 use super::tables::{Function, Request, Worker, rendezvous};
-use super::{DOUBT, Estimate, PRIOR_FOUND, Router, Warmth, preference};
+use super::{Estimate, PRIOR_HOME_HIT_PROBABILITY, PRIOR_SAMPLES, Router, Warmth, preference};
 use crate::api::{FunctionId, Micros};
 use std::cell::OnceCell;
 
@@ -26,21 +26,21 @@
 const MAX_PREFERRED_CACHED: usize = 4_096;
 /// Up to this number of listed workers, the preference order is rendezvous hashing over all of them: it costs no more there
 /// than the ring, and functions keep the homes that earlier versions gave them.
-pub(super) const MOST_RANKED: usize = 256;
+pub(super) const MAX_RENDEZVOUS_WORKERS: usize = 256;
 /// Relative margin by which bounds are lowered, so that floating-point rounding cannot make one too high.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
 /// Inputs that all estimates of one choice share.
 #[derive(Default)]
-pub(super) struct Known {
+pub(super) struct ChoiceInputs {
     /// Rate of requests for the function at all routers together, per microsecond.
-    pub(super) rate: f64,
+    pub(super) request_rate: f64,
     /// Number of the function's homes.
     pub(super) homes: f64,
     /// Probability that a home which had enough time to load the function holds it.
-    pub(super) found: f64,
+    pub(super) home_hit_probability: f64,
     /// Sum of the observed slowness of all workers, and the weight of that sum in samples.
-    pub(super) peers: (f64, f64),
+    pub(super) fleet_slowness: (f64, f64),
     /// Lower bound of the slowness expected of any worker without observations of its own.
     pub(super) min_expected_slowness: f64,
     /// Capacity of all workers that are up, in units of one warm worker; computed on first use.
@@ -51,11 +51,11 @@
 pub(super) struct Rank {
     pub(super) worker: usize,
     /// Number of workers before it that are up.
-    pub(super) up: f64,
+    pub(super) up_before: f64,
     /// Number of all workers before it.
-    pub(super) all: f64,
+    pub(super) workers_before: f64,
     /// Latest time at which one of the workers before it went down, among those that are down; 0 for none.
-    pub(super) fell: Micros,
+    pub(super) last_down_at: Micros,
 }
 
 /// Estimates of all workers that may take a request, by whether a load is needed, each in the order of slots.
@@ -74,8 +74,13 @@
 }
 
 /// Estimates every worker of the fleet: the reference for [`Search`].
-pub(super) fn estimate_all(router: &Router, request: &Request, known: &Known, ranks: &[Rank]) -> Estimates {
-    let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), known);
+pub(super) fn estimate_all(
+    router: &Router,
+    request: &Request,
+    inputs: &ChoiceInputs,
+    ranks: &[Rank],
+) -> Estimates {
+    let estimate = |worker| router.estimate(request, worker, rank_of(ranks, worker), inputs);
     Estimates::partition((0..router.workers.len()).filter_map(estimate))
 }
 
@@ -88,7 +93,7 @@
 pub(super) struct Search<'a> {
     router: &'a Router,
     request: &'a Request,
-    known: &'a Known,
+    inputs: &'a ChoiceInputs,
     /// Workers that hold or load a replica by this router's own observations, sorted by slot.
     holders: Vec<usize>,
     /// Estimates of workers that need no load: holders, and visited homes that probably have a replica.
@@ -108,21 +113,21 @@
 
 impl<'a> Search<'a> {
     /// Estimates the workers that hold a replica.
-    pub(super) fn new(router: &'a Router, request: &'a Request, known: &'a Known) -> Search<'a> {
+    pub(super) fn new(router: &'a Router, request: &'a Request, inputs: &'a ChoiceInputs) -> Search<'a> {
         let function = &router.functions[request.function];
         let holds = |worker: &usize| {
-            let mark = router.workers[*worker].marks.get(&request.function);
-            mark.is_some_and(|mark| !matches!(router.warmth(mark), Warmth::Cold))
+            let replica = router.workers[*worker].replicas.get(&request.function);
+            replica.is_some_and(|replica| !matches!(router.warmth(replica), Warmth::Cold))
         };
         let mut holders: Vec<usize> =
             function.holders.iter().map(|worker| *worker as usize).filter(holds).collect();
         holders.sort_unstable();
         let warm =
-            holders.iter().filter_map(|worker| router.estimate(request, *worker, None, known)).collect();
+            holders.iter().filter_map(|worker| router.estimate(request, *worker, None, inputs)).collect();
         Search {
             router,
             request,
-            known,
+            inputs,
             holders,
             warm,
             cold: Vec::new(),
@@ -130,21 +135,21 @@
             visited: 0,
             visited_up: 0.0,
             last_down_at: 0,
-            load_time: router.whole_load(request),
-            run_time: function.run * request.size.size,
+            load_time: router.load_cost(request),
+            run_time: function.run_time * request.size.run_time_factor,
         }
     }
 
     /// Returns whether the next worker in preference order is still a home.
     fn homes_remain(&self) -> bool {
-        self.visited_up < self.known.homes && self.visited < self.router.ring.count()
+        self.visited_up < self.inputs.homes && self.visited < self.router.ring.count()
     }
 
     /// Returns an upper bound of the chance that the next worker, or any after it, holds a replica.
     fn max_found_chance(&self) -> f64 {
-        let homes = self.known.homes;
+        let homes = self.inputs.homes;
         if self.homes_remain() {
-            self.known.found * (-self.router.thin * self.visited_up / homes).exp()
+            self.inputs.home_hit_probability * (-self.router.sparsity * self.visited_up / homes).exp()
         } else {
             0.0
         }
@@ -153,8 +158,9 @@
     /// Returns a lower bound of the finish of any worker whose own mean slowness is at least `slowness` and that holds a
     /// replica with a chance of at most `found`.
     fn finish_bound(&self, found: f64, slowness: f64) -> f64 {
-        let run_time = self.run_time * slowness.min(self.known.min_expected_slowness);
-        (self.router.set.tick as f64 + (1.0 - found) * self.load_time + run_time) * (1.0 - ROUNDING_MARGIN)
+        let run_time = self.run_time * slowness.min(self.inputs.min_expected_slowness);
+        (self.router.settings.min_batch_interval as f64 + (1.0 - found) * self.load_time + run_time)
+            * (1.0 - ROUNDING_MARGIN)
     }
 
     fn min_slowness(&self) -> f64 {
@@ -168,16 +174,21 @@
 
     /// Returns a lower bound of the finish of any unvisited worker that would have to load the function.
     fn unvisited_cold_bound(&self) -> f64 {
-        self.finish_bound(self.max_found_chance().min(PRIOR_FOUND), self.min_slowness())
+        self.finish_bound(self.max_found_chance().min(PRIOR_HOME_HIT_PROBABILITY), self.min_slowness())
     }
 
     /// Visits the next worker in preference order and records its estimate; returns false if none is left.
     fn visit_next(&mut self) -> bool {
         let Some(worker) = self.unvisited.next() else { return false };
-        let rank = Rank { worker, up: self.visited_up, all: self.visited as f64, fell: self.last_down_at };
+        let rank = Rank {
+            worker,
+            up_before: self.visited_up,
+            workers_before: self.visited as f64,
+            last_down_at: self.last_down_at,
+        };
         let rank = Some(&rank).filter(|_| self.homes_remain());
         if !self.is_holder(worker)
-            && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.known)
+            && let Some(estimate) = self.router.estimate(self.request, worker, rank, self.inputs)
         {
             if estimate.cold { self.cold.push(estimate) } else { self.warm.push(estimate) }
         }
@@ -185,17 +196,17 @@
         (self.visited_up, self.last_down_at) = if visited.up {
             (self.visited_up + 1.0, self.last_down_at)
         } else {
-            (self.visited_up, self.last_down_at.max(visited.fell))
+            (self.visited_up, self.last_down_at.max(visited.down_since))
         };
         self.visited += 1;
         true
     }
 
     /// Visits homes for as long as one that is left could have a smaller key than all workers found to need no load.
-    pub(super) fn take_warm(&mut self, key: impl Fn(&Estimate) -> f64) {
-        let mut min_key = least(&self.warm, &key);
+    pub(super) fn visit_warm_homes(&mut self, key: impl Fn(&Estimate) -> f64) {
+        let mut min_key = min_key(&self.warm, &key);
         while self.homes_remain()
-            && self.max_found_chance() > PRIOR_FOUND
+            && self.max_found_chance() > PRIOR_HOME_HIT_PROBABILITY
             && self.unvisited_bound() <= min_key
         {
             let before = self.warm.len();
@@ -221,7 +232,7 @@
     }
 
     fn min_cold_finish(&self) -> f64 {
-        least(&self.cold, Estimate::key)
+        min_key(&self.cold, Estimate::key)
     }
 
     fn visit_remaining_homes(&mut self) {
@@ -241,7 +252,7 @@
             .take_while(move |(slowness, _)| self.finish_bound(0.0, *slowness) < bound())
             .map(|(_, worker)| worker)
             .filter(is_new)
-            .filter_map(|worker| self.router.estimate(self.request, worker, None, self.known))
+            .filter_map(|worker| self.router.estimate(self.request, worker, None, self.inputs))
     }
 
     /// Returns whether the worker holds or loads a replica by this router's own observations.
@@ -251,7 +262,7 @@
 
     /// Returns the first worker in preference order that would have to load the function and finishes at most `tie` after
     /// the earliest finish of all such workers.
-    pub(super) fn first_cold(&mut self, tie: f64) -> Option<Estimate> {
+    pub(super) fn first_cold_within(&mut self, tie: f64) -> Option<Estimate> {
         for _ in 0..MAX_BOUNDED_VISITS {
             // The first worker within the tie of the best visited so far is the result if it is also within the tie of the
             // lower bound of all unvisited workers. Otherwise the bound cannot decide yet.
@@ -283,13 +294,13 @@
     }
 
     /// Ends the search and returns the number of workers visited in preference order.
-    pub(super) fn end(self) -> usize {
+    pub(super) fn finish(self) -> usize {
         self.visited
     }
 }
 
 /// Returns the smallest key of the estimates; infinity for none.
-pub(super) fn least(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
+pub(super) fn min_key(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> f64 {
     estimates.iter().map(key).fold(f64::INFINITY, f64::min)
 }
 
@@ -299,8 +310,11 @@
         &'a self,
         function: &'a Function,
     ) -> impl Iterator<Item = usize> + 'a {
-        let cached =
-            if function.preferred_version == self.ring.version() { &function.preferred[..] } else { &[] };
+        let cached = if function.preferred_version == self.ring.version() {
+            &function.preferred_workers[..]
+        } else {
+            &[]
+        };
         // The order is computed only once the cached part is exhausted.
         let rest = std::iter::once(()).flat_map(|()| self.preference_order(&function.id).skip(cached.len()));
         cached.iter().map(|worker| *worker as usize).chain(rest)
@@ -309,7 +323,7 @@
     /// Iterates over all workers, the most preferred for the function first: by rendezvous hashing over all of them in a
     /// small fleet, by the ring in a large one.
     fn preference_order<'a>(&'a self, function: &FunctionId) -> Box<dyn Iterator<Item = usize> + 'a> {
-        if !self.ranks_all {
+        if !self.uses_rendezvous {
             return Box::new(self.ring.order(function));
         }
         let score = |(slot, worker): (usize, &Worker)| (rendezvous(function, &worker.id), slot);
@@ -321,7 +335,7 @@
     /// Returns the key by which [`Router::preference_order`] sorts workers; the smaller, the more preferred.
     fn preference_distance(&self, function: &FunctionId, worker: usize) -> (u64, usize) {
         let id = &self.workers[worker].id;
-        if self.ranks_all {
+        if self.uses_rendezvous {
             return (!rendezvous(function, id), usize::MAX - worker);
         }
         (preference::distance(function, id), worker)
@@ -330,8 +344,8 @@
     /// Selects rendezvous hashing or the ring by the number of listed workers, so that all dispatchers with the same list
     /// use the same order.
     pub(super) fn update_preference_order(&mut self) {
-        let ranks_all = self.workers.len() - self.unlisted.len() <= self.most_ranked;
-        if std::mem::replace(&mut self.ranks_all, ranks_all) != ranks_all {
+        let ranks_all = self.workers.len() - self.unlisted.len() <= self.max_rendezvous_workers;
+        if std::mem::replace(&mut self.uses_rendezvous, ranks_all) != ranks_all {
             self.ring.invalidate_orders();
         }
     }
@@ -342,17 +356,17 @@
     }
 
     /// Caches at least the `wanted` most preferred workers of a function, within the limits, unless they are cached already.
-    pub(super) fn find_preferred(&mut self, function: usize, wanted: usize) {
+    pub(super) fn cache_preferred(&mut self, function: usize, wanted: usize) {
         let entry = &self.functions[function];
         let wanted = wanted.clamp(MIN_PREFERRED_CACHED, MAX_PREFERRED_CACHED).min(self.ring.count());
-        if entry.preferred_version == self.ring.version() && entry.preferred.len() >= wanted {
+        if entry.preferred_version == self.ring.version() && entry.preferred_workers.len() >= wanted {
             return;
         }
         // Rounded up to a power of two, so that a function which needs one more each time is not looked up each time.
         let order = self.preference_order(&entry.id);
         let preferred = order.take(wanted.next_power_of_two()).map(|worker| worker as u32).collect();
         let entry = &mut self.functions[function];
-        (entry.preferred, entry.preferred_version) = (preferred, self.ring.version());
+        (entry.preferred_workers, entry.preferred_version) = (preferred, self.ring.version());
     }
 
     /// Returns the ranks of a function's homes, sorted by slot.
@@ -362,49 +376,53 @@
             if up >= homes {
                 break;
             }
-            ranks.push(Rank { worker, up, all: ranks.len() as f64, fell: last_down_at });
+            ranks.push(Rank { worker, up_before: up, workers_before: ranks.len() as f64, last_down_at });
             let visited = &self.workers[worker];
-            (up, last_down_at) =
-                if visited.up { (up + 1.0, last_down_at) } else { (up, last_down_at.max(visited.fell)) };
+            (up, last_down_at) = if visited.up {
+                (up + 1.0, last_down_at)
+            } else {
+                (up, last_down_at.max(visited.down_since))
+            };
         }
         ranks.sort_unstable_by_key(|rank| rank.worker);
         ranks
     }
 
     /// Computes the inputs that all estimates of one choice of a worker for the function share.
-    pub(super) fn known(&mut self, function: usize) -> Known {
+    pub(super) fn choice_inputs(&mut self, function: usize) -> ChoiceInputs {
         self.fleet.advance(self.now);
         let (rate, homes) = self.demand(&self.functions[function]);
-        let peers = self.peers();
+        let peers = self.fleet_slowness();
         // The slowness expected of a worker leaves out its own samples, which are at most one sample of the slowest mean:
         // taking out that much of the sum, and none of the weight, gives a lower bound for every worker.
         let slowest = self.fleet.slowness_range().map_or(0.0, |(_, max)| max);
-        let min_slowness = (DOUBT + (peers.0 - self.thin * slowest).max(0.0)) / (DOUBT + peers.1);
-        let found = self.found(&self.functions[function]);
-        Known {
-            rate,
+        let min_slowness =
+            (PRIOR_SAMPLES + (peers.0 - self.sparsity * slowest).max(0.0)) / (PRIOR_SAMPLES + peers.1);
+        let found = self.home_hit_probability(&self.functions[function]);
+        ChoiceInputs {
+            request_rate: rate,
             homes,
-            found,
-            peers,
+            home_hit_probability: found,
+            fleet_slowness: peers,
             min_expected_slowness: min_slowness.min(1.0),
             capacity: OnceCell::new(),
         }
     }
 
-    /// Returns the best worker by estimates of all workers, the same one that [`Router::best`] finds by a search.
-    pub(super) fn best_of_all(
+    /// Returns the best worker by estimates of all workers, the same one that [`Router::best_worker`] finds by a search.
+    pub(super) fn best_by_scan(
         &self,
         request: &Request,
-        known: &Known,
+        inputs: &ChoiceInputs,
         only_cold: bool,
         tie: f64,
         key: impl Fn(&Estimate) -> f64,
     ) -> Option<Estimate> {
-        let ranks = self.home_ranks(request.function, known.homes);
-        let estimates = estimate_all(self, request, known, &ranks);
-        let min_cold = least(&estimates.cold, Estimate::key);
-        if least(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
-            return least_of(&estimates.warm, key);
+        let ranks = self.home_ranks(request.function, inputs.homes);
+        let estimates = estimate_all(self, request, inputs, &ranks);
+        let min_cold = min_key(&estimates.cold, Estimate::key);
+        if min_key(&estimates.warm, Estimate::key) <= min_cold && !only_cold {
+            return min_by_key(&estimates.warm, key);
         }
         let function = &self.functions[request.function].id;
         let distance = |estimate: &Estimate| self.preference_distance(function, estimate.worker);
@@ -414,7 +432,7 @@
 }
 
 /// Returns the estimate with the smallest key; of equal ones, that of the lowest slot.
-pub(super) fn least_of(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
+pub(super) fn min_by_key(estimates: &[Estimate], key: impl Fn(&Estimate) -> f64) -> Option<Estimate> {
     let order = |a: &&Estimate, b: &&Estimate| key(a).total_cmp(&key(b)).then(a.worker.cmp(&b.worker));
     estimates.iter().min_by(order).copied()
 }
