--- a/src/control/candidates/tests.rs
+++ b/src/control/candidates/tests.rs
@@ -35,7 +35,7 @@
     /// The reference, which estimates every worker.
     scan: Router,
     settings: Settings,
-    workers: BTreeMap<usize, Listing>,
+    workers: BTreeMap<usize, WorkerEntry>,
     next_worker: usize,
     next_request: RequestId,
     functions: u64,
@@ -55,8 +55,8 @@
         let (mut search, mut scan) = (router(), router());
         // Small and large fleets use different preference orders; some histories cross the limit between them.
         let most_ranked = [0, 0, 11, 40, usize::MAX][seed as usize % 5];
-        (search.most_ranked, scan.most_ranked) = (most_ranked, most_ranked);
-        scan.scan(true);
+        (search.max_rendezvous_workers, scan.max_rendezvous_workers) = (most_ranked, most_ranked);
+        scan.set_exhaustive_search(true);
         let functions = [5, 40, 400][seed as usize % 3];
         let mut history = History {
             rng,
@@ -88,12 +88,12 @@
         self.below(100) < percent
     }
 
-    fn join(&mut self, ready_at: Option<Micros>) -> Listing {
+    fn join(&mut self, ready_at: Option<Micros>) -> WorkerEntry {
         let n = self.next_worker;
         self.next_worker += 1;
         let (zone, cell) = (n % ZONES, n % 4);
         let worker = format!("w{n}").into();
-        let listing = Listing { worker, zone, kind: 0, cell, standing: Standing::Healthy, ready_at };
+        let listing = WorkerEntry { worker, zone, kind: 0, cell, standing: WorkerStatus::Healthy, ready_at };
         self.workers.insert(n, listing.clone());
         listing
     }
@@ -123,23 +123,23 @@
             Action::Cancel { id, attempt } => {
                 if let Some(place) = self.open.iter().position(|o| o.id == id && o.attempt == attempt) {
                     let open = self.open.swap_remove(place);
-                    self.end(&open, Outcome::Cancelled, Found::Untold);
+                    self.end(&open, Outcome::Cancelled, ReplicaStatus::NotReported);
                 }
             }
-            Action::Refuse { .. } | Action::Fail { .. } | Action::Watch => {}
+            Action::Refuse { .. } | Action::Fail { .. } | Action::WatchWorkers => {}
         }
     }
 
-    fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: Found) {
+    fn end(&mut self, open: &OpenAttempt, outcome: Outcome, found: ReplicaStatus) {
         let report = if self.chance(50) { vec![self.below(30) as f64] } else { Vec::new() };
         let crowd = self.chance(60).then(|| self.below(5) as u32);
-        self.handle(&Event::Outcome {
+        self.handle(&Event::AttemptEnded {
             id: open.id,
             attempt: open.attempt,
-            last: false,
+            is_final: false,
             outcome,
             found,
-            crowd,
+            concurrent_requests: crowd,
             latency: self.now - open.sent,
             report,
         });
@@ -172,10 +172,10 @@
             class,
             tenant,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time,
-            work,
-            again,
+            work_hint: work,
+            is_retry: again,
             time_left,
         });
     }
@@ -187,28 +187,28 @@
         let place = self.below(self.open.len() as u64) as usize;
         let open = self.open.swap_remove(place);
         let (outcome, found) = match self.below(40) {
-            0..24 => (Outcome::Ok, Found::Warm),
-            24..28 => (Outcome::Ok, Found::BeganLoad),
-            28..30 => (Outcome::Ok, Found::WaitedForLoad),
-            30 => (Outcome::Ok, Found::Untold),
-            31 => (Outcome::Full, Found::Untold),
-            32 => (Outcome::Miss, Found::Untold),
-            33 => (Outcome::Error, Found::LoadFailed),
-            34 => (Outcome::Error, Found::Untold),
-            35 => (Outcome::Timeout, Found::Untold),
-            36 => (Outcome::ConnectFailed, Found::Untold),
-            37 => (Outcome::Reset, Found::Untold),
-            38 => (Outcome::Moot, Found::Untold),
-            _ => (Outcome::Unknown, Found::Untold),
+            0..24 => (Outcome::Ok, ReplicaStatus::Warm),
+            24..28 => (Outcome::Ok, ReplicaStatus::LoadStarted),
+            28..30 => (Outcome::Ok, ReplicaStatus::WaitedForLoad),
+            30 => (Outcome::Ok, ReplicaStatus::NotReported),
+            31 => (Outcome::Full, ReplicaStatus::NotReported),
+            32 => (Outcome::Miss, ReplicaStatus::NotReported),
+            33 => (Outcome::Error, ReplicaStatus::LoadFailed),
+            34 => (Outcome::Error, ReplicaStatus::NotReported),
+            35 => (Outcome::Timeout, ReplicaStatus::NotReported),
+            36 => (Outcome::ConnectFailed, ReplicaStatus::NotReported),
+            37 => (Outcome::Reset, ReplicaStatus::NotReported),
+            38 => (Outcome::NotSent, ReplicaStatus::NotReported),
+            _ => (Outcome::Unknown, ReplicaStatus::NotReported),
         };
         self.end(&open, outcome, found);
     }
 
     fn end_ordered_load(&mut self) {
         if let Some((worker, function)) = self.orders.pop() {
-            let (outcome, copies) =
+            let (outcome, replicas) =
                 [(Outcome::Ok, 1), (Outcome::Full, 0), (Outcome::Error, 0)][self.below(3) as usize];
-            self.handle(&Event::Loaded { worker, function, outcome, latency: 300 * MS, copies });
+            self.handle(&Event::Loaded { worker, function, outcome, latency: 300 * MS, replicas });
         }
     }
 
@@ -217,7 +217,7 @@
         if all.is_empty() { None } else { Some(all[self.below(all.len() as u64) as usize]) }
     }
 
-    fn set_standing(&mut self, n: usize, standing: Standing, ready_at: Option<Micros>) -> Listing {
+    fn set_standing(&mut self, n: usize, standing: WorkerStatus, ready_at: Option<Micros>) -> WorkerEntry {
         let listing = self.workers.get_mut(&n).expect("a worker");
         listing.standing = standing;
         listing.ready_at = ready_at.or(listing.ready_at);
@@ -231,19 +231,19 @@
         let now = self.now;
         let (complete, entries) = match self.below(8) {
             0 => (false, vec![self.join(Some(now))]),
-            1 => (false, vec![self.set_standing(n, Standing::Draining, None)]),
-            2 => (false, vec![self.set_standing(n, Standing::Healthy, None)]),
-            3 => (false, vec![self.set_standing(n, Standing::Healthy, Some(now))]),
+            1 => (false, vec![self.set_standing(n, WorkerStatus::Draining, None)]),
+            2 => (false, vec![self.set_standing(n, WorkerStatus::Healthy, None)]),
+            3 => (false, vec![self.set_standing(n, WorkerStatus::Healthy, Some(now))]),
             4 if self.workers.len() > 3 => {
-                let gone = self.set_standing(n, Standing::Gone, None);
+                let gone = self.set_standing(n, WorkerStatus::Removed, None);
                 self.workers.remove(&n);
                 (false, vec![gone])
             }
             5 => {
                 let zone = n % ZONES;
-                let standing = if self.chance(50) { Standing::Gone } else { Standing::Healthy };
+                let standing = if self.chance(50) { WorkerStatus::Removed } else { WorkerStatus::Healthy };
                 let there: Vec<usize> = self.workers.keys().copied().filter(|w| w % ZONES == zone).collect();
-                let ready_at = (standing == Standing::Healthy).then_some(now);
+                let ready_at = (standing == WorkerStatus::Healthy).then_some(now);
                 (false, there.into_iter().map(|w| self.set_standing(w, standing, ready_at)).collect())
             }
             6 => {
@@ -266,18 +266,22 @@
         let mut next = Budget::default();
         if self.chance(60) {
             if let Some(n) = self.random_worker() {
-                next.gates.insert(self.workers[&n].worker.clone(), (self.below(3), 0));
+                next.worker_gates.insert(self.workers[&n].worker.clone(), (self.below(3), 0));
             }
             if self.chance(50) {
                 let zone = self.below(ZONES as u64) as usize;
-                next.zones.insert(zone, ZoneGate { left: self.below(4), got: 0, wanted: self.chance(50) });
+                next.zone_gates
+                    .insert(zone, ZoneGate { remaining: self.below(4), sent: 0, probe: self.chance(50) });
             }
-            next.resends = self.chance(50).then(|| Tokens { left: self.below(5), ..Tokens::default() });
-            next.orders = self.chance(50).then(|| Tokens { left: self.below(5), ..Tokens::default() });
-            (next.level, next.back) = (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
+            next.resend_tokens =
+                self.chance(50).then(|| Tokens { available: self.below(5), ..Tokens::default() });
+            next.load_order_tokens =
+                self.chance(50).then(|| Tokens { available: self.below(5), ..Tokens::default() });
+            (next.admission_level, next.mean_retry_after) =
+                (if self.chance(20) { self.below(40) as u8 } else { 0 }, 200 * MS);
         }
-        let spent = self.search.budget(next.clone());
-        let expected = self.scan.budget(next);
+        let spent = self.search.replace_budget(next.clone());
+        let expected = self.scan.replace_budget(next);
         assert_eq!(spent, expected, "budget spent since the last one");
     }
 
@@ -304,8 +308,8 @@
             }
             995..997 => {
                 if let Some(worker) = self.random_worker().map(|n| self.workers[&n].worker.clone()) {
-                    self.search.unreached(self.now, &worker);
-                    self.scan.unreached(self.now, &worker);
+                    self.search.probe_failed(self.now, &worker);
+                    self.scan.probe_failed(self.now, &worker);
                 }
             }
             997 => self.change_settings(),
@@ -321,7 +325,7 @@
         let now = self.now;
         let router = &mut self.search;
         router.fleet.advance(now);
-        let times = TimeConstants { half_life: router.half, warm_after: router.set.warm_after };
+        let times = TimeConstants { half_life: router.half_life_us, warm_after: router.settings.warm_after };
         let recomputed = recompute_sums(&router.workers, times, |w| router.present_share(w), now);
         let (sum, weight) = router.fleet.slowness(now);
         let capacity = router.fleet.capacity(|slot| router.present_share(&router.workers[slot]));
@@ -330,16 +334,16 @@
             kept.iter().zip(recomputed).all(|(kept, recomputed)| approx_eq(*kept, recomputed)),
             "{kept:?}, recomputed {recomputed:?}"
         );
-        let mut marks: BTreeSet<(usize, u32)> = BTreeSet::new();
+        let mut replicas: BTreeSet<(usize, u32)> = BTreeSet::new();
         for (slot, worker) in router.workers.iter().enumerate() {
-            marks.extend(worker.marks.keys().map(|function| (*function, slot as u32)));
+            replicas.extend(worker.replicas.keys().map(|function| (*function, slot as u32)));
             assert_eq!(router.worker_ids[&worker.id], slot);
             assert_eq!(router.unlisted.contains(&slot), !worker.listed, "{}", worker.id);
         }
         let holders = router.functions.iter().flat_map(|(slot, f)| f.holders.iter().map(move |w| (slot, *w)));
         assert_eq!(
             holders.collect::<BTreeSet<_>>(),
-            marks,
+            replicas,
             "the holders of a function are the workers with a mark of it"
         );
         let mut in_flight: BTreeMap<usize, u32> = BTreeMap::new();
@@ -351,7 +355,7 @@
         let function = router.functions[slot].id.clone();
         let mut sorted: Vec<usize> = (0..router.workers.len()).collect();
         sorted.sort_by_key(|w| router.preference_distance(&function, *w));
-        let homes = router.known(slot).homes;
+        let homes = router.choice_inputs(slot).homes;
         let mut expected = Vec::new();
         let mut up = 0.0;
         for worker in &sorted {
@@ -371,7 +375,7 @@
 fn random_settings(rng: &mut Pcg32) -> Settings {
     let mut below = |most: u32| rng.next_u32() % most;
     let class = |effect, key_scope| Class {
-        aim: 800 * MS,
+        latency_target: 800 * MS,
         deadline: 3 * S,
         effect,
         key_scope,
@@ -380,9 +384,9 @@
         late_worth: 0.1,
     };
     Settings {
-        balancers: [1, 3, 30, 300][below(4) as usize],
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: [1, 3, 30, 300][below(4) as usize],
+        own_index: 0,
+        own_zone: 0,
         classes: vec![
             class(Effect::Idempotent, KeyScope::All),
             class(Effect::Deduplicated, KeyScope::Zone),
@@ -395,12 +399,12 @@
         may_duplicate: below(2) == 0,
         may_cancel: below(4) > 0,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.15,
         warm_after: 14 * S,
         fall_multiple: 2.0,
         fall_window: 1_500 * MS,
-        orders: below(4) > 0,
+        load_orders_allowed: below(4) > 0,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: if below(4) > 0 { 5 * S } else { 0 },
@@ -468,7 +472,7 @@
     });
     assert_detected("cached preference orders are reversed", |router| {
         let slots: Vec<usize> = router.functions.iter().map(|(slot, _)| slot).collect();
-        slots.into_iter().for_each(|slot| router.functions[slot].preferred.reverse());
+        slots.into_iter().for_each(|slot| router.functions[slot].preferred_workers.reverse());
     });
     assert_detected("all workers are indexed as slow", |router| router.fleet.corrupt_slowness_index());
 }
--- a/src/control/functions.rs
+++ b/src/control/functions.rs
@@ -3,7 +3,7 @@
 //! A function is held in full while it is requested, becomes a compact dormant record once it has been idle for a while, and
 //! is evicted, least recently used first, when there is no room. No requests are decided here; the clock is passed in.
 
-use super::hints::Usual;
+use super::hints::HintMean;
 use super::tables::Function;
 use crate::api::{FunctionId, Micros};
 use hashlink::LinkedHashMap;
@@ -12,9 +12,9 @@
 use std::ops::{Index, IndexMut};
 
 /// Default bound of the table: together with the rest of a dispatcher's state it fits into 256 MB.
-pub const USUAL_FUNCTION_BYTES: usize = 96 << 20;
+pub const DEFAULT_FUNCTION_BYTES: usize = 96 << 20;
 /// Smallest accepted bound of the table. Less holds too few functions to be useful.
-pub const LEAST_FUNCTION_BYTES: usize = 64 << 10;
+pub const MIN_FUNCTION_BYTES: usize = 64 << 10;
 /// Bytes of an active function besides its id: the record, its index entries, its preferred workers, and the marks that
 /// workers hold of it. Measured by `cargo bench --bench routing`.
 const ACTIVE_BYTES: usize = size_of::<Function>() + 512;
@@ -42,12 +42,12 @@
     fn of(function: &Function) -> DormantRecord {
         DormantRecord {
             class: function.class as u32,
-            answers: function.answers,
+            answers: function.answer_count,
             lanes: function.lanes as f32,
-            told_load: function.told_load.map(|time| time as f32),
-            load: function.load.map(|time| time as f32),
-            run: function.run as f32,
-            hinted: function.hinted.to_compact(),
+            told_load: function.stated_load_time.map(|time| time as f32),
+            load: function.load_time.map(|time| time as f32),
+            run: function.run_time as f32,
+            hinted: function.usual_hint.to_compact(),
         }
     }
 
@@ -56,12 +56,12 @@
             id,
             served,
             class: self.class as usize,
-            answers: self.answers,
+            answer_count: self.answers,
             lanes: f64::from(self.lanes),
-            told_load: self.told_load.map(f64::from),
-            load: self.load.map(f64::from),
-            run: f64::from(self.run),
-            hinted: Usual::from_compact(self.hinted),
+            stated_load_time: self.told_load.map(f64::from),
+            load_time: self.load.map(f64::from),
+            run_time: f64::from(self.run),
+            usual_hint: HintMean::from_compact(self.hinted),
             ..Function::default()
         }
     }
--- a/src/control/learned.rs
+++ b/src/control/learned.rs
@@ -5,8 +5,8 @@
 //! No requests are decided here.
 
 use super::preference::PreferenceRing;
-use super::tables::{Function, Mark, Pool, Worker};
-use super::{Evidence, Router};
+use super::tables::{ClassEstimates, Function, Replica, Worker};
+use super::{DecayingMean, Router};
 use crate::api::{Micros, WorkerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -14,96 +14,103 @@
 /// Limit of plausible times and counts: about three hours, in microseconds.
 const MAX_FIGURE: f64 = 1e10;
 /// Limit of plausible replicas of one function at one worker.
-const MAX_COPIES: u32 = 1_024;
+const MAX_REPLICAS: u32 = 1_024;
 /// Limit of the dormant functions that are handed over, which keeps the handover message short.
 const MAX_DORMANT: usize = 4_096;
 
 /// State that a router has learned. The field names and their order are the format of the handover.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub struct Learned {
+pub struct LearnedState {
     workers: Vec<Worker>,
     functions: Vec<Function>,
-    pools: Vec<Pool>,
+    #[serde(rename = "pools")]
+    class_estimates: Vec<ClassEstimates>,
     /// Evidence of the rate of answers, and of the slowness of the function store.
-    rates: (Evidence, Evidence),
+    rates: (DecayingMean, DecayingMean),
     /// Times of the requests and of the load orders that the load ration counts.
     ration: (VecDeque<Micros>, VecDeque<Micros>),
 }
 
-impl Learned {
+impl LearnedState {
     /// Returns the part of a peer's state that this router may start from: run and load times, and the replicas with their
     /// ages. All times are moved back by `behind`, by which this router's clock is behind the peer's. State that holds for the peer alone is left out: its rations, requests in
     /// progress, broken connections and refusals. Returns `None` if a figure is implausible.
-    pub fn of_peer(self, behind: Micros) -> Option<Learned> {
+    pub fn from_peer(self, behind: Micros) -> Option<LearnedState> {
         let rebased = |at: Micros| at.saturating_sub(behind);
         let plausible = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
-        let plausible_evidence = |evidence: &Evidence| evidence.is_plausible(MAX_FIGURE);
+        let plausible_evidence = |evidence: &DecayingMean| evidence.is_plausible(MAX_FIGURE);
         let plausible_function = |f: &Function| {
-            let loads = f.told_load.iter().chain(&f.load).all(|load| plausible(*load));
-            let figures = loads && plausible(f.run) && plausible(f.lanes);
-            figures && plausible_evidence(&f.seen) && plausible_evidence(&f.found)
+            let loads = f.stated_load_time.iter().chain(&f.load_time).all(|load| plausible(*load));
+            let figures = loads && plausible(f.run_time) && plausible(f.lanes);
+            figures && plausible_evidence(&f.request_rate) && plausible_evidence(&f.home_hits)
         };
-        let plausible_pool =
-            |p: &Pool| p.load.is_none_or(plausible) && plausible(p.run) && plausible_evidence(&p.found);
-        let plausible_marks = |w: &Worker| w.marks.values().all(|mark| mark.copies <= MAX_COPIES);
+        let plausible_estimates = |p: &ClassEstimates| {
+            p.load_time.is_none_or(plausible) && plausible(p.run_time) && plausible_evidence(&p.home_hits)
+        };
+        let plausible_replicas =
+            |w: &Worker| w.replicas.values().all(|replica| replica.count <= MAX_REPLICAS);
         let all_plausible = self.functions.iter().all(plausible_function)
-            && self.pools.iter().all(plausible_pool)
-            && self.workers.iter().all(|w| plausible_evidence(&w.slow) && plausible_marks(w));
+            && self.class_estimates.iter().all(plausible_estimates)
+            && self.workers.iter().all(|w| plausible_evidence(&w.slowness) && plausible_replicas(w));
         if !all_plausible {
             return None;
         }
-        let classes = self.pools.len();
-        let mark = |m: Mark| Mark {
-            copies: m.copies,
-            used: rebased(m.used),
-            asked: rebased(m.asked),
-            ..Mark::default()
+        let classes = self.class_estimates.len();
+        let replica = |m: Replica| Replica {
+            count: m.count,
+            last_used: rebased(m.last_used),
+            last_requested: rebased(m.last_requested),
+            ..Replica::default()
         };
         let worker = |w: Worker| Worker {
             ready_at: w.ready_at.map(rebased),
-            marks: w.marks.into_iter().map(|(f, m)| (f, mark(m))).collect(),
-            slow: w.slow.rebased(behind),
-            lost: vec![Evidence::default(); classes],
-            heard: vec![0; classes],
+            replicas: w.replicas.into_iter().map(|(f, m)| (f, replica(m))).collect(),
+            slowness: w.slowness.rebased(behind),
+            losses_by_class: vec![DecayingMean::default(); classes],
+            last_answer_by_class: vec![0; classes],
             id: w.id,
             zone: w.zone,
             cell: w.cell,
             ..Worker::default()
         };
         let function = |f: Function| Function {
-            seen: f.seen.rebased(behind),
-            found: f.found.rebased(behind),
+            request_rate: f.request_rate.rebased(behind),
+            home_hits: f.home_hits.rebased(behind),
             id: f.id,
             class: f.class,
             lanes: f.lanes,
-            told_load: f.told_load,
-            load: f.load,
-            run: f.run,
-            answers: f.answers,
+            stated_load_time: f.stated_load_time,
+            load_time: f.load_time,
+            run_time: f.run_time,
+            answer_count: f.answer_count,
             served: f.served,
             ..Function::default()
         };
-        let pool =
-            |p: Pool| Pool { found: p.found.rebased(behind), run: p.run, load: p.load, ..Pool::default() };
-        Some(Learned {
+        let pool = |p: ClassEstimates| ClassEstimates {
+            home_hits: p.home_hits.rebased(behind),
+            run_time: p.run_time,
+            load_time: p.load_time,
+            ..ClassEstimates::default()
+        };
+        Some(LearnedState {
             workers: self.workers.into_iter().map(worker).collect(),
             functions: self.functions.into_iter().map(function).collect(),
-            pools: self.pools.into_iter().map(pool).collect(),
-            ..Learned::default()
+            class_estimates: self.class_estimates.into_iter().map(pool).collect(),
+            ..LearnedState::default()
         })
     }
 
     /// Returns whether all indexes refer to existing entries, all times are in the past and ids are unique. A message from
     /// another process may contain anything.
     fn is_consistent(&self, now: Micros) -> bool {
-        let (functions, classes) = (self.functions.len(), self.pools.len());
+        let (functions, classes) = (self.functions.len(), self.class_estimates.len());
         let worker = |w: &Worker| {
-            let per_class = w.lost.len() == classes && w.heard.len() == classes;
-            let marks = w.marks.iter().all(|(function, mark)| {
-                let loading = mark.loading.is_none_or(|(began, due)| began <= now && began <= due);
-                *function < functions && loading && mark.used <= now && mark.asked <= now
+            let per_class = w.losses_by_class.len() == classes && w.last_answer_by_class.len() == classes;
+            let replicas = w.replicas.iter().all(|(function, replica)| {
+                let loading = replica.loading.is_none_or(|(began, due)| began <= now && began <= due);
+                *function < functions && loading && replica.last_used <= now && replica.last_requested <= now
             });
-            per_class && marks && w.sent <= now
+            per_class && replicas && w.last_sent <= now
         };
         // Two entries with one id would give one worker or function two slots.
         let worker_ids: HashSet<&str> = self.workers.iter().map(|w| &*w.id).collect();
@@ -119,46 +126,52 @@
 
 impl Router {
     /// Returns the learned state for a handover.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         // Functions are renumbered without gaps; the successor assigns slots of its own.
         let numbers: HashMap<usize, usize> =
             self.functions.iter().enumerate().map(|(number, (slot, _))| (slot, number)).collect();
         let mut functions: Vec<Function> = self.functions.iter().map(|(_, f)| f.clone()).collect();
         functions.extend(self.functions.dormant_functions().take(MAX_DORMANT));
         let renumbered = |w: &Worker| {
-            let marks =
-                w.marks.iter().filter_map(|(slot, mark)| Some((*numbers.get(slot)?, *mark))).collect();
-            Worker { marks, ..w.clone() }
+            let replicas = w
+                .replicas
+                .iter()
+                .filter_map(|(slot, replica)| Some((*numbers.get(slot)?, *replica)))
+                .collect();
+            Worker { replicas, ..w.clone() }
         };
-        Learned {
+        LearnedState {
             workers: self.workers.iter().map(renumbered).collect(),
             functions,
-            pools: self.pools.clone(),
-            rates: (self.served, self.store),
-            ration: (self.taken.clone(), self.ordered.clone()),
+            class_estimates: self.class_estimates.clone(),
+            rates: (self.answer_rate, self.store_slowness),
+            ration: (self.recent_requests.clone(), self.recent_load_orders.clone()),
         }
     }
 
     /// Replaces the state of this router by the learned one, without requests in progress. Returns false and changes nothing
     /// if this router has requests or the state is inconsistent. Settings whose classes have the same indexes, and a worker
     /// list, must be applied afterwards.
-    pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
+    pub fn restore(&mut self, now: Micros, learned: LearnedState) -> bool {
         let usable = self.requests.is_empty() && learned.is_consistent(now);
         if !usable {
             return false;
         }
-        let Learned { workers, functions, pools, rates, ration } = learned;
-        (self.workers, self.pools) = (workers, pools);
-        ((self.served, self.store), (self.taken, self.ordered)) = (rates, ration);
-        for times in [&mut self.taken, &mut self.ordered] {
+        let LearnedState { workers, functions, class_estimates: pools, rates, ration } = learned;
+        (self.workers, self.class_estimates) = (workers, pools);
+        ((self.answer_rate, self.store_slowness), (self.recent_requests, self.recent_load_orders)) =
+            (rates, ration);
+        for times in [&mut self.recent_requests, &mut self.recent_load_orders] {
             times.make_contiguous().sort_unstable();
         }
         let slots = self.functions.replace(now, functions);
         for (worker_slot, worker) in self.workers.iter_mut().enumerate() {
-            worker.open.clear();
-            let marks = std::mem::take(&mut worker.marks).into_iter();
-            worker.marks = marks.map(|(number, mark)| (slots[number], Mark { own: 0, ..mark })).collect();
-            for function_slot in worker.marks.keys() {
+            worker.open_attempts.clear();
+            let replicas = std::mem::take(&mut worker.replicas).into_iter();
+            worker.replicas = replicas
+                .map(|(number, replica)| (slots[number], Replica { own_in_flight: 0, ..replica }))
+                .collect();
+            for function_slot in worker.replicas.keys() {
                 self.functions[*function_slot].holders.push(worker_slot as u32);
             }
         }
@@ -170,7 +183,7 @@
         self.ring = PreferenceRing::default();
         self.ring.update(&[], &all);
         self.update_preference_order();
-        self.rebuild();
+        self.rebuild_indexes();
         true
     }
 }
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -1,10 +1,10 @@
 //! The records that a router keeps of workers, functions, classes and requests, and small helpers on them. No
-//! request is decided here. `Worker`, `Mark`, `Function` and `Pool` are handed to the next process, so the
+//! request is decided here. `Worker`, `Replica`, `Function` and `ClassEstimates` are handed to the next process, so the
 //! order and the serialised names of their fields are fixed. Times are in microseconds.
 
-use super::hints::{Power, Size, Usual};
-use super::reports::Report;
-use super::{Estimate, Evidence};
+use super::hints::{HintExponent, HintMean, WorkHint};
+use super::reports::LoadReport;
+use super::{DecayingMean, Estimate};
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -22,16 +22,21 @@
     pub(super) listed: bool,
     /// When its process last started, if that is not long past.
     pub(super) ready_at: Option<Micros>,
-    /// Its copies, by the slot of their function.
-    pub(super) marks: BTreeMap<usize, Mark>,
+    /// Its replicas, by the slot of their function.
+    #[serde(rename = "marks")]
+    pub(super) replicas: BTreeMap<usize, Replica>,
     /// Open attempts there: the request, and the number of the attempt.
-    pub(super) open: Vec<(RequestId, usize)>,
+    #[serde(rename = "open")]
+    pub(super) open_attempts: Vec<(RequestId, usize)>,
     /// Observed over predicted times. Above 1 for slow machines and for queues fed by other routers.
-    pub(super) slow: Evidence,
+    #[serde(rename = "slow")]
+    pub(super) slowness: DecayingMean,
     /// The share of lost attempts, by class.
-    pub(super) lost: Vec<Evidence>,
+    #[serde(rename = "lost")]
+    pub(super) losses_by_class: Vec<DecayingMean>,
     /// When it last answered, by class.
-    pub(super) heard: Vec<Micros>,
+    #[serde(rename = "heard")]
+    pub(super) last_answer_by_class: Vec<Micros>,
     /// When a connection to it last broke or was refused.
     #[serde(rename = "broke")]
     pub(super) last_broken: Micros,
@@ -39,28 +44,35 @@
     #[serde(rename = "heard_any")]
     pub(super) last_answer: Micros,
     /// When this router last sent a request there.
-    pub(super) sent: Micros,
+    #[serde(rename = "sent")]
+    pub(super) last_sent: Micros,
     /// When it last stopped being healthy, by the list.
-    pub(super) fell: Micros,
+    #[serde(rename = "fell")]
+    pub(super) down_since: Micros,
     /// Its last load report.
     #[serde(default)]
-    pub(super) report: Report,
+    pub(super) report: LoadReport,
     /// While cold: the number of the last turn that this router took there.
-    pub(super) turn: u64,
+    #[serde(rename = "turn")]
+    pub(super) last_cold_turn: u64,
 }
 
-/// The assumed state of a function's copies at a worker.
+/// The assumed state of a function's replicas at a worker.
 #[derive(Default, Clone, Copy, Serialize, Deserialize)]
-pub(super) struct Mark {
-    pub(super) copies: u32,
+pub(super) struct Replica {
+    #[serde(rename = "copies")]
+    pub(super) count: u32,
     /// When the load under way began, and when it is expected to end.
     pub(super) loading: Option<(Micros, Micros)>,
-    /// When a copy was last used or ordered loaded.
-    pub(super) used: Micros,
+    /// When a replica was last used or ordered loaded.
+    #[serde(rename = "used")]
+    pub(super) last_used: Micros,
     /// When this router last sent a request for it there.
-    pub(super) asked: Micros,
+    #[serde(rename = "asked")]
+    pub(super) last_requested: Micros,
     /// Open attempts of this router.
-    pub(super) own: u32,
+    #[serde(rename = "own")]
+    pub(super) own_in_flight: u32,
     /// Requests of other routers for the function, by the last answer.
     #[serde(rename = "others")]
     pub(super) others_in_flight: f64,
@@ -71,28 +83,35 @@
 pub(super) struct Function {
     pub(super) id: FunctionId,
     pub(super) class: usize,
-    /// Requests that one copy runs at a time.
+    /// Requests that one replica runs at a time.
     pub(super) lanes: f64,
     /// Load time given by requests.
-    pub(super) told_load: Option<f64>,
+    #[serde(rename = "told_load")]
+    pub(super) stated_load_time: Option<f64>,
     /// Learned load time.
-    pub(super) load: Option<f64>,
+    #[serde(rename = "load")]
+    pub(super) load_time: Option<f64>,
     /// Learned run time.
-    pub(super) run: f64,
+    #[serde(rename = "run")]
+    pub(super) run_time: f64,
     /// Answers that the run time was learned from.
-    pub(super) answers: u32,
+    #[serde(rename = "answers")]
+    pub(super) answer_count: u32,
     /// The usual hint of its requests.
     #[serde(default)]
-    pub(super) hinted: Usual,
+    #[serde(rename = "hinted")]
+    pub(super) usual_hint: HintMean,
     /// Whether any request for it was served.
     pub(super) served: bool,
     /// Requests for it at this router.
-    pub(super) seen: Evidence,
-    /// Whether a copy was found at homes where this router had observed none.
-    pub(super) found: Evidence,
+    #[serde(rename = "seen")]
+    pub(super) request_rate: DecayingMean,
+    /// Whether a replica was found at homes where this router had observed none.
+    #[serde(rename = "found")]
+    pub(super) home_hits: DecayingMean,
     /// The first workers in its order of preference, which all dispatchers share.
     #[serde(skip)]
-    pub(super) preferred: Vec<u32>,
+    pub(super) preferred_workers: Vec<u32>,
     /// The version of the ring that `preferred` was taken from.
     #[serde(skip)]
     pub(super) preferred_version: u64,
@@ -104,27 +123,31 @@
     pub(super) in_flight: u32,
     /// Requests for it running or waiting at all its homes together, as estimated from answers.
     #[serde(rename = "crowd")]
-    pub(super) concurrency: Evidence,
+    pub(super) concurrency: DecayingMean,
 }
 
 /// What is learned for a class over all its functions.
 #[derive(Default, Clone, Serialize, Deserialize)]
-pub(super) struct Pool {
+pub(super) struct ClassEstimates {
     /// Learned run time.
-    pub(super) run: f64,
+    #[serde(rename = "run")]
+    pub(super) run_time: f64,
     /// Learned load time.
-    pub(super) load: Option<f64>,
-    /// Whether a copy was found at homes where this router had observed none.
-    pub(super) found: Evidence,
+    #[serde(rename = "load")]
+    pub(super) load_time: Option<f64>,
+    /// Whether a replica was found at homes where this router had observed none.
+    #[serde(rename = "found")]
+    pub(super) home_hits: DecayingMean,
     /// Concurrency of a function of the class, as in [`Function`].
     #[serde(rename = "crowd")]
-    pub(super) concurrency: Evidence,
+    pub(super) concurrency: DecayingMean,
     /// The usual hint of its requests.
     #[serde(default)]
-    pub(super) hinted: Usual,
+    #[serde(rename = "hinted")]
+    pub(super) usual_hint: HintMean,
     /// How well hints predict run times.
     #[serde(default, rename = "power")]
-    pub(super) hint_power: Power,
+    pub(super) hint_power: HintExponent,
     /// The share of its aim within which a request must be expected to finish, loads aside.
     #[serde(rename = "queue")]
     pub(super) queue_aim_share: f64,
@@ -133,7 +156,7 @@
 /// One send of a request.
 pub(super) struct Attempt {
     /// The prediction by which its worker was chosen.
-    pub(super) e: Estimate,
+    pub(super) estimate: Estimate,
     pub(super) sent_at: Micros,
     /// No outcome has arrived yet.
     pub(super) open: bool,
@@ -150,13 +173,13 @@
     pub(super) class: usize,
     pub(super) tenant: usize,
     /// The settings of its class when it arrived.
-    pub(super) rules: Class,
+    pub(super) class_settings: Class,
     /// The attempts allowed when it arrived.
     pub(super) max_attempts: usize,
     /// The slot of its function.
     pub(super) function: usize,
     /// Its hint, as weighed on arrival.
-    pub(super) size: Size,
+    pub(super) size: WorkHint,
     /// Its tenant's quota was exhausted when it arrived.
     pub(super) over_quota: bool,
     pub(super) deadline: Micros,
@@ -169,28 +192,30 @@
 
 impl Worker {
     /// Records that a connection broke or was `refused`. A broken connection alone does not mean that the
-    /// process has died and its copies are gone. That is assumed only if a new connection is refused after
+    /// process has died and its replicas are gone. That is assumed only if a new connection is refused after
     /// it, without an answer in between.
     pub(super) fn connection_failed(&mut self, now: Micros, refused: bool) {
         if refused && self.last_broken > self.last_answer && self.last_broken < now {
-            self.forget_copies();
+            self.forget_replicas();
         }
         self.last_broken = now;
     }
 
-    /// Assumes that no copy is loaded there any more. Open attempts stay counted.
-    pub(super) fn forget_copies(&mut self) {
-        self.marks.values_mut().for_each(|m| *m = Mark { own: m.own, ..Mark::default() });
+    /// Assumes that no replica is loaded there any more. Open attempts stay counted.
+    pub(super) fn forget_replicas(&mut self) {
+        self.replicas
+            .values_mut()
+            .for_each(|m| *m = Replica { own_in_flight: m.own_in_flight, ..Replica::default() });
     }
 }
 
 /// Replaces out-of-range settings, so that no estimate divides by zero or overflows.
 pub(super) fn sanitized(mut settings: Settings) -> Settings {
-    settings.balancers = settings.balancers.max(1);
+    settings.dispatcher_count = settings.dispatcher_count.max(1);
     settings.keep_alive = settings.keep_alive.max(1);
     settings.cold_share = settings.cold_share.clamp(0.05, 1.0);
     settings.max_attempts = settings.max_attempts.max(1);
-    settings.classes.iter_mut().for_each(|c| c.aim = c.aim.max(1));
+    settings.classes.iter_mut().for_each(|c| c.latency_target = c.latency_target.max(1));
     settings
 }
 
@@ -204,14 +229,14 @@
 
 /// Returns the mark of a function at a worker. Creates an empty one, and lists the worker as a holder, if
 /// there is none.
-pub(super) fn mark_mut<'a>(
+pub(super) fn replica_mut<'a>(
     worker: &'a mut Worker,
     worker_slot: usize,
     function: &mut Function,
     function_slot: usize,
-) -> &'a mut Mark {
-    worker.marks.entry(function_slot).or_insert_with(|| {
+) -> &'a mut Replica {
+    worker.replicas.entry(function_slot).or_insert_with(|| {
         function.holders.push(worker_slot as u32);
-        Mark::default()
+        Replica::default()
     })
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,16 +3,16 @@
 //! Fronts submit requests under a [`Ticket`]. The engine passes events to the [`Router`] and turns its
 //! actions into [`Command`]s for the fronts and the executor pool; it does no I/O and handles no wire format.
 //! It gives exactly one final answer for each accepted request, by the request's deadline regardless of what
-//! executors do. [`Bounds`] limits the attempts per request, and the requests and bytes of bodies held.
+//! executors do. [`EngineLimits`] limits the attempts per request, and the requests and bytes of bodies held.
 
-mod attempt;
+mod attempt_result;
 mod timers;
 
 use crate::api::{
-    Action, Class, Effect, Event, Found, FunctionId, KeyScope, Listing, Micros, Outcome, RequestId, Settings,
-    WorkerId,
+    Action, Class, Effect, Event, FunctionId, KeyScope, Micros, Outcome, ReplicaStatus, RequestId, Settings,
+    WorkerEntry, WorkerId,
 };
-use crate::control::{Budget, Learned, Router};
+use crate::control::{Budget, LearnedState, Router};
 use crate::counters::{Counters, count};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,7 +21,7 @@
 use std::sync::Arc;
 use timers::{TimerKind, Timers};
 
-pub use attempt::{AttemptId, AttemptResult};
+pub use attempt_result::{AttemptId, AttemptResult};
 
 /// The origin of a request and the destination of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,36 +36,36 @@
 
 /// A request as submitted by a front.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct RequestSpec {
     /// Its class, by position in the settings.
     pub class: usize,
     /// Its tenant, by position in the settings.
     pub tenant: usize,
     /// Its function.
     pub function: FunctionId,
-    /// The number of requests that one copy runs concurrently.
-    pub lanes: f64,
+    /// The number of requests that one replica runs concurrently.
+    pub replica_concurrency: f64,
     /// The typical load time, if known.
     pub load_time: Option<Micros>,
     /// A rough prediction of its run time, if known.
-    pub work: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// Whether it is a client's retry, where clients mark retries.
-    pub again: bool,
+    pub is_retry: bool,
     /// The time left until the final answer is due.
     pub time_left: Micros,
     /// The client's id for the request.
-    pub call: Arc<str>,
+    pub client_request_id: Arc<str>,
     /// The client's idempotency key.
-    pub key: Option<Arc<str>>,
+    pub idempotency_key: Option<Arc<str>>,
     /// The request body.
     pub body: Vec<u8>,
     /// Set if the request may have run before: the time since the client sent it.
-    pub repeat: Option<Micros>,
+    pub possible_repeat_age: Option<Micros>,
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// The request was served; holds the executor's response body.
     Served(Vec<u8>),
     /// The request was refused. A retry is harmless after the given time.
@@ -86,41 +86,41 @@
         /// How long to wait for the answer.
         wait: Micros,
         /// The request.
-        job: Rc<Job>,
+        job: Rc<RequestSpec>,
     },
     /// Cancel an attempt.
-    Halt {
+    Cancel {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::Moot`].
-    Recall {
+    /// Cancel an attempt only if none of it has been sent; it then ends as [`Outcome::NotSent`].
+    CancelIfUnsent {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// Order a worker to load copies of a function.
-    Load {
+    /// Order a worker to load replicas of a function.
+    OrderLoad {
         /// Identifies the order.
         order: u64,
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The minimum number of copies to keep loaded.
-        copies: u32,
+        /// The minimum number of replicas to keep loaded.
+        replicas: u32,
     },
     /// Give the final answer.
     Answer {
         /// The destination of the answer.
         ticket: Ticket,
         /// The answer.
-        answer: Final,
+        answer: FinalAnswer,
     },
 }
 
 /// Limits of the engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct EngineLimits {
     /// Maximum number of attempts per request.
     pub attempts: usize,
     /// Time limit of a load order.
@@ -145,7 +145,7 @@
 
 struct TrackedRequest {
     ticket: Ticket,
-    job: Rc<Job>,
+    job: Rc<RequestSpec>,
     deadline: Micros,
     /// The final answer has been given, or is no longer needed.
     answered: bool,
@@ -162,7 +162,7 @@
 /// Tracks requests, attempts and load orders, and drives the decision module.
 pub struct Engine {
     router: Router,
-    bounds: Bounds,
+    bounds: EngineLimits,
     classes: Vec<Class>,
     requests: BTreeMap<RequestId, TrackedRequest>,
     /// The requests that still need a final answer.
@@ -181,25 +181,25 @@
     counters: Rc<Counters>,
     /// Operations for the host, in order.
     pub commands: VecDeque<Command>,
-    /// Answers of workers, recorded once [`Engine::budget`] has been called: the worker, a hash of the
+    /// Answers of workers, recorded once [`Engine::replace_budget`] has been called: the worker, a hash of the
     /// function, and the latency, or `None` if the worker was full. Requests that started a load are left
     /// out.
     pub answers: Vec<(WorkerId, u64, Option<Micros>)>,
     records_answers: bool,
-    /// Starts and ends of attempts, recorded once [`Engine::trace`] has been called.
-    pub traces: Vec<Trace>,
+    /// Starts and ends of attempts, recorded once [`Engine::enable_tracing`] has been called.
+    pub traces: Vec<AttemptTrace>,
     records_traces: bool,
 }
 
 /// The start or the end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Trace {
+pub struct AttemptTrace {
     /// The worker.
     pub worker: WorkerId,
     /// When the attempt was sent.
     pub sent: Micros,
     /// `None` for a start. For an end: the outcome, a hash of the function (0 where the decision module
-    /// cancelled the attempt), and the latency if a copy was already loaded.
+    /// cancelled the attempt), and the latency if a replica was already loaded.
     pub end: Option<(Outcome, u64, Option<Micros>)>,
 }
 
@@ -217,7 +217,7 @@
         settings: &Settings,
         seed: u64,
         now: Micros,
-        bounds: Bounds,
+        bounds: EngineLimits,
         counters: Rc<Counters>,
     ) -> Engine {
         Engine {
@@ -244,7 +244,7 @@
 
     /// Applies new settings and bounds. Classes are identified by their index; the indices in `fresh` now
     /// denote other classes than before.
-    pub fn configure(&mut self, settings: &Settings, fresh: &[usize], bounds: Bounds) {
+    pub fn configure(&mut self, settings: &Settings, fresh: &[usize], bounds: EngineLimits) {
         self.router.configure(settings.clone(), fresh);
         self.classes = settings.classes.clone();
         self.bounds = bounds;
@@ -253,25 +253,25 @@
     /// Sets how the budget of a worker in cold start is divided among dispatchers that know of each other:
     /// the number of serving dispatchers, the number of parts, and the index of this dispatcher's part.
     /// `None` restores the division of the settings.
-    pub fn divide(&mut self, division: Option<(usize, usize, usize)>) {
-        self.router.divide(division);
+    pub fn set_cold_budget_division(&mut self, division: Option<(usize, usize, usize)>) {
+        self.router.set_cold_budget_division(division);
     }
 
     /// Sets what the decision module may spend of the fleet's budgets from now on, and returns what remains
     /// of the previous budget. Starts the recording of `answers`.
-    pub fn budget(&mut self, next: Budget) -> Budget {
+    pub fn replace_budget(&mut self, next: Budget) -> Budget {
         self.records_answers = true;
-        self.router.budget(next)
+        self.router.replace_budget(next)
     }
 
     /// Starts the recording of `traces`.
-    pub fn trace(&mut self) {
+    pub fn enable_tracing(&mut self) {
         self.records_traces = true;
     }
 
     /// Handles a failed connection probe of a worker.
-    pub fn unreached(&mut self, now: Micros, worker: &WorkerId) {
-        self.router.unreached(now, worker);
+    pub fn probe_failed(&mut self, now: Micros, worker: &WorkerId) {
+        self.router.probe_failed(now, worker);
     }
 
     /// Returns the indices of the classes that have open requests.
@@ -280,18 +280,18 @@
     }
 
     /// Returns the decision module's learned state, for a handover to another process.
-    pub fn learned(&self) -> Learned {
+    pub fn learned(&self) -> LearnedState {
         self.router.learned()
     }
 
     /// Adopts the learned state of another process; returns false if it cannot be used. The caller must then
     /// call `configure` and `list`.
-    pub fn inherit(&mut self, now: Micros, learned: Learned) -> bool {
-        self.router.inherit(now, learned)
+    pub fn restore(&mut self, now: Micros, learned: LearnedState) -> bool {
+        self.router.restore(now, learned)
     }
 
     /// Returns the number of requests that still need a final answer.
-    pub fn owed(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.tickets.len()
     }
 
@@ -301,22 +301,22 @@
     }
 
     /// Returns when the next timer expires.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next_expiry()
     }
 
     /// Limits the memory that the decision module may use for functions.
-    pub fn bound_functions(&mut self, bytes: usize) {
-        self.router.bound_functions(bytes);
+    pub fn set_max_function_bytes(&mut self, bytes: usize) {
+        self.router.set_max_function_bytes(bytes);
     }
 
     /// Passes the complete worker list to the decision module; workers absent from it have been removed.
-    pub fn list(&mut self, now: Micros, entries: Vec<Listing>) {
+    pub fn set_workers(&mut self, now: Micros, entries: Vec<WorkerEntry>) {
         self.handle_event(now, Event::Workers { complete: true, entries });
     }
 
     /// Accepts a request. Exactly one final answer follows for the ticket, unless `forget` is called for it.
-    pub fn take(&mut self, now: Micros, ticket: Ticket, job: Job) {
+    pub fn submit(&mut self, now: Micros, ticket: Ticket, job: RequestSpec) {
         count(&self.counters.requests_taken);
         let id = self.next_id;
         self.next_id += 1;
@@ -330,19 +330,19 @@
         let (mut rejection, max_attempts) = self.check_repeat(&job);
         // Executors identify a request by its client's id. A second request under an open id could be
         // cancelled or answered in place of the first.
-        if rejection.is_none() && self.open_calls.contains(&job.call) {
+        if rejection.is_none() && self.open_calls.contains(&job.client_request_id) {
             rejection = Some("its id is that of a request which is open");
         }
-        let call = job.call.clone();
+        let call = job.client_request_id.clone();
         let event = Event::Request {
             id,
             class: job.class,
             tenant: job.tenant,
             function: job.function.clone(),
-            lanes: job.lanes,
+            replica_concurrency: job.replica_concurrency,
             load_time: job.load_time,
-            work: job.work,
-            again: job.again,
+            work_hint: job.work_hint,
+            is_retry: job.is_retry,
             time_left: job.time_left,
         };
         let request = TrackedRequest {
@@ -355,11 +355,11 @@
         };
         self.requests.insert(id, request);
         if let Some(reason) = rejection {
-            self.answer(id, Final::Failed(reason));
+            self.answer(id, FinalAnswer::Failed(reason));
             return self.remove(id);
         }
         if full {
-            self.answer(id, Final::Refused(self.bounds.retry_after));
+            self.answer(id, FinalAnswer::Refused(self.bounds.retry_after));
             return self.remove(id);
         }
         self.open_calls.insert(call);
@@ -369,9 +369,9 @@
 
     /// Returns the reason why a request that may have run before must not run again, if there is one, and the
     /// maximum number of its attempts.
-    fn check_repeat(&self, job: &Job) -> (Option<&'static str>, usize) {
+    fn check_repeat(&self, job: &RequestSpec) -> (Option<&'static str>, usize) {
         let max_attempts = self.bounds.attempts;
-        let (Some(age), Some(class)) = (job.repeat, self.classes.get(job.class)) else {
+        let (Some(age), Some(class)) = (job.possible_repeat_age, self.classes.get(job.class)) else {
             return (None, max_attempts);
         };
         match class.effect {
@@ -381,7 +381,7 @@
             // as soon as the client sent the request. A second attempt of this repeat could arrive after the
             // window, so the repeat gets one attempt.
             Effect::Deduplicated => {
-                let recognised = class.key_scope == KeyScope::All && job.key.is_some();
+                let recognised = class.key_scope == KeyScope::All && job.idempotency_key.is_some();
                 let too_late = age.saturating_add(self.bounds.send_lag) >= class.repeat_window;
                 (Some("may have run before, too long ago to repeat").filter(|_| too_late || !recognised), 1)
             }
@@ -389,7 +389,7 @@
     }
 
     /// Drops a request whose client no longer waits: no answer is given, and unsent attempts are cancelled.
-    pub fn forget(&mut self, now: Micros, ticket: Ticket) {
+    pub fn abandon(&mut self, now: Micros, ticket: Ticket) {
         let Some(id) = self.tickets.remove(&ticket) else { return };
         count(&self.counters.requests_forgotten);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -402,7 +402,7 @@
 
     /// Handles a client that has closed its end of the connection and has probably gone: no further attempt
     /// is sent for the request. Attempts already sent may still be answered.
-    pub fn hung_up(&mut self, ticket: Ticket) {
+    pub fn client_closed(&mut self, ticket: Ticket) {
         let Some(id) = self.tickets.get(&ticket).copied() else { return };
         count(&self.counters.requests_hung_up);
         if let Some(request) = self.requests.get_mut(&id) {
@@ -416,30 +416,32 @@
     fn recall_unsent(&mut self, id: RequestId) {
         let attempts = self.requests.get(&id).map_or(&[][..], |r| &r.attempts);
         let open = attempts.iter().enumerate().filter(|(_, a)| a.open);
-        let command = |(number, _)| Command::Recall { attempt: AttemptId { request: id, number } };
+        let command = |(number, _)| Command::CancelIfUnsent { attempt: AttemptId { request: id, number } };
         self.commands.extend(open.map(command));
     }
 
     /// Fails every request that still needs an answer, because the process is about to exit.
-    pub fn give_up(&mut self, now: Micros) {
+    pub fn fail_open_requests(&mut self, now: Micros) {
         let unanswered: Vec<RequestId> = self.tickets.values().copied().collect();
         for id in unanswered {
-            self.answer(id, Final::Failed("the dispatcher is being stopped"));
+            self.answer(id, FinalAnswer::Failed("the dispatcher is being stopped"));
             self.handle_event(now, Event::Abandoned { id });
             self.remove_if_finished(id);
         }
     }
 
     /// Handles the end of an attempt.
-    pub fn ended(&mut self, now: Micros, id: AttemptId, result: AttemptResult) {
+    pub fn attempt_ended(&mut self, now: Micros, id: AttemptId, result: AttemptResult) {
         let counters = self.counters.clone();
         let Some(request) = self.requests.get_mut(&id.request) else { return count(&counters.late_answers) };
         let Some(attempt) = request.attempts.get_mut(id.number).filter(|a| a.open) else {
             return count(&counters.late_answers);
         };
         attempt.open = false;
-        attempt.may_have_run =
-            !matches!(result.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss);
+        attempt.may_have_run = !matches!(
+            result.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss
+        );
         count(match result.outcome {
             Outcome::Ok => &counters.ended_ok,
             Outcome::Error | Outcome::Unknown => &counters.ended_error,
@@ -448,7 +450,7 @@
             Outcome::ConnectFailed => &counters.ended_no_connect,
             Outcome::Reset => &counters.ended_reset,
             Outcome::Cancelled => &counters.ended_cancelled,
-            Outcome::Moot => &counters.ended_moot,
+            Outcome::NotSent => &counters.ended_moot,
             Outcome::Miss => &counters.ended_miss,
         });
         let latency = now.saturating_sub(attempt.sent_at);
@@ -458,8 +460,8 @@
         {
             let mut function_hash = SipHasher13::new();
             request.job.function.hash(&mut function_hash);
-            let sample =
-                (result.outcome == Outcome::Ok && result.found != Found::BeganLoad).then_some(latency);
+            let sample = (result.outcome == Outcome::Ok && result.found != ReplicaStatus::LoadStarted)
+                .then_some(latency);
             if sample.is_some() || result.outcome == Outcome::Full {
                 self.answers.push((attempt.worker.clone(), function_hash.finish(), sample));
             }
@@ -467,24 +469,36 @@
         if self.records_traces && self.traces.len() < MAX_TRACES {
             let mut function_hash = SipHasher13::new();
             request.job.function.hash(&mut function_hash);
-            let sample = (result.found == Found::Warm).then_some(latency);
+            let sample = (result.found == ReplicaStatus::Warm).then_some(latency);
             let end = Some((result.outcome, function_hash.finish(), sample));
-            self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
+            self.traces.push(AttemptTrace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
         }
         if result.outcome == Outcome::Ok {
-            self.answer(id.request, Final::Served(result.body));
+            self.answer(id.request, FinalAnswer::Served(result.body));
         }
         let last = self.requests.get(&id.request).is_none_or(|r| r.answered);
-        let AttemptResult { outcome, found, crowd, report, .. } = result;
+        let AttemptResult { outcome, found, concurrent_requests: crowd, report, .. } = result;
         let AttemptId { request: id, number: attempt } = id;
-        self.handle_event(now, Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.handle_event(
+            now,
+            Event::AttemptEnded {
+                id,
+                attempt,
+                is_final: last,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report,
+            },
+        );
         self.remove_if_finished(id);
     }
 
     /// Handles the end of a load order.
-    pub fn loaded(&mut self, now: Micros, order: u64, outcome: Outcome, copies: u32) {
+    pub fn load_order_ended(&mut self, now: Micros, order: u64, outcome: Outcome, replicas: u32) {
         let Some(LoadOrder { worker, function, sent_at }) = self.load_orders.remove(&order) else { return };
-        self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, copies });
+        self.handle_event(now, Event::Loaded { worker, function, outcome, latency: now - sent_at, replicas });
     }
 
     /// Handles the timers that have expired.
@@ -495,15 +509,15 @@
                     let state =
                         self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
                     if state.is_some_and(|a| a.open) {
-                        self.commands.push_back(Command::Halt { attempt });
-                        self.ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
+                        self.commands.push_back(Command::Cancel { attempt });
+                        self.attempt_ended(now, attempt, AttemptResult::from_outcome(Outcome::Timeout));
                     }
                 }
                 TimerKind::RepeatSendDeadline(attempt) => {
                     let state =
                         self.requests.get(&attempt.request).and_then(|r| r.attempts.get(attempt.number));
                     if state.is_some_and(|a| a.open) {
-                        self.commands.push_back(Command::Recall { attempt });
+                        self.commands.push_back(Command::CancelIfUnsent { attempt });
                     }
                 }
                 TimerKind::RouterWakeup(cookie) => self.handle_event(now, Event::Timer { cookie }),
@@ -511,12 +525,12 @@
                     // The engine enforces the deadline itself, so that a request the decision module keeps
                     // for too long still gets its final answer in time.
                     if self.requests.get(&id).is_some_and(|r| !r.answered) {
-                        self.answer(id, Final::Failed("out of time"));
+                        self.answer(id, FinalAnswer::Failed("out of time"));
                         self.handle_event(now, Event::Abandoned { id });
                         self.remove_if_finished(id);
                     }
                 }
-                TimerKind::LoadOrderTimeout(order) => self.loaded(now, order, Outcome::Timeout, 0),
+                TimerKind::LoadOrderTimeout(order) => self.load_order_ended(now, order, Outcome::Timeout, 0),
             }
         }
     }
@@ -527,9 +541,9 @@
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.router.handle(now, &event, &mut actions);
-            let tally = self.router.tally();
+            let tally = self.router.counters();
             self.counters.cold_turns.set(tally.cold_turns);
-            self.counters.loads_left.set(tally.loads_left);
+            self.counters.loads_left.set(tally.renewals_skipped);
             actions.drain(..).for_each(|action| self.apply(now, action));
             self.actions = actions;
         }
@@ -538,13 +552,13 @@
     /// Carries out one action of the decision module.
     fn apply(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.start_attempt(now, id, worker, until),
+            Action::Send { id, worker, deadline: until } => self.start_attempt(now, id, worker, until),
             Action::Refuse { id, retry_after } => {
-                self.answer(id, Final::Refused(retry_after));
+                self.answer(id, FinalAnswer::Refused(retry_after));
                 self.remove_if_finished(id);
             }
             Action::Fail { id } => {
-                self.answer(id, Final::Failed("not served in time"));
+                self.answer(id, FinalAnswer::Failed("not served in time"));
                 self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt: number } => {
@@ -554,25 +568,29 @@
                 let (latency, last) = (now - attempt.sent_at, request.answered);
                 if self.records_traces && self.traces.len() < MAX_TRACES {
                     let end = Some((Outcome::Cancelled, 0, None));
-                    self.traces.push(Trace { worker: attempt.worker.clone(), sent: attempt.sent_at, end });
+                    self.traces.push(AttemptTrace {
+                        worker: attempt.worker.clone(),
+                        sent: attempt.sent_at,
+                        end,
+                    });
                 }
                 count(&self.counters.ended_cancelled);
-                self.commands.push_back(Command::Halt { attempt: AttemptId { request: id, number } });
+                self.commands.push_back(Command::Cancel { attempt: AttemptId { request: id, number } });
                 self.queue_outcome(id, number, last, Outcome::Cancelled, latency);
                 self.remove_if_finished(id);
             }
-            Action::Load { worker, function, copies } => {
+            Action::Load { worker, function, replicas } => {
                 let order = self.next_id;
                 self.next_id += 1;
                 let load_order =
                     LoadOrder { worker: worker.clone(), function: function.clone(), sent_at: now };
                 self.load_orders.insert(order, load_order);
                 self.timers.add(now + self.bounds.load_wait, TimerKind::LoadOrderTimeout(order));
-                self.commands.push_back(Command::Load { order, worker, function, copies });
+                self.commands.push_back(Command::OrderLoad { order, worker, function, replicas });
             }
             Action::Timer { at, cookie } => self.timers.add(at, TimerKind::RouterWakeup(cookie)),
             // The host passes the worker list without being asked.
-            Action::Watch => {}
+            Action::WatchWorkers => {}
         }
     }
 
@@ -585,14 +603,14 @@
         outcome: Outcome,
         latency: Micros,
     ) {
-        let (found, crowd, report) = (Found::Untold, None, vec![]);
-        self.pending_events.push_back(Event::Outcome {
+        let (found, crowd, report) = (ReplicaStatus::NotReported, None, vec![]);
+        self.pending_events.push_back(Event::AttemptEnded {
             id,
             attempt,
-            last,
+            is_final: last,
             outcome,
             found,
-            crowd,
+            concurrent_requests: crowd,
             latency,
             report,
         });
@@ -610,11 +628,11 @@
         if !allowed {
             let last = request.answered;
             count(&self.counters.ended_moot);
-            return self.queue_outcome(id, number, last, Outcome::Moot, 0);
+            return self.queue_outcome(id, number, last, Outcome::NotSent, 0);
         }
         count(&self.counters.attempts_sent);
         if self.records_traces && self.traces.len() < MAX_TRACES {
-            self.traces.push(Trace { worker: worker.clone(), sent: now, end: None });
+            self.traces.push(AttemptTrace { worker: worker.clone(), sent: now, end: None });
         }
         let attempt = AttemptId { request: id, number };
         let job = request.job.clone();
@@ -633,7 +651,7 @@
         let class = self.classes.get(request.job.class).filter(|c| c.effect == Effect::Deduplicated)?;
         let first_sent_at = request.attempts.first().map_or(now, |a| a.sent_at);
         let earlier = request.attempts.split_last().map_or(&[][..], |(_, earlier)| earlier);
-        let window_start = match request.job.repeat {
+        let window_start = match request.job.possible_repeat_age {
             Some(age) => first_sent_at.saturating_sub(age),
             None if earlier.iter().any(|a| a.may_have_run) => first_sent_at,
             None => return None,
@@ -642,13 +660,13 @@
     }
 
     /// Gives the final answer, unless it has been given or is no longer needed.
-    fn answer(&mut self, id: RequestId, answer: Final) {
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
         request.answered = true;
         count(match answer {
-            Final::Served(_) => &self.counters.answers_served,
-            Final::Refused(_) => &self.counters.answers_refused,
-            Final::Failed(_) => &self.counters.answers_failed,
+            FinalAnswer::Served(_) => &self.counters.answers_served,
+            FinalAnswer::Refused(_) => &self.counters.answers_refused,
+            FinalAnswer::Failed(_) => &self.counters.answers_failed,
         });
         self.tickets.remove(&request.ticket);
         self.commands.push_back(Command::Answer { ticket: request.ticket, answer });
@@ -658,7 +676,7 @@
     fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| r.answered && r.attempts.iter().all(|a| !a.open)) {
             if let Some(request) = self.requests.get(&id) {
-                self.open_calls.remove(&request.job.call);
+                self.open_calls.remove(&request.job.client_request_id);
             }
             self.remove(id);
         }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -7,7 +7,7 @@
 /// Returns an engine with one worker and three classes, one per [`Effect`].
 fn engine() -> Engine {
     let class = |effect| Class {
-        aim: SECOND,
+        latency_target: SECOND,
         deadline: 4 * SECOND,
         effect,
         key_scope: KeyScope::All,
@@ -16,9 +16,9 @@
         late_worth: 0.0,
     };
     let settings = Settings {
-        balancers: 1,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 1,
+        own_index: 0,
+        own_zone: 0,
         classes: [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce].map(class).to_vec(),
         tenant_quotas: vec![],
         over_share_worth: 1.0,
@@ -27,12 +27,12 @@
         may_duplicate: false,
         may_cancel: true,
         max_retry_after: SECOND,
-        tick: 1_000,
+        min_batch_interval: 1_000,
         cold_share: 1.0,
         warm_after: 0,
         fall_multiple: 2.0,
         fall_window: SECOND,
-        orders: false,
+        load_orders_allowed: false,
         loads_on_miss: true,
         keep_alive: 10 * SECOND,
         load_window: 0,
@@ -45,30 +45,30 @@
     };
     let (attempts, load_wait, held_bytes) = (3, SECOND, 1000);
     let (held_requests, retry_after, send_lag) = (10, SECOND, SECOND / 4);
-    let bounds = Bounds { attempts, load_wait, held_bytes, held_requests, retry_after, send_lag };
+    let bounds = EngineLimits { attempts, load_wait, held_bytes, held_requests, retry_after, send_lag };
     let mut engine = Engine::new(&settings, 1, 0, bounds, Rc::default());
     let (zone, kind, cell, ready_at) = (0, 0, 0, None);
-    let standing = crate::api::Standing::Healthy;
-    engine.list(0, vec![Listing { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
+    let standing = crate::api::WorkerStatus::Healthy;
+    engine.set_workers(0, vec![WorkerEntry { worker: "w".into(), zone, kind, cell, standing, ready_at }]);
     engine
 }
 
 fn submit(engine: &mut Engine, seq: i64, class: usize, repeat: Option<Micros>, body: usize) -> Vec<Command> {
-    let job = Job {
+    let job = RequestSpec {
         class,
         tenant: 0,
         function: "f".into(),
-        lanes: 1.0,
+        replica_concurrency: 1.0,
         load_time: None,
-        work: None,
-        again: false,
+        work_hint: None,
+        is_retry: false,
         time_left: 4 * SECOND,
-        call: format!("c{seq}").into(),
-        key: Some("k".into()),
+        client_request_id: format!("c{seq}").into(),
+        idempotency_key: Some("k".into()),
         body: vec![0; body],
-        repeat,
+        possible_repeat_age: repeat,
     };
-    engine.take(10, Ticket { front: 0, conn: 0, seq }, job);
+    engine.submit(10, Ticket { front: 0, conn: 0, seq }, job);
     engine.commands.drain(..).collect()
 }
 
@@ -76,7 +76,7 @@
     commands.iter().any(|c| matches!(c, Command::Send { .. }))
 }
 
-fn answers(commands: &[Command]) -> Vec<&Final> {
+fn answers(commands: &[Command]) -> Vec<&FinalAnswer> {
     let answers = commands.iter().filter_map(|c| match c {
         Command::Answer { answer, .. } => Some(answer),
         _ => None,
@@ -90,7 +90,10 @@
     assert!(sends_attempt(&submit(&mut engine(), 1, 1, Some(SECOND), 0)));
     for (class, age) in [(1, 2 * SECOND - SECOND / 4), (2, 0)] {
         let commands = submit(&mut engine(), 1, class, Some(age), 0);
-        assert!(!sends_attempt(&commands) && matches!(answers(&commands)[..], [Final::Failed(_)]), "{class}");
+        assert!(
+            !sends_attempt(&commands) && matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]),
+            "{class}"
+        );
     }
 }
 
@@ -99,8 +102,11 @@
     let mut engine = engine();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)));
     let second = submit(&mut engine, 1, 0, None, 5);
-    assert!(!sends_attempt(&second) && matches!(answers(&second)[..], [Final::Failed(_)]), "{second:?}");
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
+    assert!(
+        !sends_attempt(&second) && matches!(answers(&second)[..], [FinalAnswer::Failed(_)]),
+        "{second:?}"
+    );
+    engine.attempt_ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)), "the id is free again");
 }
@@ -109,7 +115,11 @@
 fn repeated_keyed_request_gets_one_attempt() {
     let mut engine = engine();
     submit(&mut engine, 1, 1, Some(SECOND), 0);
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Error));
+    engine.attempt_ended(
+        20,
+        AttemptId { request: 1, number: 0 },
+        AttemptResult::from_outcome(Outcome::Error),
+    );
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(!sends_attempt(&commands) && answers(&commands).len() == 1, "{commands:?}");
 }
@@ -118,8 +128,8 @@
 fn bodies_beyond_the_limit_are_refused_until_space_is_freed() {
     let mut engine = engine();
     assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 900)));
-    assert!(matches!(answers(&submit(&mut engine, 2, 0, None, 101))[..], [Final::Refused(_)]));
-    engine.ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
+    assert!(matches!(answers(&submit(&mut engine, 2, 0, None, 101))[..], [FinalAnswer::Refused(_)]));
+    engine.attempt_ended(20, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
     engine.commands.clear();
     assert!(sends_attempt(&submit(&mut engine, 3, 0, None, 1000)));
 }
@@ -130,30 +140,37 @@
     submit(&mut engine, 1, 2, None, 0);
     engine.advance(10 + 4 * SECOND);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
-    assert!(matches!(answers(&commands)[..], [Final::Failed(_)]), "{commands:?}");
-    engine.ended(5 * SECOND, AttemptId { request: 1, number: 0 }, AttemptResult::from_outcome(Outcome::Ok));
-    engine.forget(5 * SECOND, Ticket { front: 0, conn: 0, seq: 1 });
-    assert!(engine.commands.is_empty() && engine.owed() == 0);
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]), "{commands:?}");
+    engine.attempt_ended(
+        5 * SECOND,
+        AttemptId { request: 1, number: 0 },
+        AttemptResult::from_outcome(Outcome::Ok),
+    );
+    engine.abandon(5 * SECOND, Ticket { front: 0, conn: 0, seq: 1 });
+    assert!(engine.commands.is_empty() && engine.open_requests() == 0);
 }
 
 #[test]
 fn give_up_fails_open_requests_immediately_and_once() {
     let mut engine = engine();
     submit(&mut engine, 1, 2, None, 0);
-    engine.give_up(20);
+    engine.fail_open_requests(20);
     let commands: Vec<Command> = engine.commands.drain(..).collect();
-    assert!(matches!(answers(&commands)[..], [Final::Failed(_)]) && engine.owed() == 0, "{commands:?}");
-    engine.give_up(30);
+    assert!(
+        matches!(answers(&commands)[..], [FinalAnswer::Failed(_)]) && engine.open_requests() == 0,
+        "{commands:?}"
+    );
+    engine.fail_open_requests(30);
     engine.advance(10 + 4 * SECOND);
     assert!(answers(&engine.commands.drain(..).collect::<Vec<_>>()).is_empty());
 }
 
 fn recall_count(commands: &[Command]) -> usize {
-    commands.iter().filter(|c| matches!(c, Command::Recall { .. })).count()
+    commands.iter().filter(|c| matches!(c, Command::CancelIfUnsent { .. })).count()
 }
 
 fn end_attempt(engine: &mut Engine, now: Micros, number: usize, outcome: Outcome) -> Vec<Command> {
-    engine.ended(now, AttemptId { request: 1, number }, AttemptResult::from_outcome(outcome));
+    engine.attempt_ended(now, AttemptId { request: 1, number }, AttemptResult::from_outcome(outcome));
     engine.commands.drain(..).collect()
 }
 
@@ -162,23 +179,23 @@
     let ticket = Ticket { front: 0, conn: 0, seq: 1 };
     // The attempt was rejected or never sent: there is no second attempt, and the one final answer is a
     // refusal.
-    for outcome in [Outcome::Full, Outcome::Moot] {
+    for outcome in [Outcome::Full, Outcome::NotSent] {
         let mut engine = engine();
         assert!(sends_attempt(&submit(&mut engine, 1, 0, None, 0)));
-        engine.hung_up(ticket);
+        engine.client_closed(ticket);
         assert_eq!(recall_count(&engine.commands.drain(..).collect::<Vec<_>>()), 1);
         let commands = end_attempt(&mut engine, 20, 0, outcome);
         assert!(
-            !sends_attempt(&commands) && matches!(answers(&commands)[..], [Final::Refused(_)]),
+            !sends_attempt(&commands) && matches!(answers(&commands)[..], [FinalAnswer::Refused(_)]),
             "{commands:?}"
         );
-        assert_eq!((engine.owed(), engine.held_bytes()), (0, 0));
+        assert_eq!((engine.open_requests(), engine.held_bytes()), (0, 0));
     }
     let mut engine = engine();
     submit(&mut engine, 1, 2, None, 0);
-    engine.hung_up(ticket);
+    engine.client_closed(ticket);
     let commands = end_attempt(&mut engine, 20, 0, Outcome::Ok);
-    assert!(matches!(answers(&commands)[..], [Final::Served(_)]), "{commands:?}");
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Served(_)]), "{commands:?}");
 }
 
 #[test]
@@ -186,10 +203,10 @@
     let mut engine = engine();
     // The first request for a function starts a load, which the decision module does not cancel.
     submit(&mut engine, 1, 0, None, 0);
-    engine.forget(20, Ticket { front: 0, conn: 0, seq: 1 });
+    engine.abandon(20, Ticket { front: 0, conn: 0, seq: 1 });
     let commands: Vec<Command> = engine.commands.drain(..).collect();
     assert!(recall_count(&commands) == 1 && answers(&commands).is_empty(), "{commands:?}");
-    assert!(end_attempt(&mut engine, 30, 0, Outcome::Moot).is_empty());
+    assert!(end_attempt(&mut engine, 30, 0, Outcome::NotSent).is_empty());
     assert_eq!(engine.held_bytes(), 0);
 }
 
--- a/src/executor/pool.rs
+++ b/src/executor/pool.rs
@@ -2,17 +2,19 @@
 //!
 //! The pool chooses the connection for each attempt and load order, opens and closes connections, matches
 //! answers to requests, and reports how each attempt and order ended. It is given the list of executors by
-//! the name service and writes nothing to one that the list does not show as ready. [`Limits`] bounds the
+//! the name service and writes nothing to one that the list does not show as ready. [`PoolSettings`] bounds the
 //! connections, the requests open on each, and the bytes of partially received answers. Times are in
 //! microseconds.
 
+use super::connection::{
+    ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField,
+};
 use super::line::{self, Answer};
-use super::peer::{ExecutorConnection, MAX_LINE_BYTES, MAX_UNSENT_BYTES, PendingLine, Purpose, TimeoutField};
-use crate::api::{Found, FunctionId, Outcome, WorkerId};
-use crate::core::{AttemptId, AttemptResult, Job};
+use crate::api::{FunctionId, Outcome, ReplicaStatus, WorkerId};
+use crate::core::{AttemptId, AttemptResult, RequestSpec};
 use crate::counters::{Counters, count};
-use crate::names::{Executor, State};
-use crate::net::{Closed, Link, Poll, Ready};
+use crate::discovery::{Executor, ExecutorState};
+use crate::net::{Closed, Connection, Poll, PollEvent};
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,28 +52,28 @@
 
 /// Limits and protocol settings of the pool.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct PoolSettings {
     /// Maximum number of connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Maximum number of bytes of partially received answers, over all connections.
-    pub unread: usize,
+    pub max_unread_bytes: usize,
     /// Maximum number of attempts and load orders that await an answer on a connection.
-    pub streams: usize,
+    pub max_requests_per_connection: usize,
     /// Time limit for establishing a connection.
     pub connect_timeout: u64,
     /// The idle time after which executors close a connection.
     pub keepalive: u64,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// Whether answers report if a copy was loaded.
-    pub tells_warm: bool,
+    /// Whether answers report if a replica was loaded.
+    pub reports_warm: bool,
     /// Whether answers report the number of requests for the function at the executor.
-    pub tells_crowd: bool,
+    pub reports_concurrency: bool,
     /// The names of the values in load reports, in order; empty if answers carry none.
     pub report: Vec<String>,
 }
 
-impl Limits {
+impl PoolSettings {
     /// Returns how long an idle connection is kept.
     fn idle_timeout(&self) -> u64 {
         self.keepalive - IDLE_MARGIN_US.min(self.keepalive / 4)
@@ -80,10 +82,10 @@
 
 /// The end of an attempt or a load order.
 #[derive(Debug)]
-pub enum Report {
+pub enum Completion {
     /// An attempt ended.
     Attempt(AttemptId, AttemptResult),
-    /// A load order ended, with the number of copies now loaded.
+    /// A load order ended, with the number of replicas now loaded.
     Order(u64, Outcome, u32),
 }
 
@@ -92,22 +94,22 @@
 
 /// A connection failure that indicates a fault of the executor itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct ConnectionFailure {
     /// The executor.
     pub worker: WorkerId,
     /// Whether the connection could not be established.
-    pub refused: bool,
+    pub connect_refused: bool,
     /// Whether the failed connection was a probe, with nothing to send.
-    pub looked: bool,
+    pub is_probe: bool,
 }
 
 /// The connections to all executors.
 pub struct Pool {
     /// The owner id of the pool's sockets in the event loop.
     owner: u8,
-    limits: Limits,
-    listed: BTreeMap<WorkerId, (SocketAddr, State)>,
-    links: Slab<Link<ExecutorConnection>>,
+    limits: PoolSettings,
+    listed: BTreeMap<WorkerId, (SocketAddr, ExecutorState)>,
+    links: Slab<Connection<ExecutorConnection>>,
     /// The connection and request id of each attempt that awaits an answer.
     attempts: BTreeMap<AttemptId, (usize, String)>,
     /// Scratch buffer for parsed answers.
@@ -122,14 +124,14 @@
     has_held_lines: bool,
     counters: Rc<Counters>,
     /// Ended attempts and load orders, in order.
-    pub reports: Vec<Report>,
+    pub completions: Vec<Completion>,
     /// Executors whose connections broke while an answer was awaited, or could not be established.
-    pub sightings: Vec<Sighting>,
+    pub connection_failures: Vec<ConnectionFailure>,
 }
 
 impl Pool {
     /// Returns a pool without connections.
-    pub fn new(owner: u8, limits: Limits, counters: Rc<Counters>) -> Pool {
+    pub fn new(owner: u8, limits: PoolSettings, counters: Rc<Counters>) -> Pool {
         Pool {
             owner,
             limits,
@@ -142,8 +144,8 @@
             writes_on_hold: false,
             has_held_lines: false,
             counters,
-            reports: Vec::new(),
-            sightings: Vec::new(),
+            completions: Vec::new(),
+            connection_failures: Vec::new(),
         }
     }
 
@@ -153,16 +155,16 @@
     }
 
     /// Applies new limits and closes idle connections beyond them; connections in use are kept.
-    pub fn bound(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: PoolSettings) {
         self.limits = limits;
-        while self.links.len() > self.limits.connections && self.evict_idle() {}
+        while self.links.len() > self.limits.max_connections && self.evict_idle() {}
     }
 
     /// Closes the least recently used connection on which no answer is awaited; returns false if there is
     /// none.
     fn evict_idle(&mut self) -> bool {
-        let idle = self.links.iter().filter(|(_, l)| l.peer.awaiting() == 0);
-        let Some(slot) = idle.min_by_key(|(_, l)| l.peer.last_used_at).map(|(slot, _)| slot) else {
+        let idle = self.links.iter().filter(|(_, l)| l.handler.awaiting() == 0);
+        let Some(slot) = idle.min_by_key(|(_, l)| l.handler.last_used_at).map(|(slot, _)| slot) else {
             return false;
         };
         self.close(slot, Closed::Broken);
@@ -170,7 +172,7 @@
     }
 
     /// Records that all answers of the name service received so far have been read.
-    pub fn list_was_read(&mut self) {
+    pub fn mark_list_read(&mut self) {
         self.list_read_at = Instant::now();
     }
 
@@ -181,7 +183,7 @@
 
     /// Returns whether writes are held back, by `hold_writes` or because the executor list was not read
     /// recently.
-    pub fn holds_writes(&self) -> bool {
+    pub fn has_held_writes(&self) -> bool {
         self.writes_on_hold || self.has_held_lines
     }
 
@@ -190,7 +192,7 @@
     pub fn release_writes(&mut self, poll: &Poll, now: u64) {
         (self.writes_on_hold, self.has_held_lines) = (false, false);
         let held: Vec<usize> =
-            self.links.iter().filter(|(_, link)| link.io.is_held()).map(|(slot, _)| slot).collect();
+            self.links.iter().filter(|(_, link)| link.io.writes_held()).map(|(slot, _)| slot).collect();
         for slot in held {
             self.flush(poll, now, slot);
         }
@@ -203,25 +205,26 @@
     }
 
     /// Sets whether the queued lines of a connection are held back; returns whether there are any that are.
-    fn set_hold(link: &mut Link<ExecutorConnection>, hold: bool, counters: &Counters) -> bool {
-        let hold = hold && link.io.unsent() > 0;
+    fn set_hold(link: &mut Connection<ExecutorConnection>, hold: bool, counters: &Counters) -> bool {
+        let hold = hold && link.io.unsent_bytes() > 0;
         if hold {
             count(&counters.writes_held);
         }
-        link.io.hold(hold);
+        link.io.hold_writes(hold);
         hold
     }
 
     /// Applies the complete executor list. Lines still queued for an executor that drains or has been removed
     /// are withdrawn.
-    pub fn list(&mut self, executors: &[Executor]) {
+    pub fn set_executors(&mut self, executors: &[Executor]) {
         let new = executors.iter().map(|e| (e.id.clone(), (e.address, e.state))).collect();
         let old = std::mem::replace(&mut self.listed, new);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
         for slot in slots {
-            let worker = self.links[slot].peer.worker.clone();
+            let worker = self.links[slot].handler.worker.clone();
             match self.listed.get(&worker) {
-                Some((address, State::Ready)) if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
+                Some((address, ExecutorState::Ready))
+                    if old.get(&worker).is_none_or(|(a, _)| a == address) => {}
                 // A line queued on a connecting or blocked socket would otherwise be sent after the drain was
                 // announced.
                 _ => self.withdraw_unsent(slot),
@@ -232,18 +235,18 @@
     /// Stops using a connection for new lines and withdraws the queued lines of which nothing has been sent.
     fn withdraw_unsent(&mut self, slot: usize) {
         let link = &mut self.links[slot];
-        link.peer.closing = true;
+        link.handler.closing = true;
         let written = if link.io.connecting() { 0 } else { link.io.written };
         let started = |e: &PendingLine| e.start < written;
         // A partially sent line is sent to its end: a truncated line would corrupt the connection's framing.
-        let keep = link.peer.open.values().filter(|e| started(e)).map(|e| e.end).max().unwrap_or(0);
-        link.io.unqueue_after(keep);
+        let keep = link.handler.open.values().filter(|e| started(e)).map(|e| e.end).max().unwrap_or(0);
+        link.io.truncate_queue(keep);
         let unsent: Vec<(String, PendingLine)> =
-            link.peer.open.iter().filter(|(_, e)| !started(e)).map(|(rid, e)| (rid.clone(), *e)).collect();
+            link.handler.open.iter().filter(|(_, e)| !started(e)).map(|(rid, e)| (rid.clone(), *e)).collect();
         for (rid, pending_line) in unsent {
-            self.links[slot].peer.open.remove(&rid);
+            self.links[slot].handler.open.remove(&rid);
             count(&self.counters.attempts_withdrawn);
-            self.end_unanswered(pending_line.purpose, Outcome::Moot);
+            self.end_unanswered(pending_line.purpose, Outcome::NotSent);
         }
         self.close_if_idle(slot);
     }
@@ -256,21 +259,27 @@
         id: AttemptId,
         worker: &WorkerId,
         wait: u64,
-        job: &Job,
+        job: &RequestSpec,
     ) {
         let Some(class) = self.limits.classes.get(job.class) else {
-            return self.end_attempt(id, Outcome::Moot);
+            return self.end_attempt(id, Outcome::NotSent);
         };
-        let (line, timeout) =
-            line::go_line(&job.call, class, &job.function, wait, job.key.as_deref(), &job.body);
+        let (line, timeout) = line::go_line(
+            &job.client_request_id,
+            class,
+            &job.function,
+            wait,
+            job.idempotency_key.as_deref(),
+            &job.body,
+        );
         let deadline = now.saturating_add(wait);
         let timeout =
             TimeoutField { offset: timeout.start as u64, width: timeout.len(), deadline, written_at: now };
-        match self.queue_line(poll, now, worker, &job.call, Purpose::Attempt(id), &line) {
+        match self.queue_line(poll, now, worker, &job.client_request_id, Purpose::Attempt(id), &line) {
             Ok(slot) => {
-                let pending_line = self.links[slot].peer.open.get_mut(&*job.call);
+                let pending_line = self.links[slot].handler.open.get_mut(&*job.client_request_id);
                 pending_line.into_iter().for_each(|e| e.timeout = Some(timeout));
-                self.attempts.insert(id, (slot, job.call.to_string()));
+                self.attempts.insert(id, (slot, job.client_request_id.to_string()));
                 self.flush(poll, now, slot);
             }
             Err(outcome) => self.end_attempt(id, outcome),
@@ -285,49 +294,53 @@
         order: u64,
         worker: &WorkerId,
         function: &FunctionId,
-        copies: u32,
+        replicas: u32,
     ) {
         let tag = format!("L{order}");
-        let line = line::stage_line(&tag, function, copies);
+        let line = line::stage_line(&tag, function, replicas);
         match self.queue_line(poll, now, worker, &tag, Purpose::LoadOrder(order), &line) {
             Ok(slot) => {
                 count(&self.counters.loads_ordered);
                 self.flush(poll, now, slot);
             }
-            Err(outcome) => self.reports.push(Report::Order(order, outcome, 0)),
+            Err(outcome) => self.completions.push(Completion::Order(order, outcome, 0)),
         }
     }
 
     /// Probes an executor to which there is no connection by opening one. Returns false if no probe is made:
     /// the executor is not ready or already connected, or the limit on connections is reached.
-    pub fn look(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
-        let Some((address, State::Ready)) = self.listed.get(worker).copied() else { return false };
-        let connected = self.links.iter().any(|(_, l)| l.peer.worker == *worker && !l.peer.closing);
+    pub fn probe(&mut self, poll: &mut Poll, now: u64, worker: &WorkerId) -> bool {
+        let Some((address, ExecutorState::Ready)) = self.listed.get(worker).copied() else { return false };
+        let connected = self.links.iter().any(|(_, l)| l.handler.worker == *worker && !l.handler.closing);
         // A probe must not take up a connection that a request may need.
-        if connected || self.links.len() >= self.limits.connections {
+        if connected || self.links.len() >= self.limits.max_connections {
             return false;
         }
         if self.connect(poll, now, worker, address).is_err() {
-            self.record_sighting(worker, true, true);
+            self.record_connection_failure(worker, true, true);
         }
         true
     }
 
-    fn record_sighting(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
-        if self.sightings.len() < MAX_SIGHTINGS {
-            self.sightings.push(Sighting { worker: worker.clone(), refused, looked });
+    fn record_connection_failure(&mut self, worker: &WorkerId, refused: bool, looked: bool) {
+        if self.connection_failures.len() < MAX_SIGHTINGS {
+            self.connection_failures.push(ConnectionFailure {
+                worker: worker.clone(),
+                connect_refused: refused,
+                is_probe: looked,
+            });
         }
     }
 
     /// Cancels an attempt: its answer is no longer awaited.
-    pub fn halt(&mut self, poll: &Poll, now: u64, id: AttemptId) {
+    pub fn cancel(&mut self, poll: &Poll, now: u64, id: AttemptId) {
         // A line that is still queued would otherwise be sent, and run, long after its request ended.
         if self.unqueue_attempt(id) {
             return;
         }
         let Some((slot, rid)) = self.attempts.remove(&id) else { return };
         let Some(link) = self.links.get_mut(slot) else { return };
-        let Some(pending_line) = link.peer.open.get_mut(&rid) else { return };
+        let Some(pending_line) = link.handler.open.get_mut(&rid) else { return };
         count(&self.counters.attempts_cancelled);
         pending_line.purpose = Purpose::Tombstone;
         pending_line.expires_at = now + self.limits.idle_timeout();
@@ -337,9 +350,9 @@
     }
 
     /// Ends an attempt as moot if nothing of it has been sent; otherwise the attempt continues.
-    pub fn recall(&mut self, id: AttemptId) {
+    pub fn cancel_if_unsent(&mut self, id: AttemptId) {
         if self.unqueue_attempt(id) {
-            self.end_attempt(id, Outcome::Moot);
+            self.end_attempt(id, Outcome::NotSent);
         }
     }
 
@@ -347,14 +360,14 @@
     fn unqueue_attempt(&mut self, id: AttemptId) -> bool {
         let Some((slot, rid)) = self.attempts.get(&id) else { return false };
         let Some(link) = self.links.get_mut(*slot) else { return false };
-        let Some(PendingLine { start, end, .. }) = link.peer.open.get(rid).copied() else { return false };
-        if !link.io.unqueue(start, end) {
+        let Some(PendingLine { start, end, .. }) = link.handler.open.get(rid).copied() else { return false };
+        if !link.io.remove_queued(start, end) {
             return false;
         }
         count(&self.counters.attempts_withdrawn);
-        link.peer.open.remove(rid);
+        link.handler.open.remove(rid);
         self.attempts.remove(&id);
-        for later in link.peer.open.values_mut().filter(|e| e.start >= end) {
+        for later in link.handler.open.values_mut().filter(|e| e.start >= end) {
             later.start -= end - start;
             later.end -= end - start;
         }
@@ -371,23 +384,23 @@
         purpose: Purpose,
         line: &[u8],
     ) -> Result<usize, Outcome> {
-        let Some((address, State::Ready)) = self.listed.get(worker).copied() else {
-            return Err(Outcome::Moot);
+        let Some((address, ExecutorState::Ready)) = self.listed.get(worker).copied() else {
+            return Err(Outcome::NotSent);
         };
         let limits = &self.limits;
-        let usable = |link: &Link<ExecutorConnection>| {
-            let peer = &link.peer;
+        let usable = |link: &Connection<ExecutorConnection>| {
+            let peer = &link.handler;
             !peer.closing
-                && peer.awaiting() < limits.streams
+                && peer.awaiting() < limits.max_requests_per_connection
                 && !peer.open.contains_key(rid)
                 && (peer.awaiting() > 0 || now < peer.last_used_at + limits.idle_timeout())
                 && peer.unanswered_since.is_none_or(|since| now < since + UNRESPONSIVE_AFTER_US)
                 && peer.partial_line_since.is_none_or(|since| now < since + PARTIAL_LINE_GRACE_US)
-                && link.io.unsent() + line.len() <= MAX_UNSENT_BYTES
+                && link.io.unsent_bytes() + line.len() <= MAX_UNSENT_BYTES
         };
         let found = (self.links.iter())
-            .filter(|(_, link)| link.peer.worker == *worker && usable(link))
-            .min_by_key(|(_, link)| (link.io.connecting(), link.io.unsent()))
+            .filter(|(_, link)| link.handler.worker == *worker && usable(link))
+            .min_by_key(|(_, link)| (link.io.connecting(), link.io.unsent_bytes()))
             .map(|(slot, _)| slot);
         let slot = match found {
             Some(slot) => slot,
@@ -396,12 +409,12 @@
         let link = &mut self.links[slot];
         let start = link.io.queued;
         if !link.io.queue(line) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let pending_line =
             PendingLine { purpose, start, end: link.io.queued, expires_at: u64::MAX, timeout: None };
-        link.peer.open.insert(rid.to_string(), pending_line);
-        link.peer.unanswered_since.get_or_insert(now);
+        link.handler.open.insert(rid.to_string(), pending_line);
+        link.handler.unanswered_since.get_or_insert(now);
         Ok(slot)
     }
 
@@ -415,14 +428,14 @@
     ) -> Result<usize, Outcome> {
         // The limit keeps the process within its file descriptors; at the limit an idle connection is
         // evicted.
-        if self.links.len() >= self.limits.connections && !self.evict_idle() {
+        if self.links.len() >= self.limits.max_connections && !self.evict_idle() {
             return Err(Outcome::ConnectFailed);
         }
         count(&self.counters.executor_connects);
         let entry = self.links.vacant_entry();
         let token = poll.token(self.owner, entry.key());
         let peer = ExecutorConnection::new(worker.clone(), now);
-        match Link::connect(poll, address, token, peer, (MAX_LINE_BYTES, MAX_UNSENT_BYTES)) {
+        match Connection::connect(poll, address, token, peer, (MAX_LINE_BYTES, MAX_UNSENT_BYTES)) {
             Ok(link) => Ok(entry.insert(link).io.token().slot as usize),
             Err(_) => {
                 count(&self.counters.executor_connects_failed);
@@ -436,24 +449,24 @@
     fn flush(&mut self, poll: &Poll, now: u64, slot: usize) {
         let hold = self.must_hold_writes();
         let Some(link) = self.links.get_mut(slot) else { return };
-        link.peer.last_used_at = now;
+        link.handler.last_used_at = now;
         Self::refresh_timeouts(link, now);
         self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
         if link.flush(poll).is_err() {
             // An answer may have arrived before the reset that broke the send, and not have been read yet.
             // The connection therefore only stops taking new lines; the event for its end reads the remaining
             // input first.
-            link.peer.closing = true;
+            link.handler.closing = true;
         }
     }
 
     /// Rewrites the time-outs in lines that have waited for their connection. An executor given more time
     /// than the client has left would work for a client that has gone.
-    fn refresh_timeouts(link: &mut Link<ExecutorConnection>, now: u64) {
-        if link.io.unsent() == 0 {
+    fn refresh_timeouts(link: &mut Connection<ExecutorConnection>, now: u64) {
+        if link.io.unsent_bytes() == 0 {
             return;
         }
-        for pending_line in link.peer.open.values_mut() {
+        for pending_line in link.handler.open.values_mut() {
             let stale = |t: &&mut TimeoutField| now > t.written_at + TIMEOUT_REFRESH_AFTER_US;
             let Some(timeout) = pending_line.timeout.as_mut().filter(stale) else { continue };
             let number = line::format_timeout(timeout.deadline.saturating_sub(now), timeout.width);
@@ -466,21 +479,21 @@
     }
 
     /// Handles an I/O event on a connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn handle_event(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         let (slot, hold) = (ready.token.slot as usize, self.must_hold_writes());
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
         let mut answers = std::mem::take(&mut self.answers);
-        let unread_before = link.io.unread();
+        let unread_before = link.io.unparsed_bytes();
         Self::refresh_timeouts(link, now);
         self.has_held_lines |= Self::set_hold(link, hold, &self.counters);
-        let result = link.ready(poll, ready, &mut answers);
-        self.unread_bytes = self.unread_bytes + link.io.unread() - unread_before;
+        let result = link.handle_event(poll, ready, &mut answers);
+        self.unread_bytes = self.unread_bytes + link.io.unparsed_bytes() - unread_before;
         if ready.read {
-            link.peer.unanswered_since = None;
+            link.handler.unanswered_since = None;
             // The time runs from the line's first bytes, or from the last complete line before it.
-            let since = link.peer.partial_line_since.filter(|_| answers.is_empty()).unwrap_or(now);
-            link.peer.partial_line_since = (link.io.unread() > 0).then_some(since);
-            link.peer.last_read_at = now;
+            let since = link.handler.partial_line_since.filter(|_| answers.is_empty()).unwrap_or(now);
+            link.handler.partial_line_since = (link.io.unparsed_bytes() > 0).then_some(since);
+            link.handler.last_read_at = now;
         }
         for answer in answers.drain(..) {
             self.handle_answer(now, slot, answer);
@@ -488,13 +501,13 @@
         self.answers = answers;
         match result {
             Err(reason) => self.close(slot, reason),
-            Ok(()) if self.links[slot].io.ended => self.close(slot, Closed::Broken),
+            Ok(()) if self.links[slot].io.read_closed => self.close(slot, Closed::Broken),
             Ok(()) => self.close_if_idle(slot),
         }
         // Long answers on many connections at once must not exhaust the memory: closes the connection that
         // holds most.
-        while self.unread_bytes > self.limits.unread {
-            let longest = self.links.iter().max_by_key(|(_, l)| l.io.unread()).map(|(slot, _)| slot);
+        while self.unread_bytes > self.limits.max_unread_bytes {
+            let longest = self.links.iter().max_by_key(|(_, l)| l.io.unparsed_bytes()).map(|(slot, _)| slot);
             let Some(longest) = longest else { return };
             self.close(longest, Closed::Malformed("partially received answers exceed the memory limit"));
         }
@@ -502,12 +515,12 @@
 
     /// Matches an answer to its attempt or load order and reports the result.
     fn handle_answer(&mut self, now: u64, slot: usize, answer: Answer) {
-        let peer = &mut self.links[slot].peer;
+        let peer = &mut self.links[slot].handler;
         peer.last_used_at = now;
         let Some(pending_line) = peer.open.remove(&answer.rid) else {
             return count(&self.counters.late_answers);
         };
-        let Answer { outcome, found, crowd, load, copies, body, .. } = answer;
+        let Answer { outcome, found, crowd, load, replicas, body, .. } = answer;
         if let Purpose::Attempt(id) = pending_line.purpose {
             self.attempts.remove(&id);
             if outcome != Outcome::Ok {
@@ -518,17 +531,26 @@
         } else if pending_line.purpose == Purpose::Tombstone {
             count(&self.counters.late_answers);
         }
-        let found = if self.limits.tells_warm || found == Found::LoadFailed { found } else { Found::Untold };
+        let found = if self.limits.reports_warm || found == ReplicaStatus::LoadFailed {
+            found
+        } else {
+            ReplicaStatus::NotReported
+        };
         let report = line::load_values(&self.limits.report, load.as_deref());
-        let crowd = crowd.filter(|_| self.limits.tells_crowd);
-        let result = AttemptResult { outcome, found, crowd, report, body };
-        Self::push_report(&mut self.reports, pending_line.purpose, result, copies);
+        let crowd = crowd.filter(|_| self.limits.reports_concurrency);
+        let result = AttemptResult { outcome, found, concurrent_requests: crowd, report, body };
+        Self::push_completion(&mut self.completions, pending_line.purpose, result, replicas);
     }
 
-    fn push_report(reports: &mut Vec<Report>, purpose: Purpose, result: AttemptResult, copies: u32) {
+    fn push_completion(
+        reports: &mut Vec<Completion>,
+        purpose: Purpose,
+        result: AttemptResult,
+        replicas: u32,
+    ) {
         match purpose {
-            Purpose::Attempt(id) => reports.push(Report::Attempt(id, result)),
-            Purpose::LoadOrder(order) => reports.push(Report::Order(order, result.outcome, copies)),
+            Purpose::Attempt(id) => reports.push(Completion::Attempt(id, result)),
+            Purpose::LoadOrder(order) => reports.push(Completion::Order(order, result.outcome, replicas)),
             Purpose::Tombstone => {}
         }
     }
@@ -538,32 +560,36 @@
         if let Purpose::Attempt(id) = purpose {
             self.attempts.remove(&id);
         }
-        Self::push_report(&mut self.reports, purpose, AttemptResult::from_outcome(outcome), 0);
+        Self::push_completion(&mut self.completions, purpose, AttemptResult::from_outcome(outcome), 0);
     }
 
     fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) {
-        self.reports.push(Report::Attempt(id, AttemptResult::from_outcome(outcome)));
+        self.completions.push(Completion::Attempt(id, AttemptResult::from_outcome(outcome)));
     }
 
     /// Closes a connection and ends the attempts and load orders open on it.
     fn close(&mut self, slot: usize, reason: Closed) {
         let Some(link) = self.links.try_remove(slot) else { return };
-        self.unread_bytes -= link.io.unread();
+        self.unread_bytes -= link.io.unparsed_bytes();
         match reason {
             Closed::NoConnect => count(&self.counters.executor_connects_failed),
             Closed::Malformed(_) => count(&self.counters.executors_malformed),
             Closed::Broken => {}
         }
         let refused = reason == Closed::NoConnect;
-        if refused || (reason == Closed::Broken && link.peer.awaiting() > 0 && !link.peer.closing) {
-            self.record_sighting(&link.peer.worker, refused, refused && link.peer.open.is_empty());
+        if refused || (reason == Closed::Broken && link.handler.awaiting() > 0 && !link.handler.closing) {
+            self.record_connection_failure(
+                &link.handler.worker,
+                refused,
+                refused && link.handler.open.is_empty(),
+            );
         }
         let written = if link.io.connecting() { 0 } else { link.io.written };
         // A malformed or truncated answer ends the connection for everything on it, but does not show that
-        // the executor's process died. Reported as a reset, it would make the router assume that all copies
+        // the executor's process died. Reported as a reset, it would make the router assume that all replicas
         // there are lost.
-        let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unread() > 0;
-        for pending_line in link.peer.open.into_values() {
+        let malformed = matches!(reason, Closed::Malformed(_)) || link.io.unparsed_bytes() > 0;
+        for pending_line in link.handler.open.into_values() {
             // A line that was not sent completely cannot have run; one that was sent completely may have.
             let outcome = match pending_line.end > written {
                 true => Outcome::ConnectFailed,
@@ -576,8 +602,9 @@
 
     /// Closes a connection marked as closing once no answer is awaited on it and nothing is left to send.
     fn close_if_idle(&mut self, slot: usize) {
-        let finished =
-            |l: &Link<ExecutorConnection>| l.peer.closing && l.peer.awaiting() == 0 && l.io.unsent() == 0;
+        let finished = |l: &Connection<ExecutorConnection>| {
+            l.handler.closing && l.handler.awaiting() == 0 && l.io.unsent_bytes() == 0
+        };
         if self.links.get(slot).is_some_and(finished) {
             self.close(slot, Closed::Broken);
         }
@@ -590,7 +617,7 @@
         let connect_timeout = self.limits.connect_timeout;
         let mut expired = Vec::new();
         for (slot, link) in &mut self.links {
-            let peer = &mut link.peer;
+            let peer = &mut link.handler;
             peer.open.retain(|_, e| e.purpose != Purpose::Tombstone || now < e.expires_at);
             if link.io.connecting() && now >= peer.connect_started_at + connect_timeout {
                 expired.push((slot, Closed::NoConnect));
@@ -609,14 +636,14 @@
     /// Returns when `advance` is next due.
     pub fn due(&self) -> Option<u64> {
         let idle_timeout = self.limits.idle_timeout();
-        let link_due = |(_, l): (usize, &Link<ExecutorConnection>)| match (
+        let link_due = |(_, l): (usize, &Connection<ExecutorConnection>)| match (
             l.io.connecting(),
-            l.peer.partial_line_since,
-            l.peer.awaiting(),
+            l.handler.partial_line_since,
+            l.handler.awaiting(),
         ) {
-            (true, ..) => l.peer.connect_started_at + self.limits.connect_timeout,
-            (false, Some(_), _) => l.peer.last_read_at + LINE_STALL_TIMEOUT_US,
-            (false, None, 0) => l.peer.last_used_at + idle_timeout,
+            (true, ..) => l.handler.connect_started_at + self.limits.connect_timeout,
+            (false, Some(_), _) => l.handler.last_read_at + LINE_STALL_TIMEOUT_US,
+            (false, None, 0) => l.handler.last_used_at + idle_timeout,
             (false, None, _) => u64::MAX,
         };
         self.links.iter().map(link_due).min()
--- a/src/front/info.rs
+++ b/src/front/info.rs
@@ -25,7 +25,7 @@
 
 /// The parameters of a request, parsed from its fields.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sketch {
+pub struct ParsedRequest {
     /// The name of its class.
     pub class: String,
     /// The request id that the client chose.
@@ -61,9 +61,9 @@
     text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-impl Sketch {
+impl ParsedRequest {
     /// Parses the fields, or returns the first invalid one.
-    pub fn read(fields: &Fields) -> Result<Sketch, Invalid> {
+    pub fn read(fields: &Fields) -> Result<ParsedRequest, Invalid> {
         let required = |field: &'static str| {
             fields.get(field).map(String::as_str).ok_or(Invalid { field, why: "is missing" })
         };
@@ -102,7 +102,7 @@
                 None => return Err(Invalid { field: "info", why: "must be name:figure pairs" }),
             }
         }
-        Ok(Sketch {
+        Ok(ParsedRequest {
             class: required("op")?.to_string(),
             call: call.into(),
             ttl_us: (ttl * 1000.0) as u64,
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -8,17 +8,17 @@
 
 use crate::core::Ticket;
 
-pub use info::{Fields, Invalid, Sketch};
+pub use info::{Fields, Invalid, ParsedRequest};
 
 /// An event from a client, in the form that all fronts share.
 #[derive(Debug)]
 pub enum Intake {
     /// A request whose fields are valid.
-    Serve {
+    Submit {
         /// Identifies the request; its answer is returned under it.
         ticket: Ticket,
         /// Its parameters.
-        sketch: Sketch,
+        sketch: ParsedRequest,
         /// Its body.
         body: Vec<u8>,
         /// How long ago its client sent it, in microseconds; 0 if the protocol does not carry that.
@@ -27,8 +27,8 @@
         again: bool,
     },
     /// The client no longer waits for this request.
-    Forget(Ticket),
+    Abandon(Ticket),
     /// The client has closed its sending side: no further attempt starts for this request, but one that is running may
     /// still be answered.
-    HungUp(Ticket),
+    ClientClosed(Ticket),
 }
--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -5,12 +5,12 @@
 use super::options::Options;
 use super::packets;
 use super::records::{Message, Records, Stage};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
-use crate::front::{Fields, Intake, Invalid, Sketch};
-use crate::net::{Callbacks, Closed, Link, Malformed, Poll, Ready, Ring};
-use ochreward_mqtt::packet::{Connack, Packet, Publish, Unwritable};
-use ochreward_mqtt::{Properties, Qos, Reason, Version, Violation, decode};
+use crate::front::{Fields, Intake, Invalid, ParsedRequest};
+use crate::net::{Closed, Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
+use ochreward_mqtt::packet::{Connack, EncodeError, Packet, Publish};
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Version, Violation, decode};
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -30,10 +30,10 @@
     violation: Option<Violation>,
 }
 
-impl Callbacks for Decoder {
+impl ProtocolHandler for Decoder {
     type Out = Vec<Packet>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
         let bytes = input.contiguous();
         let mut done = 0;
         loop {
@@ -45,7 +45,7 @@
                 Ok(None) => break,
                 Err(violation) => {
                     self.violation = Some(violation);
-                    return Err(Malformed(violation.what));
+                    return Err(Malformed(violation.description));
                 }
             }
         }
@@ -76,7 +76,7 @@
 
 /// The state of the current connection.
 struct Session {
-    link: Link<Decoder>,
+    link: Connection<Decoder>,
     /// The limits from CONNACK; none before it arrives.
     broker_limits: Option<BrokerLimits>,
     /// When a packet that needs a response was last sent; none if no response is outstanding.
@@ -148,7 +148,7 @@
     /// Disconnects from the broker, which keeps the session.
     pub fn leave(&mut self, poll: &Poll) {
         if let Some(session) = &mut self.session {
-            let _ = session.link.io.queue(&packets::disconnect(Reason::Success));
+            let _ = session.link.io.queue(&packets::disconnect(ReasonCode::Success));
             let _ = session.link.flush(poll);
         }
         self.session = None;
@@ -196,13 +196,13 @@
     }
 
     /// Handles readiness of the connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: PollEvent) {
         let Some(session) = self.session.as_mut().filter(|s| s.link.io.token() == ready.token) else {
             return;
         };
         let mut packets = std::mem::take(&mut self.packets);
-        let mut result = session.link.ready(poll, ready, &mut packets);
-        if session.link.io.ended {
+        let mut result = session.link.handle_event(poll, ready, &mut packets);
+        if session.link.io.read_closed {
             result = result.and(Err(Closed::Broken));
         }
         for packet in packets.drain(..) {
@@ -217,7 +217,7 @@
             Ok(()) => self.flush(poll, now),
             Err(why) => {
                 if let Some(session) = &mut self.session
-                    && let Some(violation) = session.link.peer.violation
+                    && let Some(violation) = session.link.handler.violation
                 {
                     let _ = session.link.io.queue(&packets::disconnect(violation.reason));
                     let _ = session.link.flush(poll);
@@ -235,12 +235,12 @@
         match packet {
             Packet::Connack(connack) => self.handle_connack(now, &connack)?,
             Packet::Publish(publish) => self.handle_publish(now, unix_ms, *publish)?,
-            Packet::Puback(ack) => self.handle_puback(now, ack.id, ack.reason),
+            Packet::Puback(ack) => self.handle_puback(now, ack.packet_id, ack.reason),
             Packet::Suback(suback) => {
-                let id = suback.id;
+                let id = suback.packet_id;
                 session.awaiting_since = None;
                 session.used_ids.remove(&id);
-                if suback.reasons.iter().any(|r| r.failed()) {
+                if suback.reasons.iter().any(|r| r.is_failure()) {
                     return Err(Malformed("an MQTT subscription that the broker rejected"));
                 }
                 if let Some(at) = session.record_lookups.iter().position(|(i, _)| *i == id) {
@@ -256,11 +256,11 @@
                 }
             }
             Packet::Unsuback(unsuback) => {
-                session.used_ids.remove(&unsuback.id);
+                session.used_ids.remove(&unsuback.packet_id);
             }
             Packet::Disconnect(_) => return Err(Malformed("a DISCONNECT from the MQTT broker")),
             _ => {
-                session.link.peer.violation =
+                session.link.handler.violation =
                     Some(Violation::protocol("MQTT 4.13", "an unexpected MQTT packet"));
                 return Err(Malformed("an unexpected MQTT packet"));
             }
@@ -271,7 +271,7 @@
     fn handle_connack(&mut self, now: u64, connack: &Connack) -> Result<(), Malformed> {
         let Some(session) = &mut self.session else { return Ok(()) };
         let announced = &connack.properties;
-        if connack.reason.failed()
+        if connack.reason.is_failure()
             || announced.maximum_qos_1 == Some(false)
             || announced.retain_available == Some(false)
         {
@@ -306,26 +306,26 @@
             if self.records.messages[&number].awaits_record() {
                 self.complete(now, number, true);
             }
-            self.acknowledge(now, publish.id);
+            self.acknowledge(now, publish.packet_id);
             return Ok(());
         }
         let Some(session) = &mut self.session else { return Ok(()) };
         if publish.qos == Qos::ExactlyOnce {
             // The subscription is of QoS 1, and a broker may not exceed that [MQTT-3.8.4-8].
-            session.link.peer.violation = Some(Violation {
-                reason: Reason::QosNotSupported,
+            session.link.handler.violation = Some(Violation {
+                reason: ReasonCode::QosNotSupported,
                 statement: "MQTT-3.8.4-8",
-                what: "a message of QoS 2",
+                description: "a message of QoS 2",
             });
             return Err(Malformed("an MQTT message of a higher QoS than was granted"));
         }
-        if publish.id > 0 {
-            session.unacknowledged.insert(publish.id);
+        if publish.packet_id > 0 {
+            session.unacknowledged.insert(publish.packet_id);
             if session.unacknowledged.len() > usize::from(self.options.receive_maximum) {
-                session.link.peer.violation = Some(Violation {
-                    reason: Reason::ReceiveMaximumExceeded,
+                session.link.handler.violation = Some(Violation {
+                    reason: ReasonCode::ReceiveMaximumExceeded,
                     statement: "MQTT-3.3.4-9",
-                    what: "more messages than may be unacknowledged",
+                    description: "more messages than may be unacknowledged",
                 });
                 return Err(Malformed("more MQTT messages than may be unacknowledged"));
             }
@@ -340,13 +340,13 @@
             // Delivered again while the request is open: its answer acknowledges this delivery too.
             count(&self.counters.mqtt_duplicates);
             if let Some(message) = self.records.messages.get_mut(&number) {
-                message.packet_ids.push(publish.id);
+                message.packet_ids.push(publish.packet_id);
             }
             return Ok(());
         }
         if self.records.answered(&call) {
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, publish.id);
+            self.acknowledge(now, publish.packet_id);
             return Ok(());
         }
         let again = publish.dup || publish.retain;
@@ -355,7 +355,7 @@
             // There is no response topic, or no record can be looked up on it: subscribing to a name that starts with
             // `$share` would make a shared subscription.
             count(&self.counters.requests_invalid);
-            return self.reject(now, publish.id);
+            return self.reject(now, publish.packet_id);
         }
         let retained = !call.is_empty() && topic.rsplit('/').next() == Some(&*call);
         let (request, fault) = match parse_trigger(&publish, &fields, retained) {
@@ -366,14 +366,14 @@
         if again && unix_ms.saturating_sub(sent_ms) > u64::from(self.options.record_expiry) * 1000 {
             // Its record may have expired, and its client has long stopped waiting.
             count(&self.counters.mqtt_duplicates);
-            self.acknowledge(now, publish.id);
+            self.acknowledge(now, publish.packet_id);
             return Ok(());
         }
         let message = Message {
             call,
             topic,
             correlation: publish.properties.correlation.unwrap_or_default(),
-            packet_ids: vec![publish.id],
+            packet_ids: vec![publish.packet_id],
             stage: Stage::Running,
             retained,
             request: request.map(|(sketch, body, _)| (sketch, body)),
@@ -400,7 +400,7 @@
     fn reject(&mut self, now: u64, id: u16) -> Result<(), Malformed> {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return Ok(()) };
         session.unacknowledged.remove(&id);
-        session.send(now, &packets::puback(id, Reason::PayloadFormatInvalid));
+        session.send(now, &packets::puback(id, ReasonCode::PayloadFormatInvalid));
         Ok(())
     }
 
@@ -442,20 +442,20 @@
         let age_us = unix_ms.saturating_sub(message.sent_ms) * 1000;
         if let Some((sketch, body)) = message.request.take() {
             let ticket = Ticket { front: self.id, conn: 0, seq: number };
-            self.intake.push(Intake::Serve { ticket, sketch, body, age_us, again });
+            self.intake.push(Intake::Submit { ticket, sketch, body, age_us, again });
         }
     }
 
     /// Delivers the final answer to a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let answer = match answer {
-            Final::Served(body) => (vec![pair("status", "served")], body),
-            Final::Refused(after) => {
+            FinalAnswer::Served(body) => (vec![pair("status", "served")], body),
+            FinalAnswer::Refused(after) => {
                 let ms = after.div_ceil(1000).to_string();
                 (vec![pair("status", "refused"), pair("pushback", &ms)], Vec::new())
             }
-            Final::Failed(why) => (vec![pair("status", "failed"), pair("why", why)], Vec::new()),
+            FinalAnswer::Failed(why) => (vec![pair("status", "failed"), pair("why", why)], Vec::new()),
         };
         self.set_answer(ticket.seq, answer, true);
         self.publish_answers(now);
@@ -514,7 +514,7 @@
     }
 
     /// Handles a PUBACK: the broker accepted an answer or rejected it.
-    fn handle_puback(&mut self, now: u64, id: u16, reason: Reason) {
+    fn handle_puback(&mut self, now: u64, id: u16, reason: ReasonCode) {
         if let Some(session) = &mut self.session {
             session.used_ids.remove(&id);
         }
@@ -524,7 +524,7 @@
         if let Some(session) = &mut self.session {
             session.unacknowledged_answers -= 1;
         }
-        if reason.failed() {
+        if reason.is_failure() {
             // The broker does not hold the answer, so the message is not acknowledged; publishing is retried.
             message.stage = Stage::Answered { checked: false };
             self.retry_at = Some(now + PUBLISH_RETRY_DELAY_US);
@@ -554,7 +554,7 @@
     fn acknowledge(&mut self, now: u64, id: u16) {
         let Some(session) = self.session.as_mut().filter(|_| id > 0) else { return };
         session.unacknowledged.remove(&id);
-        if session.send(now, &packets::puback(id, Reason::Success)) {
+        if session.send(now, &packets::puback(id, ReasonCode::Success)) {
             count(&self.counters.mqtt_acknowledged);
         }
     }
@@ -642,7 +642,7 @@
         self.stage == Stage::LookingUp || self.unchecked()
     }
 
-    fn publish(&self, id: u16, expiry: u32, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+    fn publish(&self, id: u16, expiry: u32, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, EncodeError> {
         let pair = |n: &str, v: &str| (n.to_string(), v.to_string());
         let mut user = vec![pair("call", &self.call)];
         user.extend(self.answer.0.iter().cloned());
@@ -662,7 +662,7 @@
         let publish = Publish {
             retain: self.retained,
             qos: Qos::AtLeastOnce,
-            id,
+            packet_id: id,
             topic,
             properties,
             payload,
@@ -673,8 +673,12 @@
 }
 
 /// Parses a trigger: the parameters of its request, and when its client sent it.
-fn parse_trigger(publish: &Publish, fields: &Fields, retained: bool) -> Result<(Sketch, u64), Invalid> {
-    let sketch = Sketch::read(fields)?;
+fn parse_trigger(
+    publish: &Publish,
+    fields: &Fields,
+    retained: bool,
+) -> Result<(ParsedRequest, u64), Invalid> {
+    let sketch = ParsedRequest::read(fields)?;
     let sent = fields.get("sent").ok_or(Invalid { field: "sent", why: "is missing" })?;
     let sent = sent.parse().map_err(|_| Invalid { field: "sent", why: "must be Unix milliseconds" })?;
     if !retained {
--- a/src/front/mqtt/packets.rs
+++ b/src/front/mqtt/packets.rs
@@ -2,10 +2,10 @@
 
 use super::options::Options;
 use ochreward_mqtt::packet::{
-    Ack, Closing, Connect, Packet, Publish, Subscribe, Subscription, Unsubscribe, Unwritable,
+    Ack, Connect, DisconnectOrAuth, EncodeError, Packet, Publish, Subscribe, Subscription, Unsubscribe,
 };
 use ochreward_mqtt::wire::MOST_VARIABLE;
-use ochreward_mqtt::{Properties, Qos, Reason, Version};
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Version};
 
 /// Encodes a packet, or returns no bytes if that is impossible. Only a PUBLISH can be too large, and [`publish`] returns
 /// an error for it.
@@ -29,19 +29,19 @@
         properties,
         client_id: options.client_id.clone(),
         will: None,
-        user,
+        user_name: user,
         password: password.map(String::into_bytes),
     })))
 }
 
 /// Encodes a PUBLISH; fails if it is larger than the broker's maximum packet size.
-pub fn publish(message: Publish, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, Unwritable> {
+pub fn publish(message: Publish, max_packet_bytes: Option<u32>) -> Result<Vec<u8>, EncodeError> {
     Packet::Publish(Box::new(message)).encode(Version::V5, max_packet_bytes.unwrap_or(MOST_VARIABLE) as usize)
 }
 
 /// Encodes a PUBACK.
-pub fn puback(id: u16, reason: Reason) -> Vec<u8> {
-    encode(&Packet::Puback(Ack { id, reason, properties: Properties::default() }))
+pub fn puback(id: u16, reason: ReasonCode) -> Vec<u8> {
+    encode(&Packet::Puback(Ack { packet_id: id, reason, properties: Properties::default() }))
 }
 
 /// Encodes a SUBSCRIBE to one filter, with Retain As Published: the broker then keeps the retain flag that the sender set
@@ -53,13 +53,17 @@
         retain_as_published: true,
         ..Subscription::default()
     };
-    encode(&Packet::Subscribe(Subscribe { id, subscriptions: vec![subscription], ..Subscribe::default() }))
+    encode(&Packet::Subscribe(Subscribe {
+        packet_id: id,
+        subscriptions: vec![subscription],
+        ..Subscribe::default()
+    }))
 }
 
 /// Encodes an UNSUBSCRIBE from one filter.
 pub fn unsubscribe(id: u16, filter: &str) -> Vec<u8> {
     encode(&Packet::Unsubscribe(Unsubscribe {
-        id,
+        packet_id: id,
         filters: vec![filter.to_string()],
         ..Unsubscribe::default()
     }))
@@ -71,6 +75,6 @@
 }
 
 /// Encodes a DISCONNECT; the broker keeps the session.
-pub fn disconnect(reason: Reason) -> Vec<u8> {
-    encode(&Packet::Disconnect(Closing { reason, properties: Properties::default() }))
+pub fn disconnect(reason: ReasonCode) -> Vec<u8> {
+    encode(&Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() }))
 }
--- a/src/front/mqtt/records.rs
+++ b/src/front/mqtt/records.rs
@@ -1,7 +1,7 @@
 //! The state of each message until its single answer is acknowledged, and the ids of messages answered before. The
 //! ids are bounded in number; unacknowledged QoS 1 messages are bounded by the receive maximum.
 
-use crate::front::Sketch;
+use crate::front::ParsedRequest;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
     /// Whether the answer is retained by the broker: only if the response topic belongs to this message alone.
     pub retained: bool,
     /// Its parameters and body, until they are submitted to the core.
-    pub request: Option<(Sketch, Vec<u8>)>,
+    pub request: Option<(ParsedRequest, Vec<u8>)>,
     /// When its client sent it, in Unix milliseconds.
     pub sent_ms: u64,
     /// The answer: its user properties and its body.
--- a/src/front/mqtt/set.rs
+++ b/src/front/mqtt/set.rs
@@ -7,10 +7,10 @@
 
 use super::front::Front;
 use super::options::Options;
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
-use crate::net::{Poll, Ready};
+use crate::net::{Poll, PollEvent};
 use std::rc::Rc;
 
 /// Concurrent brokers.
@@ -33,7 +33,7 @@
     }
 
     /// Sets the configured brokers; fronts of all others are drained.
-    pub fn want(&mut self, poll: &Poll, mut brokers: Vec<Options>) {
+    pub fn set_brokers(&mut self, poll: &Poll, mut brokers: Vec<Options>) {
         brokers.truncate(MAX_BROKERS);
         self.configured = brokers;
         self.reconcile(poll);
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether the number belongs to the range of MQTT fronts.
-    pub fn has(&self, number: u8) -> bool {
+    pub fn owns(&self, number: u8) -> bool {
         number >= self.first
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Handles readiness of one of the connections.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, unix_ms: u64, ready: PollEvent) {
         if let Some(front) = self.front_mut(ready.token.owner) {
             front.ready(poll, now, unix_ms, ready);
         }
@@ -101,7 +101,7 @@
     }
 
     /// Delivers the final answer to a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         if let Some(front) = self.front_mut(ticket.front) {
             front.answer(poll, now, ticket, answer);
         }
@@ -137,7 +137,7 @@
     }
 
     /// Disconnects from all brokers.
-    pub fn leave(&mut self, poll: &Poll) {
+    pub fn disconnect(&mut self, poll: &Poll) {
         self.slots.iter_mut().flatten().for_each(|f| f.leave(poll));
     }
 }
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -4,11 +4,11 @@
 use super::policy::Policy;
 use super::sessions::{Action, Rules, Sessions};
 use super::verifier::Verifier;
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::{Intake, Invalid};
 use crate::keys::Faults;
-use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use ochreward_mqtt::packet::Packet;
 use ochreward_mqtt::{Version, Violation, decode};
 use slab::Slab;
@@ -56,10 +56,10 @@
     discarding: bool,
 }
 
-impl Callbacks for Decoder {
+impl ProtocolHandler for Decoder {
     type Out = Vec<Packet>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Packet>) -> Result<(), Malformed> {
         if self.discarding {
             input.consume(input.len());
             return Ok(());
@@ -91,7 +91,7 @@
 }
 
 struct Station {
-    link: Link<Decoder>,
+    link: Connection<Decoder>,
     /// When the front began to close the connection.
     closing_since: Option<u64>,
 }
@@ -164,8 +164,8 @@
     }
 
     /// Handles readiness of one of this front's descriptors.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
+        if self.listener.as_ref().is_some_and(|l| l.owns_token(ready.token)) {
             return self.accept(poll, now);
         }
         if self.verifier.owns(ready.token) {
@@ -182,8 +182,8 @@
             return;
         };
         let mut packets = std::mem::take(&mut self.packets);
-        let result = station.link.ready(poll, ready, &mut packets);
-        let (violation, ended) = (station.link.peer.violation.take(), station.link.io.ended);
+        let result = station.link.handle_event(poll, ready, &mut packets);
+        let (violation, ended) = (station.link.handler.violation.take(), station.link.io.read_closed);
         for packet in packets.drain(..) {
             self.sessions.packet_received(now, conn, packet);
         }
@@ -195,11 +195,11 @@
         let too_large = matches!(result, Err(Closed::Malformed(_)));
         if too_large {
             let what = "a packet larger than was allowed";
-            let reason = ochreward_mqtt::Reason::PacketTooLarge;
+            let reason = ochreward_mqtt::ReasonCode::PacketTooLarge;
             self.sessions.protocol_violated(
                 now,
                 conn,
-                &Violation { reason, statement: "MQTT-3.1.2-24", what },
+                &Violation { reason, statement: "MQTT-3.1.2-24", description: what },
             );
             self.run_actions(poll, now);
         }
@@ -213,14 +213,14 @@
             let Some(listener) = &mut self.listener else { return };
             if self.stations.len() >= self.options.connections {
                 self.paused_until = Some(now + ACCEPT_PAUSE_US);
-                return listener.listen(poll, false);
+                return listener.set_accepting(poll, false);
             }
             let fd = match listener.accept() {
-                Accepted::One(fd) => fd,
+                Accepted::Connection(fd) => fd,
                 Accepted::None => return,
                 Accepted::OutOfDescriptors => {
                     self.paused_until = Some(now + ACCEPT_PAUSE_US);
-                    return listener.listen(poll, false);
+                    return listener.set_accepting(poll, false);
                 }
             };
             let entry = self.stations.vacant_entry();
@@ -285,8 +285,8 @@
                 // Only the sending side is shut down: closing with unread input could lose the last packet to the
                 // station.
                 let _ = station.link.flush(poll);
-                station.link.io.finish();
-                station.link.peer.discarding = true;
+                station.link.io.shutdown_write();
+                station.link.handler.discarding = true;
                 station.closing_since.get_or_insert(now);
             }
             Action::Verify(conn, password, hash) => {
@@ -297,13 +297,13 @@
             }
             Action::Serve { number, sketch, body, again } => {
                 let ticket = Ticket { front: self.id, conn: 0, seq: number };
-                self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again });
+                self.intake.push(Intake::Submit { ticket, sketch, body, age_us: 0, again });
             }
         }
     }
 
     /// Delivers the final answer to a request.
-    pub fn answer(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, answer: Final) {
+    pub fn answer(&mut self, poll: &mut Poll, now: u64, ticket: Ticket, answer: FinalAnswer) {
         self.sessions.answer(ticket.seq, answer);
         self.run_actions(poll, now);
     }
@@ -319,7 +319,7 @@
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
             if let Some(listener) = &mut self.listener {
-                listener.listen(poll, true);
+                listener.set_accepting(poll, true);
             }
             self.accept(poll, now);
         }
@@ -351,7 +351,7 @@
 
     /// Returns whether every request has been answered and every answer sent.
     pub fn settled(&self) -> bool {
-        self.sessions.open_requests() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent() == 0)
+        self.sessions.open_requests() == 0 && self.stations.iter().all(|(_, s)| s.link.io.unsent_bytes() == 0)
     }
 
     /// Disconnects every station with reason Server shutting down.
--- a/src/front/stations/policy.rs
+++ b/src/front/stations/policy.rs
@@ -2,7 +2,7 @@
 //! may request. The file is read as a whole; all its faults are reported together.
 
 use crate::keys::{Faults, Key};
-use ochreward_mqtt::topic::Filter;
+use ochreward_mqtt::topic::TopicFilter;
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
     let check = |k: &Key| {
         let text = k.text().to_string();
         k.must(
-            Filter::read(&text).is_ok_and(|f| f.share.is_none()),
+            TopicFilter::parse(&text).is_ok_and(|f| f.share_name.is_none()),
             "must be a valid topic filter that is not shared",
         );
         text
@@ -106,7 +106,7 @@
 
     /// Returns whether the user may publish to this topic.
     pub fn may_publish(&self, client: &str, topic: &str) -> bool {
-        let own = |pattern: &String| Filter::read(&pattern.replace("{client}", client));
+        let own = |pattern: &String| TopicFilter::parse(&pattern.replace("{client}", client));
         self.publish.iter().any(|p| own(p).is_ok_and(|f| f.matches(topic)))
     }
 
--- a/src/front/stations/sessions.rs
+++ b/src/front/stations/sessions.rs
@@ -10,12 +10,14 @@
 
 use super::policy::{Policy, User};
 use super::quota::Bucket;
-use crate::core::Final;
-use crate::front::{Fields, Invalid, Sketch};
-use ochreward_mqtt::delivery::{Inbound, Outbound, Taken};
-use ochreward_mqtt::packet::{Closing, Connack, Connect, Packet, Publish, Suback, Subscribe, Version, Will};
-use ochreward_mqtt::topic::Filter;
-use ochreward_mqtt::{Properties, Qos, Reason, Violation};
+use crate::core::FinalAnswer;
+use crate::front::{Fields, Invalid, ParsedRequest};
+use ochreward_mqtt::delivery::{Inbound, Outbound, Received};
+use ochreward_mqtt::packet::{
+    Connack, Connect, DisconnectOrAuth, Packet, Publish, Suback, Subscribe, Version, Will,
+};
+use ochreward_mqtt::topic::TopicFilter;
+use ochreward_mqtt::{Properties, Qos, ReasonCode, Violation};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -70,7 +72,7 @@
         /// Its number.
         number: i64,
         /// Its parameters.
-        sketch: Sketch,
+        sketch: ParsedRequest,
         /// Its body.
         body: Vec<u8>,
         /// Whether it may have run before.
@@ -110,7 +112,7 @@
 /// An answer, remembered for a message that is delivered again.
 #[derive(Clone, Debug)]
 struct Outcome {
-    reason: Reason,
+    reason: ReasonCode,
     user_properties: Vec<(String, String)>,
     body: Vec<u8>,
 }
@@ -121,7 +123,7 @@
     user: String,
     inbound: Inbound,
     outbound: Outbound,
-    filters: Vec<(Filter, Qos)>,
+    filters: Vec<(TopicFilter, Qos)>,
     /// How long the session outlives its connection, in seconds.
     expiry: u32,
     disconnected_at: u64,
@@ -190,7 +192,7 @@
         };
         let conns: Vec<ConnId> =
             self.sessions.values().filter(|s| revoked(s)).filter_map(|s| s.conn).collect();
-        conns.into_iter().for_each(|conn| self.disconnect(now, conn, Reason::NotAuthorized));
+        conns.into_iter().for_each(|conn| self.disconnect(now, conn, ReasonCode::NotAuthorized));
     }
 
     /// Returns the number of requests that the core has.
@@ -235,8 +237,8 @@
     }
 
     /// Disconnects a station with a reason; its session is kept and its will is published.
-    fn disconnect(&mut self, now: u64, conn: ConnId, reason: Reason) {
-        let closing = Packet::Disconnect(Closing { reason, properties: Properties::default() });
+    fn disconnect(&mut self, now: u64, conn: ConnId, reason: ReasonCode) {
+        let closing = Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() });
         self.actions.push(Action::Send(conn, Box::new(closing), Version::V5));
         self.actions.push(Action::Close(conn));
         self.connection_lost(now, conn);
@@ -248,7 +250,7 @@
         match self.connections.get(&conn) {
             // Before a CONNECT is accepted, the answer is a CONNACK or none (MQTT 5.0, 4.13.1).
             Some(ConnState::Connected { .. }) => self.disconnect(now, conn, violation.reason),
-            Some(_) if violation.reason == Reason::UnsupportedProtocol => {
+            Some(_) if violation.reason == ReasonCode::UnsupportedProtocol => {
                 self.refuse_connection(conn, Version::V5, violation.reason);
             }
             _ => {
@@ -258,7 +260,7 @@
         }
     }
 
-    fn refuse_connection(&mut self, conn: ConnId, version: Version, reason: Reason) {
+    fn refuse_connection(&mut self, conn: ConnId, version: Version, reason: ReasonCode) {
         self.counts.refused += 1;
         let connack = Connack { session_present: false, reason, properties: Properties::default() };
         self.actions.push(Action::Send(conn, Box::new(Packet::Connack(Box::new(connack))), version));
@@ -294,22 +296,24 @@
 
     fn handle_connect(&mut self, conn: ConnId, since: u64, connect: Box<Connect>) {
         let version = connect.version;
-        let user = connect.user.as_deref().and_then(|name| self.policy.user(name));
+        let user = connect.user_name.as_deref().and_then(|name| self.policy.user(name));
         let refused = match user {
             // MQTT 3.1.1 has no user properties, which an answer needs.
-            _ if version == Version::V311 => Some(Reason::UnsupportedProtocol),
-            _ if self.stopping => Some(Reason::ServerShuttingDown),
-            _ if connect.properties.authentication_method.is_some() => Some(Reason::BadAuthenticationMethod),
-            None => Some(Reason::BadLogin),
+            _ if version == Version::V311 => Some(ReasonCode::UnsupportedProtocol),
+            _ if self.stopping => Some(ReasonCode::ServerShuttingDown),
+            _ if connect.properties.authentication_method.is_some() => {
+                Some(ReasonCode::BadAuthenticationMethod)
+            }
+            None => Some(ReasonCode::BadUserNameOrPassword),
             Some(user) if connect.client_id.is_empty() || !user.may_use_client_id(&connect.client_id) => {
-                Some(Reason::ClientIdNotValid)
+                Some(ReasonCode::ClientIdNotValid)
             }
-            _ if connect.will.as_ref().is_some_and(|w| w.retain) => Some(Reason::RetainNotSupported),
+            _ if connect.will.as_ref().is_some_and(|w| w.retain) => Some(ReasonCode::RetainNotSupported),
             _ => None,
         };
         // CONNACK has no Server shutting down reason; Server unavailable is used instead.
-        let refused =
-            refused.map(|r| if r == Reason::ServerShuttingDown { Reason::ServerUnavailable } else { r });
+        let refused = refused
+            .map(|r| if r == ReasonCode::ServerShuttingDown { ReasonCode::ServerUnavailable } else { r });
         if let Some(reason) = refused {
             return self.refuse_connection(conn, version, reason);
         }
@@ -325,21 +329,21 @@
             return;
         };
         if !matches {
-            return self.refuse_connection(conn, connect.version, Reason::BadLogin);
+            return self.refuse_connection(conn, connect.version, ReasonCode::BadUserNameOrPassword);
         }
         let client = connect.client_id.clone();
         if !self.sessions.contains_key(&client)
             && self.sessions.len() >= self.rules.sessions
             && !self.evict_session()
         {
-            return self.refuse_connection(conn, connect.version, Reason::QuotaExceeded);
+            return self.refuse_connection(conn, connect.version, ReasonCode::QuotaExceeded);
         }
         // A session has one connection: the later one takes it over [MQTT-3.1.4-3].
         if let Some(old) = self.sessions.get(&client).and_then(|s| s.conn) {
-            self.disconnect(now, old, Reason::SessionTakenOver);
+            self.disconnect(now, old, ReasonCode::SessionTakenOver);
         }
         let rules = &self.rules;
-        let user = connect.user.clone().unwrap_or_default();
+        let user = connect.user_name.clone().unwrap_or_default();
         let rate = self.policy.user(&user).map_or((0.0, 0.0), |u| u.client_rate);
         let expiry = connect.properties.session_expiry.unwrap_or(0).min(rules.session_expiry);
         let resumed = self.sessions.remove(&client).filter(|s| {
@@ -390,7 +394,7 @@
             shared_available: Some(false),
             ..Properties::default()
         };
-        let connack = Connack { session_present: present, reason: Reason::Success, properties };
+        let connack = Connack { session_present: present, reason: ReasonCode::Success, properties };
         self.actions.push(Action::Send(conn, Box::new(Packet::Connack(Box::new(connack))), Version::V5));
         self.sessions.insert(client.clone(), session);
         let keep_alive = u64::from(keep_alive) * 1_500_000;
@@ -414,7 +418,7 @@
 
     fn drop_session(&mut self, client: &str) {
         if let Some(session) = self.sessions.remove(client) {
-            self.counts.answers_lost += session.outbound.load().0 as u64;
+            self.counts.answers_lost += session.outbound.queued_and_in_flight().0 as u64;
         }
     }
 
@@ -427,7 +431,7 @@
     fn send_queued(&mut self, client: &str) {
         let mut out = Vec::new();
         if let Some(session) = self.sessions.get_mut(client) {
-            while let Some(packet) = session.outbound.take_packet() {
+            while let Some(packet) = session.outbound.next_packet() {
                 out.push(packet);
             }
         }
@@ -469,13 +473,14 @@
                     let before = session.filters.len();
                     session.filters.retain(|(f, _)| f.filter != *filter);
                     if session.filters.len() < before {
-                        Reason::Success
+                        ReasonCode::Success
                     } else {
-                        Reason::NoSubscriptionExisted
+                        ReasonCode::NoSubscriptionExisted
                     }
                 };
                 let reasons = unsubscribe.filters.iter().map(remove).collect();
-                let unsuback = Suback { id: unsubscribe.id, properties: Properties::default(), reasons };
+                let unsuback =
+                    Suback { packet_id: unsubscribe.packet_id, properties: Properties::default(), reasons };
                 self.send(client, [Packet::Unsuback(unsuback)]);
             }
             Packet::Pingreq => self.send(client, [Packet::Pingresp]),
@@ -487,7 +492,7 @@
                     }
                     session.expiry = expiry.min(self.rules.session_expiry);
                 }
-                if closing.reason != Reason::DisconnectWithWill {
+                if closing.reason != ReasonCode::DisconnectWithWill {
                     session.will = None;
                 }
                 self.actions.push(Action::Close(conn));
@@ -504,39 +509,39 @@
         let user = self.policy.user(&session.user);
         let mut reasons = Vec::new();
         for wanted in &subscribe.subscriptions {
-            let filter = match Filter::read(&wanted.filter) {
+            let filter = match TopicFilter::parse(&wanted.filter) {
                 _ if !subscribe.properties.subscription_ids.is_empty() => {
-                    reasons.push(Reason::SubscriptionIdsNotSupported);
+                    reasons.push(ReasonCode::SubscriptionIdsNotSupported);
                     continue;
                 }
                 Err(violation) => {
                     reasons.push(violation.reason);
                     continue;
                 }
-                Ok(filter) if filter.share.is_some() => {
-                    reasons.push(Reason::SharedNotSupported);
+                Ok(filter) if filter.share_name.is_some() => {
+                    reasons.push(ReasonCode::SharedNotSupported);
                     continue;
                 }
                 Ok(filter) => filter,
             };
             if !user.is_some_and(|u| u.may_subscribe(client, &filter.filter)) {
-                reasons.push(Reason::NotAuthorized);
+                reasons.push(ReasonCode::NotAuthorized);
                 continue;
             }
             // A subscription with the same filter replaces the previous one [MQTT-3.8.4-3].
             session.filters.retain(|(f, _)| *f != filter);
             if session.filters.len() >= MAX_FILTERS {
-                reasons.push(Reason::QuotaExceeded);
+                reasons.push(ReasonCode::QuotaExceeded);
                 continue;
             }
             session.filters.push((filter, wanted.qos));
             reasons.push(match wanted.qos {
-                Qos::AtMostOnce => Reason::Success,
-                Qos::AtLeastOnce => Reason::GrantedQos1,
-                Qos::ExactlyOnce => Reason::GrantedQos2,
+                Qos::AtMostOnce => ReasonCode::Success,
+                Qos::AtLeastOnce => ReasonCode::GrantedQos1,
+                Qos::ExactlyOnce => ReasonCode::GrantedQos2,
             });
         }
-        let suback = Suback { id: subscribe.id, properties: Properties::default(), reasons };
+        let suback = Suback { packet_id: subscribe.packet_id, properties: Properties::default(), reasons };
         self.send(client, [Packet::Suback(suback)]);
     }
 
@@ -544,12 +549,12 @@
         let Some(session) = self.sessions.get_mut(client) else { return Ok(()) };
         if publish.retain {
             let (statement, what) = ("MQTT-3.2.2-14", "a retained message, which is not supported");
-            return Err(Violation { reason: Reason::RetainNotSupported, statement, what });
+            return Err(Violation { reason: ReasonCode::RetainNotSupported, statement, description: what });
         }
         match session.inbound.publish(&mut publish)? {
-            Taken::New => {}
-            Taken::Pending => return Ok(()),
-            Taken::Again(answer) => {
+            Received::New => {}
+            Received::Pending => return Ok(()),
+            Received::Acknowledged(answer) => {
                 self.send(client, [*answer]);
                 return Ok(());
             }
@@ -570,7 +575,7 @@
         let request = Request {
             client: client.to_string(),
             call: call.clone(),
-            packet_ids: if publish.id > 0 { vec![publish.id] } else { Vec::new() },
+            packet_ids: if publish.packet_id > 0 { vec![publish.packet_id] } else { Vec::new() },
             response_topic: publish.properties.response_topic.clone(),
             correlation: publish.properties.correlation.clone(),
         };
@@ -581,20 +586,20 @@
             return;
         }
         if let Some(outcome) =
-            session.answered_calls.get(&call).filter(|_| publish.dup || publish.id == 0).cloned()
+            session.answered_calls.get(&call).filter(|_| publish.dup || publish.packet_id == 0).cloned()
         {
             self.counts.duplicates += 1;
             return self.deliver(request, outcome);
         }
-        let refuse = |reason: Reason, why: &str| Outcome {
+        let refuse = |reason: ReasonCode, why: &str| Outcome {
             reason,
             user_properties: vec![pair("status", "failed"), pair("why", why)],
             body: Vec::new(),
         };
-        let sketch = match Sketch::read(&fields) {
+        let sketch = match ParsedRequest::read(&fields) {
             Ok(sketch) => sketch,
             Err(invalid) => {
-                let mut outcome = refuse(Reason::PayloadFormatInvalid, invalid.why);
+                let mut outcome = refuse(ReasonCode::PayloadFormatInvalid, invalid.why);
                 outcome.user_properties.push(pair("field", invalid.field));
                 return self.deliver(request, outcome);
             }
@@ -604,7 +609,7 @@
         };
         if !user.is_some_and(may) {
             return self
-                .deliver(request, refuse(Reason::NotAuthorized, "may not be asked for by this client"));
+                .deliver(request, refuse(ReasonCode::NotAuthorized, "may not be asked for by this client"));
         }
         let rate = user.map_or((0.0, 0.0), |u| u.user_rate);
         let shared =
@@ -623,14 +628,14 @@
     }
 
     /// Delivers the core's final answer to a request.
-    pub fn answer(&mut self, number: i64, answer: Final) {
+    pub fn answer(&mut self, number: i64, answer: FinalAnswer) {
         let outcome = match answer {
-            Final::Served(body) => {
-                Outcome { reason: Reason::Success, user_properties: vec![pair("status", "served")], body }
+            FinalAnswer::Served(body) => {
+                Outcome { reason: ReasonCode::Success, user_properties: vec![pair("status", "served")], body }
             }
-            Final::Refused(after) => refused(after),
-            Final::Failed(why) => Outcome {
-                reason: Reason::Implementation,
+            FinalAnswer::Refused(after) => refused(after),
+            FinalAnswer::Failed(why) => Outcome {
+                reason: ReasonCode::Implementation,
                 user_properties: vec![pair("status", "failed"), pair("why", why)],
                 body: Vec::new(),
             },
@@ -644,7 +649,7 @@
             vec![pair("status", "failed"), pair("field", invalid.field), pair("why", invalid.why)];
         self.settle(
             number,
-            Outcome { reason: Reason::PayloadFormatInvalid, user_properties, body: Vec::new() },
+            Outcome { reason: ReasonCode::PayloadFormatInvalid, user_properties, body: Vec::new() },
         );
     }
 
@@ -687,7 +692,7 @@
         let mut out = Vec::new();
         for id in &request.packet_ids {
             let properties = Properties { user: user.clone(), ..Properties::default() };
-            out.extend(session.inbound.settle(*id, outcome.reason, properties));
+            out.extend(session.inbound.acknowledge(*id, outcome.reason, properties));
         }
         let subscribed_qos = |topic: &String| {
             session.filters.iter().filter(|(f, _)| f.matches(topic)).map(|(_, qos)| *qos).max()
@@ -722,7 +727,7 @@
         let conns: Vec<ConnId> = self.connections.keys().copied().collect();
         for conn in conns {
             if matches!(self.connections.get(&conn), Some(ConnState::Connected { .. })) {
-                self.disconnect(now, conn, Reason::ServerShuttingDown);
+                self.disconnect(now, conn, ReasonCode::ServerShuttingDown);
             }
         }
     }
@@ -753,7 +758,7 @@
                 ConnState::Connected { last_received, keep_alive, .. }
                     if now >= last_received + keep_alive =>
                 {
-                    silent.push((*conn, Some(Reason::KeepAliveTimeout)));
+                    silent.push((*conn, Some(ReasonCode::KeepAliveTimeout)));
                 }
                 _ => {}
             }
@@ -799,7 +804,7 @@
 fn refused(after: u64) -> Outcome {
     let ms = after.div_ceil(1000).to_string();
     Outcome {
-        reason: Reason::QuotaExceeded,
+        reason: ReasonCode::QuotaExceeded,
         user_properties: vec![pair("status", "refused"), pair("pushback", &ms)],
         body: Vec::new(),
     }
--- a/src/front/stations/sessions/tests.rs
+++ b/src/front/stations/sessions/tests.rs
@@ -8,7 +8,7 @@
     now: u64,
     sent: BTreeMap<ConnId, Vec<Packet>>,
     closed: BTreeSet<ConnId>,
-    serves: Vec<(i64, Sketch, bool)>,
+    serves: Vec<(i64, ParsedRequest, bool)>,
 }
 
 fn test_sessions(user_keys: &str) -> TestSessions {
@@ -36,7 +36,7 @@
         properties: Properties { session_expiry: Some(expiry), ..Properties::default() },
         client_id: client.into(),
         will: None,
-        user: Some("u".into()),
+        user_name: Some("u".into()),
         password: Some(b"p".to_vec()),
     }
 }
@@ -55,7 +55,7 @@
         ..Properties::default()
     };
     let qos = if id == 0 { Qos::AtMostOnce } else { Qos::AtLeastOnce };
-    Publish { id, qos, topic: "in/a/x".into(), properties, ..Publish::default() }
+    Publish { packet_id: id, qos, topic: "in/a/x".into(), properties, ..Publish::default() }
 }
 
 impl TestSessions {
@@ -96,21 +96,24 @@
         self.send(conn, Packet::Publish(Box::new(publish)))
     }
 
-    fn subscribe(&mut self, conn: ConnId, filters: &[&str]) -> Vec<Reason> {
+    fn subscribe(&mut self, conn: ConnId, filters: &[&str]) -> Vec<ReasonCode> {
         let of = |f: &&str| ochreward_mqtt::packet::Subscription {
             filter: f.to_string(),
             qos: Qos::AtLeastOnce,
             ..Default::default()
         };
-        let subscribe =
-            Subscribe { id: 9, subscriptions: filters.iter().map(of).collect(), ..Subscribe::default() };
+        let subscribe = Subscribe {
+            packet_id: 9,
+            subscriptions: filters.iter().map(of).collect(),
+            ..Subscribe::default()
+        };
         match self.send(conn, Packet::Subscribe(subscribe)).pop() {
             Some(Packet::Suback(suback)) => suback.reasons,
             other => panic!("{other:?}"),
         }
     }
 
-    fn answer(&mut self, conn: ConnId, number: i64, answer: Final) -> Vec<Packet> {
+    fn answer(&mut self, conn: ConnId, number: i64, answer: FinalAnswer) -> Vec<Packet> {
         self.sessions.answer(number, answer);
         self.run_actions();
         self.sent.remove(&conn).unwrap_or_default()
@@ -138,17 +141,22 @@
     assert!(
         fixture
             .connect(1, connect("a", 100))
-            .is_some_and(|c| c.reason == Reason::Success && !c.session_present)
+            .is_some_and(|c| c.reason == ReasonCode::Success && !c.session_present)
     );
     assert_eq!(
         fixture.subscribe(1, &["out/a/#", "out/b/#", "a#", "$share/g/out/a/x"]),
-        [Reason::GrantedQos1, Reason::NotAuthorized, Reason::TopicFilterInvalid, Reason::SharedNotSupported]
+        [
+            ReasonCode::GrantedQos1,
+            ReasonCode::NotAuthorized,
+            ReasonCode::TopicFilterInvalid,
+            ReasonCode::SharedNotSupported
+        ]
     );
     assert_eq!(fixture.publish(1, trigger(5, 1, "flow-read")), []);
     let (number, sketch, again) = fixture.serves[0].clone();
     assert!(&*sketch.call == "0000000000000001" && !again);
-    let sent = fixture.answer(1, number, Final::Served(b"body".to_vec()));
-    assert!(matches!(&sent[0], Packet::Puback(a) if a.id == 5 && a.reason == Reason::Success));
+    let sent = fixture.answer(1, number, FinalAnswer::Served(b"body".to_vec()));
+    assert!(matches!(&sent[0], Packet::Puback(a) if a.packet_id == 5 && a.reason == ReasonCode::Success));
     assert_eq!(user_property(&sent[0], "status").as_deref(), Some("served"));
     let Packet::Publish(answer) = &sent[1] else { panic!("{sent:?}") };
     assert_eq!((answer.topic.as_str(), &answer.payload[..]), ("out/a/answers", &b"body"[..]));
@@ -168,7 +176,7 @@
     assert!(fixture.connect(2, connect("a", 100)).is_some_and(|c| c.session_present));
     assert_eq!(fixture.publish(2, Publish { dup: true, ..trigger(5, 1, "alert-send") }), []);
     fixture.sessions.connection_lost(fixture.now, 2);
-    assert_eq!(fixture.answer(2, number, Final::Served(Vec::new())), []);
+    assert_eq!(fixture.answer(2, number, FinalAnswer::Served(Vec::new())), []);
     // The answer came while the station was disconnected: it is queued, and the repeated message gets it again.
     fixture.sessions.connection_accepted(fixture.now, 3);
     let sent = fixture.send(3, Packet::Connect(Box::new(connect("a", 100))));
@@ -193,20 +201,23 @@
     let base = || connect("a", 0);
     assert_eq!(
         reason(&mut fixture, 1, Connect { password: Some(b"x".to_vec()), ..base() }),
-        Some(Reason::BadLogin)
+        Some(ReasonCode::BadUserNameOrPassword)
+    );
+    assert_eq!(
+        reason(&mut fixture, 2, Connect { user_name: Some("v".into()), ..base() }),
+        Some(ReasonCode::BadUserNameOrPassword)
     );
-    assert_eq!(reason(&mut fixture, 2, Connect { user: Some("v".into()), ..base() }), Some(Reason::BadLogin));
-    assert_eq!(reason(&mut fixture, 3, connect("c", 0)), Some(Reason::ClientIdNotValid));
+    assert_eq!(reason(&mut fixture, 3, connect("c", 0)), Some(ReasonCode::ClientIdNotValid));
     let old = Connect { version: Version::V311, properties: Properties::default(), ..base() };
-    assert_eq!(reason(&mut fixture, 4, old), Some(Reason::UnsupportedProtocol));
+    assert_eq!(reason(&mut fixture, 4, old), Some(ReasonCode::UnsupportedProtocol));
     assert!((1..=4).all(|conn| fixture.closed.contains(&conn)));
-    assert_eq!(reason(&mut fixture, 5, base()), Some(Reason::Success));
+    assert_eq!(reason(&mut fixture, 5, base()), Some(ReasonCode::Success));
     let refusals = [
-        (trigger(1, 1, "alert-send"), Reason::NotAuthorized),
-        (Publish { topic: "in/b/x".into(), ..trigger(2, 2, "flow-read") }, Reason::NotAuthorized),
+        (trigger(1, 1, "alert-send"), ReasonCode::NotAuthorized),
+        (Publish { topic: "in/b/x".into(), ..trigger(2, 2, "flow-read") }, ReasonCode::NotAuthorized),
         (
             Publish { properties: Properties::default(), ..trigger(3, 3, "flow-read") },
-            Reason::PayloadFormatInvalid,
+            ReasonCode::PayloadFormatInvalid,
         ),
     ];
     for (publish, reason) in refusals {
@@ -217,11 +228,11 @@
     // Another connection takes the session over. A packet before CONNECT or a second CONNECT ends the connection.
     fixture.connect(6, base());
     let sent = fixture.sent.remove(&5).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::SessionTakenOver));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::SessionTakenOver));
     fixture.sessions.connection_accepted(fixture.now, 7);
     fixture.send(7, Packet::Pingreq);
     let sent = fixture.send(6, Packet::Connect(Box::new(base())));
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ProtocolError));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::ProtocolError));
     assert!(fixture.closed.contains(&7) && fixture.closed.contains(&6));
 }
 
@@ -236,9 +247,9 @@
         [],
         "acknowledgements keep the order of their messages"
     );
-    let first = fixture.answer(1, 1, Final::Refused(250_000));
+    let first = fixture.answer(1, 1, FinalAnswer::Refused(250_000));
     assert_eq!(user_property(&first[0], "pushback").as_deref(), Some("250"));
-    let rest = fixture.answer(1, 2, Final::Failed("why not"));
+    let rest = fixture.answer(1, 2, FinalAnswer::Failed("why not"));
     assert_eq!((user_property(&rest[0], "why"), rest.len()), (Some("why not".to_string()), 2));
     assert_eq!(user_property(&rest[1], "pushback").as_deref(), Some("500"));
     // A refused request never ran: its repeat is a new request.
@@ -255,7 +266,7 @@
     assert!(fixture.sessions.session_counts() == (1, 1));
     fixture.advance_by(2 * SECOND);
     let sent = fixture.sent.remove(&1).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::KeepAliveTimeout));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::KeepAliveTimeout));
     assert_eq!(fixture.sessions.session_counts(), (1, 0));
     fixture.advance_by(5 * SECOND);
     assert_eq!(fixture.sessions.session_counts(), (0, 0));
@@ -268,9 +279,9 @@
     for (conn, client) in [(3, "a"), (4, "b"), (5, "c")] {
         fixture.connect(conn, connect(client, 50));
     }
-    assert_eq!(fixture.connect(6, connect("d", 50)).map(|c| c.reason), Some(Reason::QuotaExceeded));
+    assert_eq!(fixture.connect(6, connect("d", 50)).map(|c| c.reason), Some(ReasonCode::QuotaExceeded));
     fixture.sessions.connection_lost(fixture.now, 4);
-    assert_eq!(fixture.connect(7, connect("d", 50)).map(|c| c.reason), Some(Reason::Success));
+    assert_eq!(fixture.connect(7, connect("d", 50)).map(|c| c.reason), Some(ReasonCode::Success));
     assert_eq!(fixture.sessions.session_counts(), (3, 3));
 }
 
@@ -289,12 +300,12 @@
     fixture.connect(2, with(3));
     fixture.advance_by(2 * SECOND);
     assert!(fixture.serves.is_empty(), "the station reconnected");
-    let leave = |reason| Packet::Disconnect(Closing { reason, properties: Properties::default() });
-    fixture.send(2, leave(Reason::Success));
+    let leave = |reason| Packet::Disconnect(DisconnectOrAuth { reason, properties: Properties::default() });
+    fixture.send(2, leave(ReasonCode::Success));
     fixture.advance_by(5 * SECOND);
     assert!(fixture.serves.is_empty(), "the station disconnected normally");
     fixture.connect(3, with(0));
-    fixture.send(3, leave(Reason::DisconnectWithWill));
+    fixture.send(3, leave(ReasonCode::DisconnectWithWill));
     fixture.advance_by(1);
     assert_eq!(fixture.serves.len(), 1);
 }
@@ -307,13 +318,13 @@
     fixture.sessions.stop();
     assert_eq!(fixture.sessions.open_requests(), 1);
     fixture.publish(1, trigger(2, 2, "flow-read"));
-    let sent = fixture.answer(1, 1, Final::Served(Vec::new()));
+    let sent = fixture.answer(1, 1, FinalAnswer::Served(Vec::new()));
     assert_eq!(user_property(&sent[1], "status").as_deref(), Some("refused"));
-    assert_eq!(fixture.connect(2, connect("b", 0)).map(|c| c.reason), Some(Reason::ServerUnavailable));
+    assert_eq!(fixture.connect(2, connect("b", 0)).map(|c| c.reason), Some(ReasonCode::ServerUnavailable));
     fixture.sessions.disconnect_all(fixture.now);
     fixture.run_actions();
     let sent = fixture.sent.remove(&1).unwrap_or_default();
-    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == Reason::ServerShuttingDown));
+    assert!(matches!(&sent[..], [Packet::Disconnect(c)] if c.reason == ReasonCode::ServerShuttingDown));
 }
 
 #[test]
--- a/src/front/stations/verifier.rs
+++ b/src/front/stations/verifier.rs
@@ -2,7 +2,7 @@
 //! which would block the event loop. The loop is woken when a result is ready. The queue is bounded.
 
 use super::sessions::ConnId;
-use crate::net::{Poll, Token, Worker};
+use crate::net::{BackgroundThread, Poll, Token};
 use argon2::{Argon2, PasswordHash, PasswordVerifier};
 use std::io;
 
@@ -18,32 +18,32 @@
 }
 
 /// The event loop's handle of the thread.
-pub struct Verifier(Worker<Job, (ConnId, u32, bool)>);
+pub struct Verifier(BackgroundThread<Job, (ConnId, u32, bool)>);
 
 impl Verifier {
     /// Starts the thread.
     pub fn start(poll: &mut Poll, owner: u8, slot: usize) -> io::Result<Verifier> {
         let check = |job: Job| Some((job.conn, job.serial, verify(&job.password, &job.hash)));
-        Worker::start(poll, (owner, slot), "passwords", check).map(Verifier)
+        BackgroundThread::start(poll, (owner, slot), "passwords", check).map(Verifier)
     }
 
     /// Returns whether the token belongs to the thread's wake-up descriptor.
     pub fn owns(&self, token: Token) -> bool {
-        self.0.is(token)
+        self.0.owns_token(token)
     }
 
     /// Queues a password to be checked; returns false if the queue is full.
     pub fn submit(&self, conn: ConnId, serial: u32, password: Vec<u8>, hash: String) -> bool {
-        let room = self.0.waiting() < MAX_QUEUED;
+        let room = self.0.queued_jobs() < MAX_QUEUED;
         if room {
-            self.0.ask(Job { conn, serial, password, hash });
+            self.0.submit(Job { conn, serial, password, hash });
         }
         room
     }
 
     /// Returns the finished checks.
     pub fn take_results(&mut self) -> Vec<(ConnId, u32, bool)> {
-        self.0.take()
+        self.0.take_results()
     }
 }
 
--- a/src/front/thrift/front.rs
+++ b/src/front/thrift/front.rs
@@ -3,10 +3,10 @@
 //! idle or break the protocol are closed.
 
 use super::wire::{self, Call};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::{Counters, count};
-use crate::front::{Intake, Invalid, Sketch};
-use crate::net::{Accepted, Callbacks, Closed, Link, Listener, Malformed, Poll, Ready, Ring};
+use crate::front::{Intake, Invalid, ParsedRequest};
+use crate::net::{Accepted, Closed, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
 use slab::Slab;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -92,10 +92,10 @@
     }
 }
 
-impl Callbacks for Client {
+impl ProtocolHandler for Client {
     type Out = Vec<Call>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
         if self.expelled_at.is_some() {
             input.consume(input.len());
             return Ok(());
@@ -130,7 +130,7 @@
     /// `MAX_OPEN_REQUESTS` of them, so that a client that sends without end is blocked all the same.
     fn free_input_space(&mut self, input: &mut Ring, out: &mut Vec<Call>) -> Result<(), Malformed> {
         let mut at = 0;
-        while input.room() < wire::MAX_FRAME_BYTES
+        while input.free_space() < wire::MAX_FRAME_BYTES
             && at < self.scanned_bytes
             && self.refused_while_blocked < MAX_OPEN_REQUESTS
         {
@@ -139,7 +139,7 @@
             let call = wire::read_call(&bytes[4..size])?;
             if matches!(call, Call::Serve { .. }) {
                 out.push(call);
-                input.cut(at, size);
+                input.remove_range(at, size);
                 (self.scanned_bytes, self.refused_while_blocked) =
                     (self.scanned_bytes - size, self.refused_while_blocked + 1);
             } else {
@@ -155,7 +155,7 @@
     id: u8,
     listener: Option<Listener>,
     limits: Limits,
-    links: Slab<Link<Client>>,
+    links: Slab<Connection<Client>>,
     unsent: usize,
     paused_until: Option<u64>,
     next_sweep: u64,
@@ -191,7 +191,7 @@
     /// Starts or pauses accepting; while paused, connections wait in the kernel's queue.
     pub fn accepting(&mut self, poll: &Poll, open: bool) {
         if let Some(listener) = &mut self.listener {
-            listener.listen(poll, open);
+            listener.set_accepting(poll, open);
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Sets new limits and closes idle connections beyond them.
-    pub fn bound(&mut self, now: u64, limits: Limits) {
+    pub fn set_limits(&mut self, now: u64, limits: Limits) {
         self.limits = limits;
         while self.links.len() > self.limits.connections && self.evict_idle(now) {}
     }
@@ -214,26 +214,26 @@
     /// Closes the listener once all waiting connections have been accepted: those in the kernel's queue may already have
     /// sent requests, and closing the listener resets them.
     pub fn stop_listening(&mut self, poll: &mut Poll, now: u64) {
-        if self.listens() && self.accept(poll, now) {
-            self.shut(poll);
+        if self.is_listening() && self.accept(poll, now) {
+            self.close_listener(poll);
         }
     }
 
     /// Closes the listener even if connections wait: another process accepts them, or no time is left for them.
-    pub fn shut(&mut self, poll: &Poll) {
+    pub fn close_listener(&mut self, poll: &Poll) {
         if let Some(listener) = self.listener.take() {
             listener.close(poll);
         }
     }
 
     /// Returns whether the listener is open.
-    pub fn listens(&self) -> bool {
+    pub fn is_listening(&self) -> bool {
         self.listener.is_some()
     }
 
     /// Drains the front: ends each connection as soon as nothing is open on it, so that its client connects elsewhere.
     /// Requests received from `refuse_from` on are refused.
-    pub fn leave(&mut self, now: u64, refuse_from: u64) {
+    pub fn close_idle_connections(&mut self, now: u64, refuse_from: u64) {
         self.refuse_from.get_or_insert(refuse_from);
         let slots: Vec<usize> = self.links.iter().map(|(slot, _)| slot).collect();
         slots.into_iter().for_each(|slot| self.finish_if_idle(now, slot));
@@ -243,24 +243,27 @@
     /// first: closing with unread input would reset the connection and could lose the client's last answer.
     fn finish_if_idle(&mut self, now: u64, slot: usize) {
         let draining = self.refuse_from.is_some();
-        let Some(link) = self.links.get_mut(slot).filter(|l| draining || l.peer.expelled_at.is_some()) else {
+        let Some(link) = self.links.get_mut(slot).filter(|l| draining || l.handler.expelled_at.is_some())
+        else {
             return;
         };
-        let idle = link.peer.open_requests.is_empty() && link.io.unsent() == 0 && link.io.unread() == 0;
-        if idle && link.peer.finished_at.is_none() && !link.io.pending() {
-            link.io.finish();
-            link.peer.finished_at = Some(now);
+        let idle = link.handler.open_requests.is_empty()
+            && link.io.unsent_bytes() == 0
+            && link.io.unparsed_bytes() == 0;
+        if idle && link.handler.finished_at.is_none() && !link.io.has_unread_input() {
+            link.io.shutdown_write();
+            link.handler.finished_at = Some(now);
         }
     }
 
     /// Returns whether every connection has been closed or has had its time to close.
     pub fn left(&self, now: u64) -> bool {
-        self.links.iter().all(|(_, l)| l.peer.finished_at.is_some_and(|at| now >= at + LINGER_US))
+        self.links.iter().all(|(_, l)| l.handler.finished_at.is_some_and(|at| now >= at + LINGER_US))
     }
 
     /// Returns whether any answer is unsent.
-    pub fn unsent(&self) -> bool {
-        self.links.iter().any(|(_, l)| l.io.unsent() > 0)
+    pub fn has_unsent_answers(&self) -> bool {
+        self.links.iter().any(|(_, l)| l.io.unsent_bytes() > 0)
     }
 
     fn ticket(&self, slot: usize, seq: i32) -> Ticket {
@@ -269,24 +272,24 @@
     }
 
     /// Handles readiness of one of this front's descriptors.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.listener.as_ref().is_some_and(|l| l.is(ready.token)) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
+        if self.listener.as_ref().is_some_and(|l| l.owns_token(ready.token)) {
             self.accept(poll, now);
             return;
         }
         let slot = ready.token.slot as usize;
         let Some(link) = self.links.get_mut(slot).filter(|l| l.io.token() == ready.token) else { return };
-        let before = link.io.unsent();
+        let before = link.io.unsent_bytes();
         let mut calls = std::mem::take(&mut self.calls);
-        let mut result = link.ready(poll, ready, &mut calls);
+        let mut result = link.handle_event(poll, ready, &mut calls);
         if ready.read {
-            link.peer.last_received = now;
+            link.handler.last_received = now;
         }
         // Unsent bytes shrink only while the client reads, which shows that it is alive.
-        if link.io.unsent() < before {
-            link.peer.last_activity = now;
+        if link.io.unsent_bytes() < before {
+            link.handler.last_activity = now;
         }
-        self.unsent = self.unsent + link.io.unsent() - before;
+        self.unsent = self.unsent + link.io.unsent_bytes() - before;
         for call in calls.drain(..) {
             if let Err(m) = self.handle_call(now, slot, call) {
                 result = Err(Closed::Malformed(m.0));
@@ -295,10 +298,10 @@
         self.calls = calls;
         self.report_hang_up(slot);
         if let Some(link) = self.links.get_mut(slot) {
-            let since = link.peer.partial_since.unwrap_or(now);
-            link.peer.partial_since =
-                (link.peer.messages_received == 0 || link.io.unread() > 0).then_some(since);
-            if link.peer.protocol_errors >= MAX_PROTOCOL_ERRORS && link.peer.expelled_at.is_none() {
+            let since = link.handler.partial_since.unwrap_or(now);
+            link.handler.partial_since =
+                (link.handler.messages_received == 0 || link.io.unparsed_bytes() > 0).then_some(since);
+            if link.handler.protocol_errors >= MAX_PROTOCOL_ERRORS && link.handler.expelled_at.is_none() {
                 result = result.and(Err(Closed::Malformed("too many protocol errors on one connection")));
             }
         }
@@ -313,11 +316,11 @@
     /// first: a connection that ends without it loses the request, whatever else the client has sent.
     fn expel(&mut self, poll: &Poll, now: u64, slot: usize) {
         let Some(link) = self.links.get_mut(slot) else { return };
-        if link.peer.expelled_at.is_none() {
+        if link.handler.expelled_at.is_none() {
             count(&self.counters.clients_malformed);
         }
-        link.peer.expelled_at.get_or_insert(now);
-        let open = std::mem::take(&mut link.peer.open_requests);
+        link.handler.expelled_at.get_or_insert(now);
+        let open = std::mem::take(&mut link.handler.open_requests);
         for seq in open {
             let ticket = self.ticket(slot, seq);
             self.cancel(ticket);
@@ -329,14 +332,15 @@
     /// Reports the open requests of a client that has just closed its sending side: no further attempts start for them, but
     /// running ones may still be answered, since a client that only shuts down its sending side looks the same.
     fn report_hang_up(&mut self, slot: usize) {
-        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.ended && !l.peer.hang_up_reported) else {
+        let Some(link) = self.links.get_mut(slot).filter(|l| l.io.read_closed && !l.handler.hang_up_reported)
+        else {
             return;
         };
-        link.peer.hang_up_reported = true;
-        let open: Vec<i32> = link.peer.open_requests.iter().copied().collect();
+        link.handler.hang_up_reported = true;
+        let open: Vec<i32> = link.handler.open_requests.iter().copied().collect();
         for seq in open {
             let ticket = self.ticket(slot, seq);
-            self.intake.push(Intake::HungUp(ticket));
+            self.intake.push(Intake::ClientClosed(ticket));
         }
     }
 
@@ -349,7 +353,7 @@
             }
             let Some(listener) = &self.listener else { return true };
             match listener.accept() {
-                Accepted::One(fd) => {
+                Accepted::Connection(fd) => {
                     let entry = self.links.vacant_entry();
                     let token = poll.token(self.id, entry.key());
                     let client = Client {
@@ -368,7 +372,7 @@
                         expelled_at: None,
                     };
                     let limits = (wire::MAX_FRAME_BYTES * 2, MAX_UNSENT_BYTES);
-                    if let Ok(link) = Link::accepted(poll, fd, token, client, limits) {
+                    if let Ok(link) = Connection::accepted(poll, fd, token, client, limits) {
                         count(&self.counters.clients_accepted);
                         entry.insert(link);
                     }
@@ -388,7 +392,7 @@
         count(&self.counters.accepts_paused);
         self.paused_until = Some(now + ACCEPT_PAUSE_US);
         if let Some(listener) = &mut self.listener {
-            listener.listen(poll, false);
+            listener.set_accepting(poll, false);
         }
     }
 
@@ -396,21 +400,23 @@
     /// with an incomplete message; within each group the one idle longest.
     fn evict_idle(&mut self, now: u64) -> bool {
         // Connections are not evicted right after being accepted or used: a request may be in flight on them.
-        let rank = |l: &Link<Client>| match (l.io.unread() > 0, l.peer.messages_received > 0) {
+        let rank = |l: &Connection<Client>| match (l.io.unparsed_bytes() > 0, l.handler.messages_received > 0)
+        {
             (false, false) => (0, UNUSED_EVICT_AFTER_US),
             (false, true) => (1, IDLE_EVICT_AFTER_US),
             (true, _) => (2, PARTIAL_EVICT_AFTER_US),
         };
-        let idle = |l: &Link<Client>| {
-            let settled = l.peer.open_requests.is_empty() && l.io.unsent() == 0;
-            settled && now >= l.peer.last_activity.max(l.peer.last_received) + rank(l).1
+        let idle = |l: &Connection<Client>| {
+            let settled = l.handler.open_requests.is_empty() && l.io.unsent_bytes() == 0;
+            settled && now >= l.handler.last_activity.max(l.handler.last_received) + rank(l).1
         };
-        let first = |l: &Link<Client>| (rank(l).0, l.peer.last_activity.max(l.peer.last_received));
+        let first =
+            |l: &Connection<Client>| (rank(l).0, l.handler.last_activity.max(l.handler.last_received));
         let idle = self.links.iter().filter(|(_, l)| idle(l));
         let mut oldest: Vec<_> = idle.map(|(slot, l)| (first(l), slot)).collect();
         oldest.sort_unstable();
         // A request may have arrived and not been read yet, in this turn or while the process was stalled.
-        let unread = |slot: usize| self.links.get(slot).is_some_and(|l| l.io.pending());
+        let unread = |slot: usize| self.links.get(slot).is_some_and(|l| l.io.has_unread_input());
         let Some(slot) = oldest.into_iter().map(|(_, slot)| slot).find(|slot| !unread(*slot)) else {
             return false;
         };
@@ -422,23 +428,23 @@
     fn handle_call(&mut self, now: u64, slot: usize, call: Call) -> Result<(), Malformed> {
         let Some(link) = self.links.get_mut(slot) else { return Ok(()) };
         // The message crossed the end of the connection; its client resends it elsewhere.
-        if link.peer.finished_at.is_some() {
+        if link.handler.finished_at.is_some() {
             count(&self.counters.requests_crossed);
             return Ok(());
         }
         // Requests do not keep a client alive that reads no answers.
-        if !link.peer.blocked {
-            link.peer.last_activity = now;
+        if !link.handler.blocked {
+            link.handler.last_activity = now;
         }
-        link.peer.partial_since = None;
-        link.peer.messages_received += 1;
+        link.handler.partial_since = None;
+        link.handler.messages_received += 1;
         match call {
             Call::Serve { seq, fields, body } => {
                 // Two answers under one sequence number could not be told apart.
-                if link.peer.open_requests.contains(&seq) {
+                if link.handler.open_requests.contains(&seq) {
                     return Err(Malformed("a sequence number that is still open"));
                 }
-                if !link.peer.accept_seq(seq) {
+                if !link.handler.accept_seq(seq) {
                     let text = "sequence numbers start at 1 and go up";
                     self.reply_protocol_error(
                         slot,
@@ -446,7 +452,7 @@
                     );
                     return Ok(());
                 }
-                if link.peer.open_requests.len() >= MAX_OPEN_REQUESTS {
+                if link.handler.open_requests.len() >= MAX_OPEN_REQUESTS {
                     let text = "too many requests open on this connection";
                     self.reply_protocol_error(
                         slot,
@@ -459,21 +465,21 @@
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
                 }
-                if link.peer.blocked {
+                if link.handler.blocked {
                     count(&self.counters.requests_unkept);
                     self.queue(slot, &wire::refused(seq, Some(0)));
                     return Ok(());
                 }
-                match Sketch::read(&fields) {
+                match ParsedRequest::read(&fields) {
                     // The request waited here or in the kernel, and its client has closed in the meantime.
-                    Ok(_) if link.io.ended => {
+                    Ok(_) if link.io.read_closed => {
                         count(&self.counters.requests_deserted);
                         self.queue(slot, &wire::refused(seq, Some(0)));
                     }
                     Ok(sketch) => {
-                        link.peer.open_requests.insert(seq);
+                        link.handler.open_requests.insert(seq);
                         let ticket = self.ticket(slot, seq);
-                        self.intake.push(Intake::Serve { ticket, sketch, body, age_us: 0, again: false });
+                        self.intake.push(Intake::Submit { ticket, sketch, body, age_us: 0, again: false });
                     }
                     Err(invalid) => {
                         let text = invalid.to_string();
@@ -485,7 +491,7 @@
                 }
             }
             Call::Forget { seq } => {
-                if link.peer.open_requests.remove(&seq) {
+                if link.handler.open_requests.remove(&seq) {
                     let ticket = self.ticket(slot, seq);
                     self.cancel(ticket);
                 }
@@ -509,7 +515,7 @@
     fn reply_protocol_error(&mut self, slot: usize, message: &[u8]) {
         count(&self.counters.requests_invalid);
         if let Some(link) = self.links.get_mut(slot) {
-            link.peer.protocol_errors += 1;
+            link.handler.protocol_errors += 1;
             self.queue(slot, message);
         }
     }
@@ -517,13 +523,13 @@
     /// Cancels a request. One that is still in the intake is removed from it: otherwise hundreds of requests that are
     /// cancelled right after they were sent would all go to executors first.
     fn cancel(&mut self, ticket: Ticket) {
-        let same = |i: &Intake| matches!(i, Intake::Serve { ticket: t, .. } if *t == ticket);
+        let same = |i: &Intake| matches!(i, Intake::Submit { ticket: t, .. } if *t == ticket);
         match self.intake.iter().rposition(same) {
             Some(place) => {
                 self.intake.remove(place);
                 count(&self.counters.requests_unread);
             }
-            None => self.intake.push(Intake::Forget(ticket)),
+            None => self.intake.push(Intake::Abandon(ticket)),
         }
     }
 
@@ -541,7 +547,7 @@
         if let Some(link) =
             self.links.get_mut((ticket.conn >> 32) as usize).filter(|_| here && counts_as_error)
         {
-            link.peer.protocol_errors += 1;
+            link.handler.protocol_errors += 1;
         }
         count(&self.counters.requests_invalid);
         self.reply(poll, now, ticket, |seq| {
@@ -550,23 +556,23 @@
     }
 
     /// Writes the final answer to a request.
-    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: &Final) {
+    pub fn answer(&mut self, poll: &Poll, now: u64, ticket: Ticket, answer: &FinalAnswer) {
         self.reply(poll, now, ticket, |seq| match answer {
-            Final::Served(body) => wire::answer("serve", seq, body, true),
-            Final::Refused(after) => wire::refused(seq, Some(after.div_ceil(1000))),
-            Final::Failed(why) => wire::failed(seq, why),
+            FinalAnswer::Served(body) => wire::answer("serve", seq, body, true),
+            FinalAnswer::Refused(after) => wire::refused(seq, Some(after.div_ceil(1000))),
+            FinalAnswer::Failed(why) => wire::failed(seq, why),
         });
     }
 
     fn reply(&mut self, poll: &Poll, now: u64, ticket: Ticket, message: impl FnOnce(i32) -> Vec<u8>) {
         let (slot, seq) = ((ticket.conn >> 32) as usize, ticket.seq as i32);
         let here = self.ticket(slot, seq) == ticket;
-        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.peer.open_requests.contains(&seq))
+        let Some(link) = self.links.get_mut(slot).filter(|l| here && l.handler.open_requests.contains(&seq))
         else {
             return count(&self.counters.answers_lost);
         };
-        link.peer.open_requests.remove(&seq);
-        link.peer.last_activity = now;
+        link.handler.open_requests.remove(&seq);
+        link.handler.last_activity = now;
         self.queue(slot, &message(seq));
         self.flush(poll, now, slot);
     }
@@ -581,7 +587,7 @@
         }
         if self.unsent > self.limits.unsent {
             // Clients that read no answers would exhaust the memory: the one with the most unsent bytes is closed.
-            let worst = self.links.iter().max_by_key(|(_, l)| l.io.unsent()).map(|(slot, _)| slot);
+            let worst = self.links.iter().max_by_key(|(_, l)| l.io.unsent_bytes()).map(|(slot, _)| slot);
             if let Some(worst) = worst {
                 self.close(worst);
             }
@@ -597,23 +603,24 @@
                 result = result.and(self.handle_call(now, slot, call).map_err(|m| Closed::Malformed(m.0)));
             }
             let Some(link) = self.links.get_mut(slot) else { return };
-            let before = link.io.unsent();
-            let was = std::mem::replace(&mut link.peer.blocked, before > READ_PAUSE_UNSENT_BYTES);
+            let before = link.io.unsent_bytes();
+            let was = std::mem::replace(&mut link.handler.blocked, before > READ_PAUSE_UNSENT_BYTES);
             result = result.and_then(|()| link.flush(poll));
-            let left = link.io.unsent();
+            let left = link.io.unsent_bytes();
             self.unsent = self.unsent + left - before;
-            let freed = (was || link.peer.blocked) && left <= READ_PAUSE_UNSENT_BYTES;
+            let freed = (was || link.handler.blocked) && left <= READ_PAUSE_UNSENT_BYTES;
             if result.is_err() || !freed {
-                if link.peer.blocked && !was {
+                if link.handler.blocked && !was {
                     count(&self.counters.clients_blocked);
                 }
                 break link;
             }
             // The client reads again: the messages that waited in the input ring are handled now.
-            link.peer.blocked = false;
-            result = link.resume(&mut calls);
+            link.handler.blocked = false;
+            result = link.parse_buffered(&mut calls);
         };
-        let over = link.io.ended && link.peer.open_requests.is_empty() && link.io.unsent() == 0;
+        let over =
+            link.io.read_closed && link.handler.open_requests.is_empty() && link.io.unsent_bytes() == 0;
         match result {
             Err(Closed::Malformed(_)) => self.expel(poll, now, slot),
             Err(_) => self.close(slot),
@@ -627,8 +634,8 @@
         let ticket = self.ticket(slot, 0);
         let Some(link) = self.links.try_remove(slot) else { return };
         count(&self.counters.clients_closed);
-        self.unsent -= link.io.unsent();
-        for seq in link.peer.open_requests {
+        self.unsent -= link.io.unsent_bytes();
+        for seq in link.handler.open_requests {
             self.cancel(Ticket { seq: i64::from(seq), ..ticket });
         }
     }
@@ -638,7 +645,7 @@
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
             if let Some(listener) = &mut self.listener {
-                listener.listen(poll, true);
+                listener.set_accepting(poll, true);
             }
         }
         if now < self.next_sweep {
@@ -646,20 +653,21 @@
         }
         self.next_sweep = now + SWEEP_INTERVAL_US;
         if let Some(last) = self.refuse_from {
-            self.leave(now, last);
+            self.close_idle_connections(now, last);
         }
         let mut over = Vec::new();
         for (slot, link) in &self.links {
             // A client that keeps sending after its connection ended gets no longer than `LINGER_US`.
-            let ended = link.peer.expelled_at.filter(|_| link.io.unsent() == 0).or(link.peer.finished_at);
+            let ended =
+                link.handler.expelled_at.filter(|_| link.io.unsent_bytes() == 0).or(link.handler.finished_at);
             if ended.is_some_and(|at| now >= at + LINGER_US) {
                 over.push(slot);
                 continue;
             }
-            let silent = link.peer.partial_since.is_some_and(|since| now >= since + MESSAGE_TIMEOUT_US);
-            let stalled = link.io.unsent() > 0 && now >= link.peer.last_activity + STALL_TIMEOUT_US;
-            let idle = silent || now >= link.peer.last_activity + IDLE_TIMEOUT_US;
-            if stalled || (link.peer.open_requests.is_empty() && link.io.unsent() == 0 && idle) {
+            let silent = link.handler.partial_since.is_some_and(|since| now >= since + MESSAGE_TIMEOUT_US);
+            let stalled = link.io.unsent_bytes() > 0 && now >= link.handler.last_activity + STALL_TIMEOUT_US;
+            let idle = silent || now >= link.handler.last_activity + IDLE_TIMEOUT_US;
+            if stalled || (link.handler.open_requests.is_empty() && link.io.unsent_bytes() == 0 && idle) {
                 over.push(slot);
             }
         }
--- a/src/front/thrift/front/tests.rs
+++ b/src/front/thrift/front/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of the front alone on real connections, with orders of events that only the kernel decides in production.
 
 use super::{Front, Limits};
-use crate::core::{Final, Ticket};
+use crate::core::{FinalAnswer, Ticket};
 use crate::counters::Counters;
 use crate::front::Intake;
-use crate::net::{Listener, Poll, Ready};
+use crate::net::{Listener, Poll, PollEvent};
 use ochreward_rig::stand::{Client, fields};
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
     }
 
     /// Waits for at least one event and returns the events that are ready.
-    fn wait_ready(&mut self) -> Vec<Ready> {
+    fn wait_ready(&mut self) -> Vec<PollEvent> {
         let mut events = Vec::new();
         while events.is_empty() {
             self.poll.wait(SECOND, &mut events).expect("events");
@@ -56,7 +56,7 @@
     client.serve(seq, &fields("flow-read", &format!("{seq:016x}"), 20_000), b"");
     fixture.run_until(0, |b| !b.front.intake.is_empty());
     match fixture.front.intake.pop() {
-        Some(Intake::Serve { ticket, .. }) => ticket,
+        Some(Intake::Submit { ticket, .. }) => ticket,
         _ => panic!("a request"),
     }
 }
@@ -68,10 +68,10 @@
     let open: Vec<Ticket> = (1..=9).map(|seq| submit(&mut fixture, &mut client, seq)).collect();
     let mut seq = 9;
     // The kernel buffers answers for a client that reads nothing until its buffers are full.
-    while !fixture.front.links.iter().all(|(_, link)| link.peer.blocked) {
+    while !fixture.front.links.iter().all(|(_, link)| link.handler.blocked) {
         seq += 1;
         let ticket = submit(&mut fixture, &mut client, seq);
-        fixture.front.answer(&fixture.poll, 0, ticket, &Final::Served(vec![7; 600_000]));
+        fixture.front.answer(&fixture.poll, 0, ticket, &FinalAnswer::Served(vec![7; 600_000]));
         let mut events = Vec::new();
         while fixture.poll.wait(SECOND / 5, &mut events).is_ok() && !events.is_empty() {
             events.drain(..).for_each(|ready| fixture.front.ready(&mut fixture.poll, 0, ready));
@@ -80,7 +80,7 @@
     for (second, ticket) in (1..).zip(&open) {
         client.forget(seq + second as i32, ticket.seq as i32);
         fixture.run_until(second * SECOND, |b| !b.front.intake.is_empty());
-        assert!(matches!(fixture.front.intake.pop(), Some(Intake::Forget(t)) if t == *ticket));
+        assert!(matches!(fixture.front.intake.pop(), Some(Intake::Abandon(t)) if t == *ticket));
         fixture.front.advance(&mut fixture.poll, second * SECOND);
         assert_eq!(fixture.front.connections(), 1, "its stall time-out is not over");
     }
@@ -111,5 +111,5 @@
     }
     assert_eq!((fixture.counters.clients_evicted.get(), fixture.front.connections()), (1, 2));
     fixture.run_until(SECOND, |b| !b.front.intake.is_empty());
-    assert!(matches!(fixture.front.intake[..], [Intake::Serve { .. }]));
+    assert!(matches!(fixture.front.intake[..], [Intake::Submit { .. }]));
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! A minimal HTTP/1.1 server side for health checks, operators and the command line: one request per connection, whose head
 //! is parsed by httparse. The agent and the operators' door share it. Head and body sizes are bounded.
 
-use crate::net::{Callbacks, Malformed, Ring};
+use crate::net::{Malformed, ProtocolHandler, Ring};
 
 /// The longest accepted head of a request.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
@@ -38,10 +38,10 @@
     }
 }
 
-impl Callbacks for Http {
+impl ProtocolHandler for Http {
     type Out = Vec<Result<Asked, Bad>>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Self::Out) -> Result<(), Malformed> {
         if !self.asked
             && let Some(request) = parse_request(input.contiguous())
         {
