--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,14 +6,14 @@
 //! [`node`] is its event loop.
 //!
 //! ```
-//! use ochreward::{Action, Class, Effect, Event, KeyScope, Listing, Router, Settings, Standing};
+//! use ochreward::{Action, Class, Effect, Event, KeyScope, WorkerEntry, Router, Settings, WorkerStatus};
 //!
 //! let settings = Settings {
-//!     balancers: 1,
-//!     me: 0,
-//!     my_zone: 0,
+//!     dispatcher_count: 1,
+//!     own_index: 0,
+//!     own_zone: 0,
 //!     classes: vec![Class {
-//!         aim: 500_000,
+//!         latency_target: 500_000,
 //!         deadline: 2_000_000,
 //!         effect: Effect::Idempotent,
 //!         key_scope: KeyScope::All,
@@ -28,12 +28,12 @@
 //!     may_duplicate: true,
 //!     may_cancel: true,
 //!     max_retry_after: 1_000_000,
-//!     tick: 1_000,
+//!     min_batch_interval: 1_000,
 //!     cold_share: 0.25,
 //!     warm_after: 10_000_000,
 //!     fall_multiple: 4.0,
 //!     fall_window: 2_000_000,
-//!     orders: false,
+//!     load_orders_allowed: false,
 //!     loads_on_miss: true,
 //!     keep_alive: 10_000_000,
 //!     load_window: 0,
@@ -46,12 +46,12 @@
 //! };
 //! let mut router = Router::new(settings, 42, 0);
 //! let mut actions = Vec::new();
-//! let entry = Listing {
+//! let entry = WorkerEntry {
 //!     worker: "w1".into(),
 //!     zone: 0,
 //!     kind: 0,
 //!     cell: 0,
-//!     standing: Standing::Healthy,
+//!     standing: WorkerStatus::Healthy,
 //!     ready_at: None,
 //! };
 //! router.handle(0, &Event::Workers { complete: true, entries: vec![entry] }, &mut actions);
@@ -60,10 +60,10 @@
 //!     class: 0,
 //!     tenant: 0,
 //!     function: "resize".into(),
-//!     lanes: 2.0,
+//!     replica_concurrency: 2.0,
 //!     load_time: None,
-//!     work: None,
-//!     again: false,
+//!     work_hint: None,
+//!     is_retry: false,
 //!     time_left: 2_000_000,
 //! };
 //! router.handle(1_000, &request, &mut actions);
@@ -72,6 +72,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admin;
 pub mod agent;
 pub mod api;
 pub mod bans;
@@ -80,14 +81,13 @@
 pub mod control;
 pub mod core;
 pub mod counters;
-pub mod door;
+pub mod discovery;
 pub mod executor;
 pub mod front;
 pub mod handover;
 pub mod http;
 pub mod keys;
 pub mod logs;
-pub mod names;
 pub mod node;
 pub mod overload;
 pub mod peers;
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,17 +5,17 @@
 //! arrived, passes it to the core ([`Engine`]), carries out the core's commands, and runs the timers that are due. The
 //! numbers of connections and bytes are bounded by `limits`; time is read once a turn, in microseconds.
 
+use crate::admin::AdminEndpoint;
 use crate::api::WorkerId;
 use crate::bans::Bans;
 use crate::config::{Config, Settings};
 use crate::core::Engine;
-use crate::counters::{Counters, most, say};
-use crate::door::Door;
+use crate::counters::{Counters, print_line, record_max};
+use crate::discovery::{self, Executor, Resolver};
 use crate::executor::Pool;
 use crate::front::{mqtt, stations, thrift};
 use crate::handover::Handover;
-use crate::names::{self, Executor, Resolver};
-use crate::net::{Clock, Listener, Poll, Ready, Signals, Wish};
+use crate::net::{Clock, Listener, Poll, PollEvent, SignalRequest, Signals};
 use crate::overload::{self as load, Overload};
 use crate::peers::{self, Peers};
 use crate::versions::ConfigStream;
@@ -26,15 +26,15 @@
 use std::rc::Rc;
 use tracing::info;
 
-mod beside;
 mod dispatch;
-mod jobs;
+mod handover;
 mod limits;
 mod listing;
 mod operators;
 mod overload;
 mod peering;
 mod reload;
+mod request_specs;
 mod shutdown;
 mod versions;
 mod zones;
@@ -91,7 +91,7 @@
     peers: Option<Peers>,
     overload: Option<Overload>,
     zones: Option<Zones>,
-    door: Option<Door>,
+    admin: Option<AdminEndpoint>,
     bans: Bans,
     /// When the bans are next reread, while another process runs.
     next_bans_read: u64,
@@ -140,7 +140,7 @@
         let signals = Signals::new(&mut poll, SIGNALS)?;
         let counters = Rc::new(Counters::default());
         let listener = match config.inherited {
-            Some(number) => Listener::inherit(&mut poll, THRIFT, number)?,
+            Some(number) => Listener::from_inherited(&mut poll, THRIFT, number)?,
             None => Listener::bind(&mut poll, THRIFT, config.listen)?,
         };
         let handover = Handover::start(config.folder.clone(), now);
@@ -165,21 +165,21 @@
             station_options.as_ref().map_or(0, |o| o.connections),
         );
         let mut engine = Engine::new(&settings.module, config.seed, now, bounds, counters.clone());
-        engine.bound_functions(limits::function_bytes(
+        engine.set_max_function_bytes(limits::function_bytes(
             &config,
             function_bytes,
             handover.other_process_runs(),
         ));
         let pool = Pool::new(EXECUTORS, pool_limits, counters.clone());
         let service = crate::config::SERVICE;
-        let (serial, executors) = std::mem::take(&mut config.known);
-        let start = names::Start { serial, executors, seed: config.seed, now };
+        let (serial, executors) = std::mem::take(&mut config.initial_list);
+        let start = discovery::InitialList { serial, executors, seed: config.seed, now };
         let resolver = Resolver::new(&mut poll, NAMES, config.names, service, start, counters.clone())?;
         let thrift = thrift::Front::new(THRIFT, listener, front_limits, counters.clone());
-        let door = |ops| Door::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
-        let door = config.ops.map(door).transpose()?;
+        let door = |ops| AdminEndpoint::new(&mut poll, DOOR, ops, operator_connections, counters.clone());
+        let door = config.admin_address.map(door).transpose()?;
         let bans = Bans::open(config.folder.as_ref().map(|f| f.join("bans")));
-        let executors = resolver.in_use().to_vec();
+        let executors = resolver.executors().to_vec();
         let mut node = Node {
             poll,
             clock,
@@ -194,14 +194,15 @@
             station_options,
             stations: None,
             version_brokers: started.brokers,
-            unconfigured: config.bare && started.stream.as_ref().is_some_and(|s| s.version().is_none()),
+            unconfigured: config.has_no_settings
+                && started.stream.as_ref().is_some_and(|s| s.version().is_none()),
             stream: started.stream,
             version_bans: started.bans,
             peer_options,
             peers: None,
             overload: overload_options.map(|o| Overload::new(o, now << 12 | config.seed & 0xfff, now)),
             zones: None,
-            door,
+            admin: door,
             bans,
             next_bans_read: now,
             list_known: !handover.other_process_runs() && !executors.is_empty(),
@@ -222,7 +223,7 @@
         if let Some(options) = zone_options {
             let home = node.peer_options.as_ref().map_or(String::new(), |p| p.zone.clone());
             node.zones = Some(Zones::new(&options, &node.settings.module, &home, now));
-            node.engine.trace();
+            node.engine.enable_tracing();
         }
         node.reserve_descriptor();
         node.publish_list();
@@ -240,27 +241,27 @@
     }
 
     /// Returns the address that stations connect to.
-    pub fn stations(&self) -> Option<std::net::SocketAddr> {
+    pub fn station_address(&self) -> Option<std::net::SocketAddr> {
         self.stations.as_ref().and_then(stations::Front::address)
     }
 
     /// Returns the address of the operators' HTTP interface.
-    pub fn door(&self) -> Option<std::net::SocketAddr> {
-        self.door.as_ref().and_then(Door::address)
+    pub fn admin_address(&self) -> Option<std::net::SocketAddr> {
+        self.admin.as_ref().and_then(AdminEndpoint::address)
     }
 
     /// Returns the address at which other dispatchers reach this one.
-    pub fn peers(&self) -> Option<std::net::SocketAddr> {
+    pub fn peer_address(&self) -> Option<std::net::SocketAddr> {
         self.peers.as_ref().map(Peers::address)
     }
 
     /// Serves until SIGTERM has been received and the shutdown that it starts is finished.
     pub fn run(&mut self) -> io::Result<()> {
-        let mut events: Vec<Ready> = Vec::new();
+        let mut events: Vec<PollEvent> = Vec::new();
         loop {
             let (last_read, wait_began) = (self.now, self.clock.read());
             let wait = self.next_deadline().saturating_sub(wait_began);
-            most(&self.counters.loop_lag_most_us, wait_began - self.now);
+            record_max(&self.counters.loop_lag_most_us, wait_began - self.now);
             self.poll.wait(wait, &mut events)?;
             self.now = self.clock.read();
             // After a stall a client may have disconnected, and a timer that is now due would still send its request on:
@@ -275,7 +276,7 @@
             // Answers of the name service come first: a connection that becomes writable in the same turn writes what is queued
             // on it, and must not write to a worker that one of these answers marks as draining.
             events.sort_by_key(|ready| ready.token.owner != NAMES);
-            self.pool.list_was_read();
+            self.pool.mark_list_read();
             // After a stall nothing is written until all input and all timers have been handled: an attempt queued for its
             // connection may by now be past its key's repeat window or its client's deadline.
             if stalled {
@@ -291,7 +292,7 @@
             self.pool.advance(self.now);
             self.thrift.advance(&mut self.poll, self.now);
             self.resolver.advance(&mut self.poll, self.now);
-            if let Some(door) = &mut self.door {
+            if let Some(door) = &mut self.admin {
                 door.advance(&mut self.poll, self.now);
             }
             self.advance_handover();
@@ -317,19 +318,20 @@
     fn next_deadline(&self) -> u64 {
         let shutdown = self.shutdown_deadline();
         let bans = Some(self.next_bans_read).filter(|_| self.handover.other_process_runs());
-        let door = self.door.as_ref().map(Door::due);
-        let optional = [self.engine.due(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
+        let door = self.admin.as_ref().map(AdminEndpoint::due);
+        let optional =
+            [self.engine.next_timer_at(), self.pool.due(), shutdown, bans, door, Some(self.handover.due())];
         let deadlines = optional.into_iter().flatten().chain([
             self.mqtt.due(),
             self.stream.as_ref().map_or(u64::MAX, ConfigStream::due),
             self.stations.as_ref().map_or(u64::MAX, stations::Front::due),
             self.peers_deadline().min(self.overload_deadline()).min(self.zones_deadline()),
         ]);
-        deadlines.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.due())
+        deadlines.min().unwrap_or(u64::MAX).min(self.thrift.due()).min(self.resolver.next_query_at())
     }
 
     /// Returns the counters as one line.
-    pub fn counters(&self) -> String {
+    pub fn counters_line(&self) -> String {
         self.counters.log_events_dropped.set(crate::logs::dropped());
         if let Some(stream) = &self.stream {
             stream.update_staleness(self.clock.read());
@@ -338,16 +340,16 @@
     }
 
     /// Passes a ready descriptor to the part that owns it.
-    fn handle_ready(&mut self, ready: Ready) {
+    fn handle_ready(&mut self, ready: PollEvent) {
         match ready.token.owner {
             NAMES => {
-                if self.resolver.ready(&mut self.poll, self.now, ready) {
+                if self.resolver.handle_event(&mut self.poll, self.now, ready) {
                     self.list_changed();
                 }
                 self.list_known |= self.counters.dns_answers.get() > 0;
                 self.names_heard_at = self.now;
             }
-            EXECUTORS => self.pool.ready(&mut self.poll, self.now, ready),
+            EXECUTORS => self.pool.handle_event(&mut self.poll, self.now, ready),
             THRIFT => self.thrift.ready(&mut self.poll, self.now, ready),
             DOOR => self.handle_operators_ready(ready),
             STREAM | VERSION_THREAD => self.handle_stream_ready(ready),
@@ -361,17 +363,17 @@
                 let unix_ms = self.clock.unix_ms(self.now);
                 self.mqtt.ready(&mut self.poll, self.now, unix_ms, ready);
             }
-            _ => self.signals.ready(ready.token),
+            _ => self.signals.drain_wakeup(ready.token),
         }
     }
 
     /// Carries out the signals that were received.
     fn handle_signals(&mut self) {
-        for request in self.signals.asked() {
+        for request in self.signals.take_requests() {
             match request {
-                Wish::Stop => self.start_shutdown(),
-                Wish::Print => say(self.counters()),
-                Wish::Reload => self.reload(),
+                SignalRequest::Stop => self.start_shutdown(),
+                SignalRequest::PrintCounters => print_line(self.counters_line()),
+                SignalRequest::Reload => self.reload(),
             }
         }
     }
@@ -384,8 +386,11 @@
         self.shutdown_started.get_or_insert(self.now);
         if self.handover.has_successor() {
             // The successor accepts new connections from here on.
-            self.thrift.shut(&self.poll);
-            self.thrift.leave(self.now, self.now + self.longest_deadline().saturating_sub(LAST_REQUESTS_US));
+            self.thrift.close_listener(&self.poll);
+            self.thrift.close_idle_connections(
+                self.now,
+                self.now + self.longest_deadline().saturating_sub(LAST_REQUESTS_US),
+            );
         }
     }
 
@@ -399,7 +404,7 @@
     fn connect_brokers(&mut self) {
         if !self.handover.other_process_runs() {
             let brokers = self.version_brokers.as_ref().unwrap_or(&self.file_brokers).clone();
-            self.mqtt.want(&self.poll, brokers);
+            self.mqtt.set_brokers(&self.poll, brokers);
         }
     }
 
--- a/src/node/dispatch.rs
+++ b/src/node/dispatch.rs
@@ -2,10 +2,10 @@
 //!
 //! Given the fronts' intake, the pool's reports and the core's commands; bounded by the fronts' and the pool's own limits.
 
-use super::jobs::build_job;
+use super::request_specs::build_job;
 use super::{Node, STATIONS};
 use crate::core::{Command, Ticket};
-use crate::executor::Report;
+use crate::executor::Completion;
 use crate::front::{Intake, Invalid};
 
 impl Node {
@@ -17,36 +17,36 @@
             if let Some(front) = &mut self.stations {
                 intake.append(&mut front.intake);
             }
-            let reports = std::mem::take(&mut self.pool.reports);
+            let reports = std::mem::take(&mut self.pool.completions);
             if intake.is_empty() && reports.is_empty() && self.engine.commands.is_empty() {
                 return;
             }
             // Disconnects first, then ended attempts, then new requests, so that a decision on each takes account of the
             // earlier ones: no resend for a client that has gone, and no new request planned on an outdated executor state.
             intake.retain(|item| match item {
-                Intake::Forget(ticket) => {
-                    self.engine.forget(self.now, *ticket);
+                Intake::Abandon(ticket) => {
+                    self.engine.abandon(self.now, *ticket);
                     false
                 }
-                Intake::HungUp(ticket) => {
-                    self.engine.hung_up(*ticket);
+                Intake::ClientClosed(ticket) => {
+                    self.engine.client_closed(*ticket);
                     false
                 }
-                Intake::Serve { .. } => true,
+                Intake::Submit { .. } => true,
             });
             for report in reports {
                 match report {
-                    Report::Attempt(id, ended) => self.engine.ended(self.now, id, ended),
-                    Report::Order(order, outcome, copies) => {
-                        self.engine.loaded(self.now, order, outcome, copies)
+                    Completion::Attempt(id, ended) => self.engine.attempt_ended(self.now, id, ended),
+                    Completion::Order(order, outcome, replicas) => {
+                        self.engine.load_order_ended(self.now, order, outcome, replicas)
                     }
                 }
             }
             for item in intake {
-                let Intake::Serve { ticket, sketch, body, age_us, again } = item else { continue };
-                let class_removed = self.settings.past.contains(&sketch.class);
+                let Intake::Submit { ticket, sketch, body, age_us, again } = item else { continue };
+                let class_removed = self.settings.removed_classes.contains(&sketch.class);
                 match build_job(&self.settings, sketch, body, age_us.max(self.stalled_us), again) {
-                    Ok(job) => self.engine.take(self.now, ticket, job),
+                    Ok(job) => self.engine.submit(self.now, ticket, job),
                     Err(invalid) => self.refuse_invalid(ticket, &invalid, class_removed),
                 }
             }
@@ -59,13 +59,13 @@
     /// Ends a turn in which writes were held: reads the name service's answers once more, then writes. However long turns
     /// take, no write is held for longer than one of them.
     pub(super) fn release_held_writes(&mut self) {
-        if !self.pool.holds_writes() {
+        if !self.pool.has_held_writes() {
             return;
         }
-        if self.resolver.read(&mut self.poll, self.now) {
+        if self.resolver.read_pending(&mut self.poll, self.now) {
             self.list_changed();
         }
-        self.pool.list_was_read();
+        self.pool.mark_list_read();
         self.pool.release_writes(&self.poll, self.now);
         self.deliver_messages();
     }
@@ -77,13 +77,13 @@
             Command::Send { attempt, worker, wait, job } => {
                 self.pool.send(poll, now, attempt, &worker, wait, &job)
             }
-            Command::Halt { attempt } => self.pool.halt(poll, now, attempt),
-            Command::Recall { attempt } => self.pool.recall(attempt),
-            Command::Load { order, worker, function, copies } => {
-                self.pool.load(poll, now, order, &worker, &function, copies)
+            Command::Cancel { attempt } => self.pool.cancel(poll, now, attempt),
+            Command::CancelIfUnsent { attempt } => self.pool.cancel_if_unsent(attempt),
+            Command::OrderLoad { order, worker, function, replicas } => {
+                self.pool.load(poll, now, order, &worker, &function, replicas)
             }
             Command::Answer { ticket, answer } => {
-                if self.mqtt.has(ticket.front) {
+                if self.mqtt.owns(ticket.front) {
                     self.mqtt.answer(poll, now, ticket, answer);
                 } else if let Some(front) = self.stations.as_mut().filter(|_| ticket.front == STATIONS) {
                     front.answer(poll, now, ticket, answer);
@@ -97,7 +97,7 @@
     /// Refuses an invalid request at the front that it came from. `class_removed`: its class was removed from the settings,
     /// which its client may not have learned yet, so this does not count as an offence.
     fn refuse_invalid(&mut self, ticket: Ticket, invalid: &Invalid, class_removed: bool) {
-        if self.mqtt.has(ticket.front) {
+        if self.mqtt.owns(ticket.front) {
             self.mqtt.invalid(&self.poll, self.now, ticket, invalid);
         } else if let Some(front) = self.stations.as_mut().filter(|_| ticket.front == STATIONS) {
             front.invalid(&mut self.poll, self.now, ticket, invalid);
--- a/src/node/limits.rs
+++ b/src/node/limits.rs
@@ -3,10 +3,10 @@
 //! Given the configuration, the settings and whether another process of this dispatcher runs; two processes get half of
 //! each resource.
 
-use super::jobs::NETWORK_MARGIN_US;
+use super::request_specs::NETWORK_MARGIN_US;
 use crate::config::{Config, Settings};
-use crate::control::USUAL_FUNCTION_BYTES;
-use crate::core::Bounds;
+use crate::control::DEFAULT_FUNCTION_BYTES;
+use crate::core::EngineLimits;
 use crate::executor;
 use crate::front::thrift;
 
@@ -25,7 +25,7 @@
 /// limit, up to the module's default. Bodies, half-read answers and unsent answers use the rest. Two processes get half each.
 pub(super) fn function_bytes(config: &Config, configured: Option<usize>, two_processes: bool) -> usize {
     let memory = config.parts.resources.memory;
-    configured.unwrap_or((memory / 8 * 3).min(USUAL_FUNCTION_BYTES)) / if two_processes { 2 } else { 1 }
+    configured.unwrap_or((memory / 8 * 3).min(DEFAULT_FUNCTION_BYTES)) / if two_processes { 2 } else { 1 }
 }
 
 /// Returns the limits of the core, the executor pool and the Thrift front, and the number of connections of the operators'
@@ -35,7 +35,7 @@
     settings: &Settings,
     two_processes: bool,
     station_connections: usize,
-) -> (Bounds, executor::Limits, thrift::Limits, usize) {
+) -> (EngineLimits, executor::PoolSettings, thrift::Limits, usize) {
     let processes = if two_processes { 2 } else { 1 };
     let descriptors = descriptors(config);
     let (memory, sockets) = (config.parts.resources.memory / processes, descriptors / processes);
@@ -43,10 +43,10 @@
     // top. Without room beyond the third, new connections wait in the accept queue while their clients' time runs. So
     // executors get a quarter, many times what they need, and clients get the rest.
     let executors = (sockets / 4).max(8);
-    let operators = if config.ops.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
+    let operators = if config.admin_address.is_some() { (descriptors / 16).clamp(8, 32) } else { 0 };
     let clients =
         sockets.saturating_sub(executors + RESERVED_DESCRIPTORS + operators + station_connections).max(8);
-    let bounds = Bounds {
+    let bounds = EngineLimits {
         attempts: settings.module.max_attempts,
         load_wait: settings.load_wait,
         held_bytes: memory / 8,
@@ -54,16 +54,16 @@
         retry_after: settings.module.max_retry_after,
         send_lag: settings.connect_timeout + NETWORK_MARGIN_US,
     };
-    let pool = executor::Limits {
-        connections: executors,
+    let pool = executor::PoolSettings {
+        max_connections: executors,
         // Answers that never end, on all connections at once, must not exhaust the memory.
-        unread: memory / 4,
-        streams: settings.streams_per_conn,
+        max_unread_bytes: memory / 4,
+        max_requests_per_connection: settings.streams_per_conn,
         connect_timeout: settings.connect_timeout,
         keepalive: settings.keepalive,
         classes: settings.classes.clone(),
-        tells_warm: settings.tells_warm,
-        tells_crowd: settings.tells_crowd,
+        reports_warm: settings.tells_warm,
+        reports_concurrency: settings.tells_crowd,
         report: settings.report.clone(),
     };
     (bounds, pool, thrift::Limits { connections: clients, unsent: memory / 4 }, operators)
--- a/src/node/listing.rs
+++ b/src/node/listing.rs
@@ -4,9 +4,9 @@
 //! pool, the core, overload control and the zones whenever one of them changes.
 
 use super::Node;
-use crate::api::{Listing, WorkerId};
+use crate::api::{WorkerEntry, WorkerId};
 use crate::counters::count;
-use crate::names::{Executor, State};
+use crate::discovery::{Executor, ExecutorState};
 use std::collections::BTreeSet;
 
 /// The most executor ids remembered as having been listed.
@@ -26,7 +26,7 @@
     /// Takes the resolver's list into use.
     pub(super) fn list_changed(&mut self) {
         count(&self.counters.lists_applied);
-        self.executors = self.resolver.in_use().to_vec();
+        self.executors = self.resolver.executors().to_vec();
         self.publish_list();
     }
 
@@ -35,13 +35,13 @@
         let forget_before =
             self.now.saturating_sub(self.settings.module.warm_after + LIFTED_BAN_RETENTION_US);
         // The entry of a listed executor is kept: without it, the start time would change and the executor would seem to
-        // have restarted and lost its copies.
+        // have restarted and lost its replicas.
         let in_list = |id: &WorkerId| self.executors.iter().any(|e| e.id == *id);
         self.ban_lifted_at.retain(|id, at| *at > forget_before || in_list(id));
         let (bans, version_bans) = (&self.bans, &self.version_bans);
         let with_bans = |e: &Executor| Executor {
             state: if bans.contains(&e.id) || version_bans.contains(&e.id) {
-                State::Draining
+                ExecutorState::Draining
             } else {
                 e.state
             },
@@ -51,20 +51,20 @@
         if self.ever_listed.len() < MAX_LISTED_IDS {
             self.ever_listed.extend(executors.iter().map(|e| e.id.clone()));
         }
-        self.pool.list(&executors);
+        self.pool.set_executors(&executors);
         self.record_first_listed();
-        let listing = |e: &Executor| -> Listing {
+        let listing = |e: &Executor| -> WorkerEntry {
             let ready_at = self.started_at(e).max(self.ban_lifted_at.get(&e.id).copied());
-            self.settings.vocabulary.listing(e, ready_at)
+            self.settings.vocabulary.to_entry(e, ready_at)
         };
         let entries = executors.iter().map(listing).collect();
         if let Some(overload) = &mut self.overload {
-            overload.listed(executors.iter().map(|e| e.id.clone()).collect());
+            overload.set_workers(executors.iter().map(|e| e.id.clone()).collect());
         }
         if let Some(zones) = &mut self.zones {
-            zones.listed(&executors, &self.settings.vocabulary.zones);
+            zones.set_executors(&executors, &self.settings.vocabulary.zones);
         }
-        self.engine.list(self.now, entries);
+        self.engine.set_workers(self.now, entries);
     }
 
     /// Records when workers that announce their start time were first listed.
--- a/src/node/overload.rs
+++ b/src/node/overload.rs
@@ -5,22 +5,25 @@
 
 use super::Node;
 use crate::control::Budget;
-use crate::overload::{self, Overload, View};
+use crate::overload::{self, GroupView, Overload};
 use crate::zones;
 
 impl Node {
     /// Delivers the messages of other dispatchers to the part that their channel belongs to.
     pub(super) fn deliver_peer_messages(&mut self) {
-        let notes = self.peers.as_mut().map(|p| std::mem::take(&mut p.notes));
+        let notes = self.peers.as_mut().map(|p| std::mem::take(&mut p.received_notes));
         for (channel, from, bytes) in notes.into_iter().flatten() {
             match channel {
                 overload::CHANNEL => {
-                    let answer = self.overload.as_mut().and_then(|o| o.heard(self.now, &from, &bytes));
+                    let answer =
+                        self.overload.as_mut().and_then(|o| o.handle_message(self.now, &from, &bytes));
                     if let (Some(answer), Some(peers)) = (answer, &mut self.peers) {
-                        peers.tell_one(self.now, &from, overload::CHANNEL, answer);
+                        peers.send_note(self.now, &from, overload::CHANNEL, answer);
                     }
                 }
-                zones::CHANNEL => self.zones.iter_mut().for_each(|z| z.heard(self.now, &from, &bytes)),
+                zones::CHANNEL => {
+                    self.zones.iter_mut().for_each(|z| z.handle_report(self.now, &from, &bytes))
+                }
                 _ => {}
             }
         }
@@ -31,12 +34,12 @@
         if self.overload.is_none() && self.zones.is_none() {
             return;
         }
-        let previous = self.engine.budget(Budget::default());
+        let previous = self.engine.replace_budget(Budget::default());
         let mut next = self.overload.as_mut().map(|o| o.budget(self.now, &previous)).unwrap_or_default();
         if let Some(zones) = &mut self.zones {
-            next.zones = zones.gates(self.now, &previous.zones);
+            next.zone_gates = zones.request_gates(self.now, &previous.zone_gates);
         }
-        self.engine.budget(next);
+        self.engine.replace_budget(next);
         self.export_overload_counters();
     }
 
@@ -44,7 +47,7 @@
     pub(super) fn advance_overload(&mut self) {
         let Some(overload) = &mut self.overload else { return };
         for (worker, kind, took) in self.engine.answers.drain(..) {
-            overload.answered(self.now, &worker, kind, took);
+            overload.record_answer(self.now, &worker, kind, took);
         }
         if overload.due(self.now) <= self.now {
             // Two processes of one dispatcher don't split the dispatcher's part of a budget: the process that is the group's
@@ -52,18 +55,20 @@
             let balancers = if self.handover.other_process_runs() || self.peer_options.is_some() {
                 0
             } else {
-                self.settings.module.balancers
+                self.settings.module.dispatcher_count
             };
             let own = self.config.name.as_str().into();
             let view = match &self.peers {
-                Some(peers) => {
-                    View { own, parts: peers.division().map_or(0, |d| d.parts), others: peers.up() }
-                }
-                None => View { own, parts: balancers, others: Vec::new() },
+                Some(peers) => GroupView {
+                    own,
+                    parts: peers.division().map_or(0, |d| d.divisor),
+                    peers: peers.reachable_peers(),
+                },
+                None => GroupView { own, parts: balancers, peers: Vec::new() },
             };
             for (to, message) in overload.advance(self.now, &view) {
                 if let Some(peers) = &mut self.peers {
-                    peers.tell_one(self.now, &to, overload::CHANNEL, message);
+                    peers.send_note(self.now, &to, overload::CHANNEL, message);
                 }
             }
         }
@@ -75,9 +80,9 @@
         let (stats, counters) = (overload.stats(), &self.counters);
         counters.overload_level.set(u64::from(overload.level()));
         counters.overload_shed.set(stats.shed);
-        counters.resends_wanted.set(stats.wanted);
-        counters.resends_made.set(stats.resent);
-        let (open, ramping) = overload.circuits();
+        counters.resends_wanted.set(stats.resends_wanted);
+        counters.resends_made.set(stats.resends_made);
+        let (open, ramping) = overload.circuit_counts();
         counters.circuits_open.set(open as u64);
         counters.circuits_ramping.set(ramping as u64);
         counters.trials_made.set(stats.trials);
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -6,7 +6,7 @@
 use super::Node;
 use super::limits::derive_limits;
 use crate::config::{Config, Faults};
-use crate::counters::{count, say};
+use crate::counters::{count, print_line};
 use ochreward_stream::wire::Fault;
 use std::fs::File;
 use std::io;
@@ -61,7 +61,7 @@
         match outcome {
             Ok(()) => {
                 count(&self.counters.reloads);
-                say("ochreward: the new configuration is in use");
+                print_line("ochreward: the new configuration is in use");
             }
             Err(why) => {
                 count(&self.counters.reloads_refused);
@@ -73,14 +73,14 @@
 
     /// Takes a new configuration into use; requests, counters and everything learned are kept.
     pub(super) fn adopt_config(&mut self, mut config: Config) -> Result<(), ReloadError> {
-        config.replaces(&self.config)?;
+        config.check_replacement(&self.config)?;
         self.overlay_running_version(&mut config)?;
-        self.resolver.move_to(&mut self.poll, config.names).map_err(ReloadError::Names)?;
-        let (serial, executors) = std::mem::take(&mut config.known);
+        self.resolver.set_server(&mut self.poll, config.names).map_err(ReloadError::Names)?;
+        let (serial, executors) = std::mem::take(&mut config.initial_list);
         self.config = config;
         self.adopt_settings();
         self.update_own_file();
-        if self.resolver.offer(self.now, "configuration", serial, executors) {
+        if self.resolver.offer_list(self.now, "configuration", serial, executors) {
             self.list_changed();
         } else {
             self.publish_list();
@@ -93,7 +93,8 @@
         let old_settings = std::mem::replace(&mut self.settings, self.config.parts.settings.clone());
         let in_use = self.engine.classes_in_use();
         let new_places = self.settings.follow((&old_settings.classes, &old_settings.module.classes), &in_use);
-        self.settings.longest = self.settings.longest.max(old_settings.longest);
+        self.settings.longest_deadline_us =
+            self.settings.longest_deadline_us.max(old_settings.longest_deadline_us);
         self.apply_settings(&new_places);
     }
 
@@ -110,9 +111,10 @@
         let mut module = self.settings.module.clone();
         // Only one process may order loads: the ration passes to the successor together with the loads that count against
         // it, and a successor without the predecessor's state orders none until that process has ended.
-        module.orders &= !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
+        module.load_orders_allowed &=
+            !shared || !(self.handover.has_successor() || self.handover.serves_without_state());
         self.engine.configure(&module, new_places, bounds);
-        self.pool.bound(pool_limits);
-        self.thrift.bound(self.now, front_limits);
+        self.pool.set_limits(pool_limits);
+        self.thrift.set_limits(self.now, front_limits);
     }
 }
--- a/src/node/jobs.rs
+++ b/src/node/request_specs.rs
@@ -1,12 +1,12 @@
-//! Checks a request from a front against the settings and turns it into a [`Job`] for the core.
+//! Checks a request from a front against the settings and turns it into a [`RequestSpec`] for the core.
 //!
 //! Given the front's reading of the request, in names; returns the job, in places of the settings' lists, or the field
 //! that is invalid. The body's size and the time-out are bounded here.
 
 use crate::api::Effect;
 use crate::config::Settings;
-use crate::core::Job;
-use crate::front::{Invalid, Sketch};
+use crate::core::RequestSpec;
+use crate::front::{Invalid, ParsedRequest};
 
 /// Subtracted from a request's time-out, in microseconds: covers the network between client and dispatcher in both
 /// directions and a late turn of the loop, since the client's time runs from when it sent the request.
@@ -18,11 +18,11 @@
 /// the request, as far as known; `again` marks a request that may have been delivered before.
 pub(super) fn build_job(
     settings: &Settings,
-    sketch: Sketch,
+    sketch: ParsedRequest,
     body: Vec<u8>,
     age_us: u64,
     again: bool,
-) -> Result<Job, Invalid> {
+) -> Result<RequestSpec, Invalid> {
     let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
     let class =
         settings.class(&sketch.class).ok_or(Invalid { field: "op", why: "is no class of the settings" })?;
@@ -36,7 +36,7 @@
     }
     // A client waits no longer than its class's deadline, so a far longer time-out is a client error. Deadlines can change
     // while requests are under way, so the longest of any class so far is the bound.
-    if sketch.ttl_us > settings.longest.saturating_mul(2) {
+    if sketch.ttl_us > settings.longest_deadline_us.saturating_mul(2) {
         return Err(Invalid { field: "ttl", why: "is far longer than the class's time" });
     }
     let tenant = match &sketch.tenant {
@@ -44,18 +44,18 @@
         None if settings.tenants.is_empty() => 0,
         None => return Err(Invalid { field: "org", why: "is missing" }),
     };
-    Ok(Job {
+    Ok(RequestSpec {
         class,
         tenant,
         function: sketch.function,
-        lanes: sketch.lanes,
+        replica_concurrency: sketch.lanes,
         load_time: sketch.load_us,
-        work: sketch.work_us,
-        again: sketch.again,
+        work_hint: sketch.work_us,
+        is_retry: sketch.again,
         time_left: sketch.ttl_us.saturating_sub(age_us).saturating_sub(NETWORK_MARGIN_US),
-        call: sketch.call,
-        key: sketch.key,
+        client_request_id: sketch.call,
+        idempotency_key: sketch.key,
         body,
-        repeat: again.then_some(age_us),
+        possible_repeat_age: again.then_some(age_us),
     })
 }
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -14,9 +14,11 @@
 
 use crate::api::{Micros, WorkerId};
 use crate::control::{Budget, Tokens};
-use ochreward_budget::wire::Word;
-use ochreward_budget::{Admission, Bucket, Circuits, Ledger, Queueing, Terms, admission, circuit};
-use ochreward_membership::draw;
+use ochreward_budget::wire::Message;
+use ochreward_budget::{
+    Admission, CircuitBreakers, Ledger, QueueingDelay, ResourceTerms, TokenBucket, admission, circuit,
+};
+use ochreward_membership::sample;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::collections::BTreeSet;
@@ -55,7 +57,7 @@
 /// One budget that the dispatchers of a fleet share.
 struct SharedBudget {
     ledger: Ledger,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Moving average of the tokens wanted per second.
     demand: f64,
     /// Tokens wanted since the last round of lease requests.
@@ -66,22 +68,22 @@
 
 /// The group as the host sees it.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct GroupView {
     /// Name of this dispatcher.
     pub own: Arc<str>,
     /// Number of parts into which a budget is divided, of which this dispatcher has one.
     pub parts: usize,
     /// Names of the peers that are up.
-    pub others: Vec<Arc<str>>,
+    pub peers: Vec<Arc<str>>,
 }
 
 /// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Resends wanted.
-    pub wanted: u64,
+    pub resends_wanted: u64,
     /// Resends made, those for which there was a token.
-    pub resent: u64,
+    pub resends_made: u64,
     /// Requests shed because of the admission level.
     pub shed: u64,
     /// Highest standing among the shed requests, out of 64.
@@ -99,8 +101,8 @@
     options: Options,
     budgets: [Option<SharedBudget>; 2],
     admission: Admission,
-    queueing: Queueing,
-    circuits: Option<Circuits>,
+    queueing: QueueingDelay,
+    circuits: Option<CircuitBreakers>,
     /// Number of listed executors.
     workers: usize,
     /// Executors that have started to answer again, to be announced to the peers.
@@ -108,7 +110,7 @@
     /// Executors that refused a trial of this dispatcher, to be announced to the peers.
     failed_trials: Vec<WorkerId>,
     /// The group as of the last `advance`.
-    view: View,
+    view: GroupView,
     next_gate: Micros,
     next_interval: Micros,
     next_ask: Micros,
@@ -122,28 +124,40 @@
     pub fn new(options: Options, instance: u64, now: Micros) -> Overload {
         let shared_budget = |whole: u64| {
             let whole = whole.saturating_mul(1_000);
-            let terms = Terms { whole, floor: options.floor, lease: options.lease, ..Terms::default() };
+            let terms = ResourceTerms {
+                total: whole,
+                floor_per_mille: options.floor,
+                lease_time: options.lease_us,
+                ..ResourceTerms::default()
+            };
             let ledger = Ledger::new(terms, instance, now);
             (whole > 0).then(|| SharedBudget {
                 ledger,
-                bucket: Bucket::new(BURST_US, now),
+                bucket: TokenBucket::new(BURST_US, now),
                 demand: 0.0,
                 wanted: 0,
                 worth: 1,
             })
         };
-        let terms =
-            admission::Terms { queue: options.queue, stay: options.stay, ..admission::Terms::default() };
+        let terms = admission::Terms {
+            queue: options.max_queue_us,
+            stay: options.level_hold_us,
+            ..admission::Terms::default()
+        };
         Overload {
-            budgets: [shared_budget(options.resends), shared_budget(options.orders)],
+            budgets: [shared_budget(options.resends_per_s), shared_budget(options.orders_per_s)],
             admission: Admission::new(terms),
-            queueing: Queueing::default(),
-            circuits: (options.ramp > 0)
-                .then(|| Circuits::new(circuit::Terms { trial: options.trial, ramp: options.ramp })),
+            queueing: QueueingDelay::default(),
+            circuits: (options.ramp_us > 0).then(|| {
+                CircuitBreakers::new(circuit::Terms {
+                    trial: options.trial_interval_us,
+                    ramp: options.ramp_us,
+                })
+            }),
             workers: 0,
             recovered: Vec::new(),
             failed_trials: Vec::new(),
-            view: View::default(),
+            view: GroupView::default(),
             next_gate: now,
             next_interval: now,
             next_ask: now,
@@ -165,70 +179,71 @@
     }
 
     /// Returns the rate at which a resource, given by its number, may be spent now, in thousandths per second.
-    pub fn spendable(&self, place: usize, now: Micros) -> u64 {
+    pub fn spendable_rate(&self, place: usize, now: Micros) -> u64 {
         self.budgets.get(place).and_then(Option::as_ref).map_or(0, |b| b.ledger.spendable(now))
     }
 
     /// Returns the number of executors whose circuits are open, and of those on a slow-start ramp.
-    pub fn circuits(&self) -> (usize, usize) {
-        self.circuits.as_ref().map_or((0, 0), Circuits::count)
+    pub fn circuit_counts(&self) -> (usize, usize) {
+        self.circuits.as_ref().map_or((0, 0), CircuitBreakers::open_and_ramping)
     }
 
     /// Takes a new list of executors, and drops the circuits of those that are no longer listed.
-    pub fn listed(&mut self, workers: BTreeSet<WorkerId>) {
+    pub fn set_workers(&mut self, workers: BTreeSet<WorkerId>) {
         self.workers = workers.len();
-        self.circuits.iter_mut().for_each(|c| c.retain(|worker| workers.contains(worker)));
+        self.circuits.iter_mut().for_each(|c| c.retain_workers(|worker| workers.contains(worker)));
     }
 
     /// Records that no connection to an executor could be established.
-    pub fn refused(&mut self, now: Micros, worker: &WorkerId) {
-        if self.circuits.as_mut().is_some_and(|c| c.refused(now, worker)) {
+    pub fn connect_failed(&mut self, now: Micros, worker: &WorkerId) {
+        if self.circuits.as_mut().is_some_and(|c| c.record_refusal(now, worker)) {
             self.failed_trials.push(worker.clone());
         }
         self.next_gate = self.next_gate.min(now);
     }
 
     /// Records an executor's answer to a request of this kind and the time it took; `None` if it rejected the request.
-    pub fn answered(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
-        if self.circuits.as_mut().is_some_and(|c| c.answered(now, worker)) {
+    pub fn record_answer(&mut self, now: Micros, worker: &WorkerId, kind: u64, took: Option<Micros>) {
+        if self.circuits.as_mut().is_some_and(|c| c.record_answer(now, worker)) {
             self.recovered.push(worker.clone());
             self.next_gate = now;
         }
-        if self.options.queue > 0 {
+        if self.options.max_queue_us > 0 {
             match took {
-                Some(took) => self.queueing.answered(now, kind, took),
-                None => self.queueing.turned_away(self.options.queue * FULL_QUEUE_FACTOR),
+                Some(took) => self.queueing.record_response(now, kind, took),
+                None => self.queueing.record_full_queue(self.options.max_queue_us * FULL_QUEUE_FACTOR),
             }
         }
     }
 
     /// Returns the time at which `advance` or `budget` next has work to do.
     pub fn due(&self, now: Micros) -> Micros {
-        let lease_end = self.budgets.iter().flatten().map(|b| b.ledger.due(now)).min().unwrap_or(Micros::MAX);
+        let lease_end =
+            self.budgets.iter().flatten().map(|b| b.ledger.next_change(now)).min().unwrap_or(Micros::MAX);
         let ask = if self.budgets.iter().any(Option::is_some) { self.next_ask } else { Micros::MAX };
-        let has_level = self.options.queue > 0;
+        let has_level = self.options.max_queue_us > 0;
         let level = if has_level { self.next_interval.min(self.next_proposal) } else { Micros::MAX };
-        let gates = if self.circuits() == (0, 0) { Micros::MAX } else { self.next_gate };
+        let gates = if self.circuit_counts() == (0, 0) { Micros::MAX } else { self.next_gate };
         lease_end.min(ask).min(level).min(gates)
     }
 
     /// Returns what the decision module may spend from now on; `last` is what it has spent of the previous budget.
     pub fn budget(&mut self, now: Micros, last: &Budget) -> Budget {
-        let last_tokens = [last.resends, last.orders];
+        let last_tokens = [last.resend_tokens, last.load_order_tokens];
         for (shared, tokens) in self.budgets.iter_mut().zip(last_tokens) {
             if let (Some(shared), Some(tokens)) = (shared, tokens) {
-                shared.bucket.take(tokens.spent);
-                shared.wanted += tokens.wanted;
-                shared.worth = shared.worth.max(last.worth);
+                shared.bucket.take(tokens.taken);
+                shared.wanted += tokens.requested;
+                shared.worth = shared.worth.max(last.max_resend_worth);
             }
         }
-        if let Some(tokens) = last.resends {
-            self.stats.wanted += tokens.wanted;
-            self.stats.resent += tokens.spent;
+        if let Some(tokens) = last.resend_tokens {
+            self.stats.resends_wanted += tokens.requested;
+            self.stats.resends_made += tokens.taken;
         }
-        for (worker, (_, sent)) in last.gates.iter().filter(|(_, (_, sent))| *sent > 0) {
+        for (worker, (_, sent)) in last.worker_gates.iter().filter(|(_, (_, sent))| *sent > 0) {
             self.stats.trials += u64::from(self.circuits.as_ref().is_some_and(|c| c.is_open(worker)));
-            self.circuits.iter_mut().for_each(|c| c.entered(now, worker, *sent));
+            self.circuits.iter_mut().for_each(|c| c.record_sent(now, worker, *sent));
         }
         self.stats.shed += last.shed;
         self.stats.shed_up_to = self.stats.shed_up_to.max(last.shed_up_to);
@@ -236,38 +251,46 @@
             let shared = self.budgets[place].as_mut()?;
             // The rate is read at the present time, so that a lease that ended while the process was stalled adds nothing.
             let rate = shared.ledger.spendable(now);
-            Some(Tokens { left: shared.bucket.refill(now, rate), ..Tokens::default() })
+            Some(Tokens { available: shared.bucket.refill(now, rate), ..Tokens::default() })
         };
         let (resends, orders) = (tokens(0), tokens(1));
-        let (level, back) = (self.admission.level(), self.admission.back());
+        let (level, back) = (self.admission.level(), self.admission.retry_delay());
         let view = &self.view;
-        let circuits = self.circuits.as_mut().filter(|c| c.count() != (0, 0));
-        let gates = circuits.map(|c| c.gates(now, &view.own, &view.others, (self.workers, view.parts)));
+        let circuits = self.circuits.as_mut().filter(|c| c.open_and_ramping() != (0, 0));
+        let gates = circuits.map(|c| c.gates(now, &view.own, &view.peers, (self.workers, view.parts)));
         let gates = gates.into_iter().flatten().map(|(worker, left)| (worker, (left, 0))).collect();
-        Budget { gates, resends, orders, level, back, ..Budget::default() }
+        Budget {
+            worker_gates: gates,
+            resend_tokens: resends,
+            load_order_tokens: orders,
+            admission_level: level,
+            mean_retry_after: back,
+            ..Budget::default()
+        }
     }
 
     /// Runs the timers that are due. Returns the messages to be sent, each with its receiver.
-    pub fn advance(&mut self, now: Micros, view: &View) -> Vec<(Arc<str>, Vec<u8>)> {
+    pub fn advance(&mut self, now: Micros, view: &GroupView) -> Vec<(Arc<str>, Vec<u8>)> {
         let mut messages = Vec::new();
         for shared in self.budgets.iter_mut().flatten() {
-            shared.ledger.divide(view.parts);
+            shared.ledger.set_parts(view.parts);
         }
         self.view = view.clone();
         if now >= self.next_gate {
             self.next_gate = now + GATE_INTERVAL_US;
         }
-        let recovered = std::mem::take(&mut self.recovered).into_iter().map(|worker| Word::Back(worker, 0));
-        let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Word::Tried);
+        let recovered =
+            std::mem::take(&mut self.recovered).into_iter().map(|worker| Message::Back(worker, 0));
+        let failed_trials = std::mem::take(&mut self.failed_trials).into_iter().map(Message::Tried);
         for word in recovered.chain(failed_trials) {
-            let message = word.written();
-            let to = draw(&mut self.rng, view.others.clone(), TRIAL_RESULT_FANOUT);
+            let message = word.encode();
+            let to = sample(&mut self.rng, view.peers.clone(), TRIAL_RESULT_FANOUT);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         if now >= self.next_interval {
             self.next_interval = now + admission::Terms::default().interval;
-            let queue = self.queueing.interval();
-            self.admission.measured(now, queue);
+            let queue = self.queueing.end_interval();
+            self.admission.record_queueing_delay(now, queue);
         }
         if now >= self.next_ask {
             let elapsed = ASK_INTERVAL_US + now.saturating_sub(self.next_ask);
@@ -276,8 +299,8 @@
                 self.request_leases(now, place, elapsed, view, &mut messages);
             }
         }
-        if self.options.queue > 0 && now >= self.next_proposal {
-            let idle = self.admission.level() == 0 && self.admission.wish() == 0;
+        if self.options.max_queue_us > 0 && now >= self.next_proposal {
+            let idle = self.admission.level() == 0 && self.admission.requested_level() == 0;
             let (interval, fanout) = if idle {
                 (IDLE_PROPOSAL_INTERVAL_US, IDLE_PROPOSAL_FANOUT)
             } else {
@@ -286,8 +309,8 @@
             // The jitter of 10 % either way keeps the dispatchers from sending at the same time.
             let jitter = u64::from(self.rng.next_u32()) % (interval / 5);
             self.next_proposal = now + interval - interval / 10 + jitter;
-            let message = Word::Wish(self.admission.wish()).written();
-            let to = draw(&mut self.rng, view.others.clone(), fanout);
+            let message = Message::Wish(self.admission.requested_level()).encode();
+            let to = sample(&mut self.rng, view.peers.clone(), fanout);
             messages.extend(to.into_iter().map(|name| (name, message.clone())));
         }
         messages
@@ -299,7 +322,7 @@
         now: Micros,
         place: usize,
         elapsed: Micros,
-        view: &View,
+        view: &GroupView,
         messages: &mut Vec<(Arc<str>, Vec<u8>)>,
     ) {
         let Some(shared) = self.budgets[place].as_mut() else { return };
@@ -309,49 +332,51 @@
         let wanted = (shared.demand * DEMAND_HEADROOM * 1_000.0) as u64;
         let (worth, available) =
             (std::mem::replace(&mut shared.worth, 1).max(1), shared.ledger.spendable(now));
-        shared.ledger.need(wanted, worth);
+        shared.ledger.set_own_need(wanted, worth);
         // A shortage of less than about one token within the time of a lease does not justify a message.
         if wanted <= available || wanted - available < MIN_SHORTAGE_MILLITOKENS_PER_S {
             return;
         }
         let missing = wanted - available;
         let has_no_dealings = |name: &&Arc<str>| !shared.ledger.deals_with(now, name);
-        let eligible: Vec<Arc<str>> = view.others.iter().filter(has_no_dealings).cloned().collect();
-        let to = draw(&mut self.rng, eligible, ASK_FANOUT);
+        let eligible: Vec<Arc<str>> = view.peers.iter().filter(has_no_dealings).cloned().collect();
+        let to = sample(&mut self.rng, eligible, ASK_FANOUT);
         let Some(shared) = self.budgets[place].as_mut() else { return };
         for name in &to {
             let part = missing.div_ceil(to.len() as u64);
-            if let Some(ask) = shared.ledger.ask(now, name, part, worth) {
-                messages.push((name.clone(), Word::Ask(place as u8, ask).written()));
+            if let Some(ask) = shared.ledger.request_lease(now, name, part, worth) {
+                messages.push((name.clone(), Message::Ask(place as u8, ask).encode()));
             }
         }
     }
 
     /// Takes a message from a peer and returns the reply, if there is one. The content is untrusted: it may be any bytes.
-    pub fn heard(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
-        match Word::read(bytes)? {
-            Word::Ask(place, ask) => {
+    pub fn handle_message(&mut self, now: Micros, from: &Arc<str>, bytes: &[u8]) -> Option<Vec<u8>> {
+        match Message::decode(bytes)? {
+            Message::Ask(place, ask) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
-                let grant = shared.ledger.asked(now, from, &ask);
+                let grant = shared.ledger.handle_request(now, from, &ask);
                 self.stats.lent += u64::from(grant.amount > 0);
-                Some(Word::Grant(place, grant).written())
+                Some(Message::Grant(place, grant).encode())
             }
-            Word::Grant(place, grant) => {
+            Message::Grant(place, grant) => {
                 let shared = self.budgets.get_mut(usize::from(place))?.as_mut()?;
-                self.stats.borrowed += u64::from(shared.ledger.granted(now, from, &grant));
+                self.stats.borrowed += u64::from(shared.ledger.handle_grant(now, from, &grant));
                 None
             }
-            Word::Back(worker, ago_ms) => {
-                self.circuits.iter_mut().for_each(|c| c.told(now, &worker, u64::from(ago_ms) * 1_000));
+            Message::Back(worker, ago_ms) => {
+                self.circuits
+                    .iter_mut()
+                    .for_each(|c| c.record_peer_answer(now, &worker, u64::from(ago_ms) * 1_000));
                 None
             }
-            Word::Tried(worker) => {
-                self.circuits.iter_mut().for_each(|c| c.tried(now, &worker));
+            Message::Tried(worker) => {
+                self.circuits.iter_mut().for_each(|c| c.record_peer_trial(now, &worker));
                 None
             }
-            Word::Wish(level) => {
-                if self.options.queue > 0 {
-                    self.admission.told(now, from, level);
+            Message::Wish(level) => {
+                if self.options.max_queue_us > 0 {
+                    self.admission.record_wish(now, from, level);
                 }
                 None
             }
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -17,15 +17,15 @@
             })
             .collect();
         Some(json!({
-            "name": name, "own_per_s": per_s(ledger.own()), "floor_per_s": per_s(ledger.floor()),
+            "name": name, "own_per_s": per_s(ledger.owned()), "floor_per_s": per_s(ledger.floor()),
             "lent_per_s": per_s(ledger.lent(now)), "borrowed_per_s": per_s(ledger.borrowed(now)),
             "spendable_per_s": per_s(ledger.spendable(now)), "wanted_per_s": shared.demand, "leases": leases,
         }))
     };
     let stats = overload.stats();
     json!({
-        "level": overload.admission.level(), "wish": overload.admission.wish(), "heard": overload.admission.heard(),
-        "shed": stats.shed, "shed_up_to": stats.shed_up_to, "resends_wanted": stats.wanted, "resends": stats.resent,
+        "level": overload.admission.level(), "wish": overload.admission.requested_level(), "heard": overload.admission.wish_count(),
+        "shed": stats.shed, "shed_up_to": stats.shed_up_to, "resends_wanted": stats.resends_wanted, "resends": stats.resends_made,
         "budgets": RESOURCES.iter().enumerate().filter_map(budget).collect::<Vec<Value>>(),
     })
 }
--- a/src/peers/exchange.rs
+++ b/src/peers/exchange.rs
@@ -4,7 +4,7 @@
 //! snapshot is built at most once a second regardless of the number of requests, so that peers cannot use up the loop's
 //! time.
 
-use crate::net::{Accepted, Callbacks, Link, Listener, Malformed, Poll, Ready, Ring, Token};
+use crate::net::{Accepted, Connection, Listener, Malformed, Poll, PollEvent, ProtocolHandler, Ring, Token};
 use slab::Slab;
 use std::io;
 use std::net::SocketAddr;
@@ -31,10 +31,10 @@
     scanned: usize,
 }
 
-impl Callbacks for LineReader {
+impl ProtocolHandler for LineReader {
     type Out = Vec<Vec<u8>>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<Vec<u8>>) -> Result<(), Malformed> {
         if self.done {
             input.consume(input.len());
             return Ok(());
@@ -59,8 +59,8 @@
     Outgoing(Arc<str>),
 }
 
-struct Connection {
-    link: Link<LineReader>,
+struct PeerConnection {
+    link: Connection<LineReader>,
     role: Role,
     opened_at: u64,
 }
@@ -73,7 +73,7 @@
     owner: u8,
     group: String,
     listener: Listener,
-    connections: Slab<Connection>,
+    connections: Slab<PeerConnection>,
     /// Incoming connections that wait for the reply.
     waiting: Vec<Token>,
     /// The last reply and the time at which it was made.
@@ -97,18 +97,18 @@
         let token = poll.token(self.owner, entry.key());
         let request = format!("{REQUEST_PREFIX} {} {own}\n", self.group);
         let link =
-            Link::connect(poll, to, token, LineReader::default(), (MAX_REPLY_BYTES, MAX_REQUEST_BYTES));
+            Connection::connect(poll, to, token, LineReader::default(), (MAX_REPLY_BYTES, MAX_REQUEST_BYTES));
         let connected = link.ok().and_then(|mut link| link.io.queue(request.as_bytes()).then_some(link));
         if let Some(link) = connected {
-            entry.insert(Connection { link, role: Role::Outgoing(member.clone()), opened_at: now });
+            entry.insert(PeerConnection { link, role: Role::Outgoing(member.clone()), opened_at: now });
         } else {
             self.outcomes.push((member.clone(), None));
         }
     }
 
     /// Handles a readiness event of the listener or a connection.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.listener.is(ready.token) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
+        if self.listener.owns_token(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
@@ -117,9 +117,9 @@
             return;
         };
         let mut lines = Vec::new();
-        let result = connection.link.ready(poll, ready, &mut lines);
+        let result = connection.link.handle_event(poll, ready, &mut lines);
         let line = lines.pop();
-        let (ended, sent) = (connection.link.io.ended, connection.link.io.unsent() == 0);
+        let (ended, sent) = (connection.link.io.read_closed, connection.link.io.unsent_bytes() == 0);
         match connection.role {
             Role::Outgoing(_) => {
                 if line.is_some() || result.is_err() || ended {
@@ -147,7 +147,7 @@
     }
 
     fn accept(&mut self, poll: &mut Poll, now: u64) {
-        while let Accepted::One(fd) = self.listener.accept() {
+        while let Accepted::Connection(fd) = self.listener.accept() {
             let incoming =
                 self.connections.iter().filter(|(_, c)| matches!(c.role, Role::Incoming { .. })).count();
             // A connection over the limit is closed at once; its sender then asks another member.
@@ -157,8 +157,12 @@
             let entry = self.connections.vacant_entry();
             let token = poll.token(self.owner, entry.key());
             let limits = (MAX_REQUEST_BYTES, MAX_REPLY_BYTES);
-            if let Ok(link) = Link::accepted(poll, fd, token, LineReader::default(), limits) {
-                entry.insert(Connection { link, role: Role::Incoming { answered: false }, opened_at: now });
+            if let Ok(link) = Connection::accepted(poll, fd, token, LineReader::default(), limits) {
+                entry.insert(PeerConnection {
+                    link,
+                    role: Role::Incoming { answered: false },
+                    opened_at: now,
+                });
             }
         }
     }
@@ -198,7 +202,7 @@
 
     /// Closes connections that have exceeded the time limit.
     pub fn advance(&mut self, now: u64) {
-        let timed_out = |c: &Connection| now >= c.opened_at + EXCHANGE_TIMEOUT_US;
+        let timed_out = |c: &PeerConnection| now >= c.opened_at + EXCHANGE_TIMEOUT_US;
         let slots: Vec<usize> =
             self.connections.iter().filter(|(_, c)| timed_out(c)).map(|(slot, _)| slot).collect();
         slots.into_iter().for_each(|slot| self.close(slot, None));
--- a/src/peers/starting.rs
+++ b/src/peers/list_search.rs
@@ -6,7 +6,7 @@
 //! service's lists are checked, so that no peer can keep the authoritative list out.
 
 use crate::api::Micros;
-use crate::names::{Executor, MOST_EXECUTORS, MOST_ID_BYTES};
+use crate::discovery::{Executor, MAX_EXECUTORS, MAX_ID_BYTES};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -65,9 +65,9 @@
     pub fn add_offer(&mut self, now: Micros, mut offer: Offer) -> bool {
         self.pending.remove(&offer.from);
         let mut ids = BTreeSet::new();
-        let has_valid_id = |e: &Executor| (1..=MOST_ID_BYTES).contains(&e.id.len());
+        let has_valid_id = |e: &Executor| (1..=MAX_ID_BYTES).contains(&e.id.len());
         let valid = !offer.executors.is_empty()
-            && offer.executors.len() <= MOST_EXECUTORS
+            && offer.executors.len() <= MAX_EXECUTORS
             && offer.age <= MAX_LIST_AGE_US
             && offer.executors.iter().all(|e| has_valid_id(e) && ids.insert(e.id.clone()));
         if !valid {
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -7,24 +7,24 @@
 
 mod exchange;
 mod hints;
+mod list_search;
 mod options;
 mod report;
-mod starting;
 
-pub use options::{MOST_SEEDS, Options};
+pub use options::{MAX_SEEDS, Options};
 pub use report::{lines, report};
 
 use crate::api::WorkerId;
 use crate::counters::{Counters, add, count};
-use crate::handover::Word;
-use crate::net::{Interest, Poll, Ready, Token};
+use crate::handover::HandoverState;
+use crate::net::{Interest, Poll, PollEvent, Token};
 use exchange::Exchange;
 use hints::Hints;
-use ochreward_membership::{Event, Membership, Own, Record, Serving, draw};
+use list_search::{ListSearch, Offer, Step};
+use ochreward_membership::{Event, Identity, Membership, Record, Serving, sample};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::SeedableRng;
 use rustix::net::{AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
-use starting::{ListSearch, Offer, Step};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -48,19 +48,19 @@
     /// Number of dispatchers known to be alive, including this one.
     pub alive: usize,
     /// Number of parts; each member uses at most one.
-    pub parts: usize,
+    pub divisor: usize,
     /// Index of this dispatcher's part, from 0.
-    pub place: usize,
+    pub part_index: usize,
 }
 
 /// The identity and initial state with which a dispatcher joins its group.
-pub struct Start<'a> {
+pub struct InitialState<'a> {
     /// Name of this dispatcher.
     pub name: &'a str,
     /// Number of instances according to the platform's settings.
-    pub expected: usize,
+    pub expected_instances: usize,
     /// Version of the configuration in use; 0 for none.
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Unix time in milliseconds.
     pub unix_ms: u64,
     /// Seed of the random number generator.
@@ -76,12 +76,12 @@
     exchange: Exchange,
     hints: Hints,
     /// Received notes for other modules: channel, sender and content.
-    pub notes: Vec<(u8, Arc<str>, Vec<u8>)>,
+    pub received_notes: Vec<(u8, Arc<str>, Vec<u8>)>,
     /// Executors reported by peers that are still to be probed.
     reported: Vec<WorkerId>,
     /// The search for an executor list while the name service is silent, and the snapshots received for it.
     list_search: ListSearch,
-    snapshots: BTreeMap<Arc<str>, Word>,
+    snapshots: BTreeMap<Arc<str>, HandoverState>,
     rng: Pcg32,
     division: Option<Division>,
     /// Whether the membership may have changed since the division was last computed.
@@ -97,7 +97,7 @@
         poll: &mut Poll,
         owner: u8,
         options: &Options,
-        start: &Start,
+        start: &InitialState,
         now: u64,
         counters: Rc<Counters>,
     ) -> io::Result<Peers> {
@@ -118,10 +118,10 @@
         let record = Record {
             zone: options.zone.as_str().into(),
             program: env!("CARGO_PKG_VERSION").into(),
-            configuration: start.configuration,
+            configuration: start.configuration_version,
             serving: Serving::Serves,
         };
-        let own = Own {
+        let own = Identity {
             name: start.name.into(),
             address: options.advertise(start.name).unwrap_or(address),
             instance: start.unix_ms << 16 | start.seed & 0xffff,
@@ -129,7 +129,7 @@
             record: record.clone(),
         };
         let mut settings = options.settings.clone();
-        settings.expected = start.expected;
+        settings.expected_members = start.expected_instances;
         let membership = Membership::new(own, settings, options.seeds.clone(), start.seed, now);
         Ok(Peers {
             fd,
@@ -138,7 +138,7 @@
             membership,
             exchange,
             hints: Hints::new(now),
-            notes: Vec::new(),
+            received_notes: Vec::new(),
             reported: Vec::new(),
             list_search: ListSearch::default(),
             snapshots: BTreeMap::new(),
@@ -157,7 +157,7 @@
     }
 
     /// Handles a readiness event of one of the sockets.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if ready.token == self.token {
             self.read_packets(now);
         } else {
@@ -169,10 +169,10 @@
     fn read_packets(&mut self, now: u64) {
         // After a pause of the process, packets that waited in the socket are older than their time of reading. Advancing
         // first lets the membership detect the stall before it takes them.
-        if self.membership.due() <= now {
+        if self.membership.next_deadline() <= now {
             self.membership.advance(now);
         }
-        let mut buffer = [0; ochreward_membership::wire::MOST_PACKET + 1];
+        let mut buffer = [0; ochreward_membership::wire::MAX_PACKET_BYTES + 1];
         for _ in 0..MAX_PACKETS_PER_TURN {
             let (size, from) = match rustix::net::recvfrom(&self.fd, &mut buffer, RecvFlags::empty()) {
                 Ok((_, size, from)) => (size, from),
@@ -183,7 +183,7 @@
             if let (Some(from), Some(packet)) = (from, buffer.get(..size)) {
                 count(&self.counters.peers_received);
                 add(&self.counters.peers_received_bytes, size);
-                self.membership.received(now, from, packet);
+                self.membership.handle_packet(now, from, packet);
             }
         }
         self.take_notes(now);
@@ -192,7 +192,7 @@
 
     /// Runs the timers that are due: membership, hints and exchange.
     pub fn advance(&mut self, now: u64) {
-        let due = self.membership.due() <= now;
+        let due = self.membership.next_deadline() <= now;
         if due {
             self.membership.advance(now);
         }
@@ -206,25 +206,25 @@
 
     /// Returns the time at which `advance` next has work to do.
     pub fn due(&self) -> u64 {
-        self.membership.due().min(self.hints.due()).min(self.exchange.due())
+        self.membership.next_deadline().min(self.hints.due()).min(self.exchange.due())
     }
 
     /// Takes the received notes: hints are handled here, the others are kept for the host.
     fn take_notes(&mut self, now: u64) {
-        let others = self.membership.alive().saturating_sub(1);
-        while let Some(note) = self.membership.notes.pop_front() {
+        let others = self.membership.up_count().saturating_sub(1);
+        while let Some(note) = self.membership.messages.pop_front() {
             if note.channel == hints::CHANNEL {
                 let new_workers = self.hints.receive(now, &note.bytes, others);
                 self.counters.hints_heard.set(self.counters.hints_heard.get() + new_workers.len() as u64);
                 self.reported.extend(new_workers);
-            } else if self.notes.len() < MAX_PENDING_NOTES {
-                self.notes.push((note.channel, note.from, note.bytes));
+            } else if self.received_notes.len() < MAX_PENDING_NOTES {
+                self.received_notes.push((note.channel, note.from, note.bytes));
             }
         }
     }
 
     /// Sends a note to one peer, if it is up.
-    pub fn tell_one(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
+    pub fn send_note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
         self.queue_note(now, to, channel, bytes);
         self.flush();
     }
@@ -232,7 +232,7 @@
     /// Queues a note in the membership protocol and counts it for the module that sends on the channel.
     fn queue_note(&mut self, now: u64, to: &str, channel: u8, bytes: Vec<u8>) {
         let size = bytes.len();
-        if !self.membership.note(now, to, channel, bytes) {
+        if !self.membership.send_message(now, to, channel, bytes) {
             return;
         }
         let counters = &self.counters;
@@ -247,13 +247,17 @@
     }
 
     /// Returns the peers that are up and from which at least one packet has arrived.
-    pub fn up(&self) -> Vec<Arc<str>> {
-        self.membership.members().filter(|m| m.is_up() && m.heard.is_some()).map(|m| m.name.clone()).collect()
+    pub fn reachable_peers(&self) -> Vec<Arc<str>> {
+        self.membership
+            .members()
+            .filter(|m| m.is_up() && m.last_heard.is_some())
+            .map(|m| m.name.clone())
+            .collect()
     }
 
-    /// Returns the same peers as [`Peers::up`], with their zones.
-    pub fn up_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
-        let up = self.membership.members().filter(|m| m.is_up() && m.heard.is_some());
+    /// Returns the same peers as [`Peers::reachable_peers`], with their zones.
+    pub fn reachable_peers_with_zones(&self) -> Vec<(Arc<str>, Arc<str>)> {
+        let up = self.membership.members().filter(|m| m.is_up() && m.last_heard.is_some());
         up.map(|m| (m.name.clone(), m.record.zone.clone())).collect()
     }
 
@@ -264,8 +268,8 @@
 
     /// Sends a note to `fanout` peers, drawn at random on each call.
     fn gossip(&mut self, now: u64, channel: u8, fanout: usize, bytes: &[u8]) {
-        let up = self.up();
-        for name in draw(&mut self.rng, up, fanout) {
+        let up = self.reachable_peers();
+        for name in sample(&mut self.rng, up, fanout) {
             self.queue_note(now, &name, channel, bytes.to_vec());
         }
     }
@@ -273,14 +277,14 @@
     // ---- Hints of executor failures ----
 
     /// Records that a connection to an executor broke or could not be established here, and gossips it to the peers.
-    pub fn sighted(&mut self, now: u64, worker: &WorkerId) {
-        if self.hints.observe(now, worker, self.membership.alive().saturating_sub(1)) {
+    pub fn report_failure(&mut self, now: u64, worker: &WorkerId) {
+        if self.hints.observe(now, worker, self.membership.up_count().saturating_sub(1)) {
             count(&self.counters.hints_told);
         }
     }
 
     /// Returns an executor that is to be probed now.
-    pub fn look(&mut self, now: u64) -> Option<WorkerId> {
+    pub fn next_probe(&mut self, now: u64) -> Option<WorkerId> {
         if let Some(worker) = self.hints.next_retry(now) {
             return Some(worker);
         }
@@ -293,7 +297,7 @@
     }
 
     /// Records that the probe of an executor was refused.
-    pub fn refused(&mut self, now: u64, worker: &WorkerId) {
+    pub fn probe_refused(&mut self, now: u64, worker: &WorkerId) {
         count(&self.counters.hints_refused);
         self.hints.probe_refused(now, worker);
     }
@@ -302,13 +306,14 @@
 
     /// Asks peers for their list of executors while the name service is silent. Returns the sender and the snapshot that
     /// is to be used, once one has been chosen.
-    pub fn seek_list(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, Word)> {
+    pub fn poll_list_search(&mut self, poll: &mut Poll, now: u64) -> Option<(Arc<str>, HandoverState)> {
         for (from, line) in std::mem::take(&mut self.exchange.outcomes) {
-            let Some(snapshot) = line.and_then(|l| Word::read(&l)) else {
+            let Some(snapshot) = line.and_then(|l| HandoverState::read(&l)) else {
                 self.list_search.failed(&from);
                 continue;
             };
-            let (serial, age, executors) = (snapshot.serial, snapshot.age, snapshot.executors.clone());
+            let (serial, age, executors) =
+                (snapshot.serial, snapshot.list_age_us, snapshot.executors.clone());
             // Snapshots are large, so their number is bounded; one beyond the bound counts as a failed request.
             let has_room = self.snapshots.len() < MAX_HELD_SNAPSHOTS || self.snapshots.contains_key(&from);
             if !has_room {
@@ -318,7 +323,7 @@
             }
         }
         let serves = |m: &&ochreward_membership::Member| {
-            m.is_up() && m.heard.is_some() && m.record.serving == Serving::Serves
+            m.is_up() && m.last_heard.is_some() && m.record.serving == Serving::Serves
         };
         let mut up: Vec<Arc<str>> =
             self.membership.members().filter(serves).map(|m| m.name.clone()).collect();
@@ -352,30 +357,34 @@
     }
 
     /// Returns how long after the start the name service may be silent before peers are asked for the list.
-    pub fn patience() -> u64 {
-        starting::NAME_SERVICE_SILENCE_US
+    pub fn name_service_silence_us() -> u64 {
+        list_search::NAME_SERVICE_SILENCE_US
     }
 
     /// Returns whether a peer waits for a snapshot of this dispatcher's state and a new one has to be made.
-    pub fn wants_word(&mut self, poll: &Poll, now: u64) -> bool {
+    pub fn wants_snapshot(&mut self, poll: &Poll, now: u64) -> bool {
         self.exchange.wants_reply(poll, now)
     }
 
     /// Sends a snapshot of this dispatcher's state to all peers that wait for one.
-    pub fn give_word(&mut self, poll: &Poll, now: u64, word: Vec<u8>) {
+    pub fn send_snapshot(&mut self, poll: &Poll, now: u64, word: Vec<u8>) {
         count(&self.counters.peers_words_given);
         self.exchange.reply(poll, now, word);
     }
 
     /// Returns the division of a shared budget if it has changed since the last call.
-    pub fn news(&mut self, now: u64) -> Option<Division> {
+    pub fn changed_division(&mut self, now: u64) -> Option<Division> {
         // Computing the division visits all members; most turns of the loop serve requests and leave it unchanged.
         if !std::mem::take(&mut self.division_stale) {
             return None;
         }
-        let parts = self.membership.divisor(now);
-        let alive = self.membership.alive();
-        let division = Division { alive, parts, place: self.membership.place().min(parts.saturating_sub(1)) };
+        let parts = self.membership.share_divisor(now);
+        let alive = self.membership.up_count();
+        let division = Division {
+            alive,
+            divisor: parts,
+            part_index: self.membership.share_index().min(parts.saturating_sub(1)),
+        };
         let changed = self.division != Some(division);
         self.division = Some(division);
         changed.then_some(division)
@@ -387,10 +396,10 @@
     }
 
     /// Sets the serving state, configuration version and load that are announced to the peers.
-    pub fn tell(&mut self, serving: Serving, configuration: u64, load: u16) {
+    pub fn announce(&mut self, serving: Serving, configuration: u64, load: u16) {
         self.record.serving = serving;
         self.record.configuration = configuration;
-        self.membership.tell(self.record.clone(), load);
+        self.membership.set_record(self.record.clone(), load);
     }
 
     /// Announces to the peers that this dispatcher leaves the group.
@@ -417,34 +426,36 @@
                 Event::Changed(peer, was, state, source) => {
                     info!(instance, peer = &*peer, ?was, ?state, ?source, "a peer's state changed");
                 }
-                Event::Denied => {
+                Event::Refuted => {
                     info!(instance, "refuted a report that this dispatcher is suspect or failed")
                 }
                 Event::Stalled(us) => warn!(
                     instance,
                     us, "process stalled; pending probes dropped, no peer is suspected for them"
                 ),
-                Event::Conflict(peer, one, other) => {
+                Event::NameConflict(peer, one, other) => {
                     warn!(instance, peer = &*peer, %one, %other, "two processes have one name");
                 }
-                Event::Yielded => {
+                Event::NameYielded => {
                     warn!(instance, "another process with this name started earlier; this one stays silent")
                 }
-                Event::Stands(part) => info!(instance, ?part, "reachability within the group changed"),
+                Event::ConnectivityChanged(part) => {
+                    info!(instance, ?part, "reachability within the group changed")
+                }
             }
         }
         let (stats, counters) = (self.membership.stats(), &self.counters);
         counters.peers_sent.set(stats.sent);
         counters.peers_sent_bytes.set(stats.sent_bytes);
-        counters.peers_taken.set(stats.taken);
-        counters.peers_garbage.set(stats.garbage + stats.other_version + stats.other_group);
+        counters.peers_taken.set(stats.accepted);
+        counters.peers_garbage.set(stats.malformed + stats.other_version + stats.other_group);
         counters.peers_replayed.set(stats.replayed);
-        counters.peers_absurd.set(stats.absurd + stats.crowded);
-        counters.peers_accusations.set(stats.accusations);
-        counters.peers_denials.set(stats.denials);
+        counters.peers_absurd.set(stats.implausible + stats.claims_dropped_table_full);
+        counters.peers_accusations.set(stats.suspicions_started);
+        counters.peers_denials.set(stats.refutations);
         counters.peers_stalls.set(stats.stalls);
         counters.peers_conflicts.set(stats.conflicts);
-        counters.peers_alive.set(self.membership.alive() as u64);
+        counters.peers_alive.set(self.membership.up_count() as u64);
     }
 }
 
--- a/src/peers/report.rs
+++ b/src/peers/report.rs
@@ -9,7 +9,7 @@
 /// Returns the membership state as JSON.
 pub fn report(peers: &Peers, now: u64) -> Value {
     let membership = peers.membership();
-    let agreement = membership.agreement();
+    let agreement = membership.view_summary();
     let ms_since = |at: Option<u64>| at.map(|at| now.saturating_sub(at) / 1_000);
     let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
     let members: Vec<Value> = (membership.members().take(MAX_LISTED_MEMBERS))
@@ -17,8 +17,8 @@
             json!({
                 "name": &*member.name, "address": member.address.to_string(),
                 "state": lower_case(&member.state), "known": lower_case(&member.source),
-                "since_ms": ms_since(Some(member.since)), "heard_ms": ms_since(member.heard),
-                "answered_ms": ms_since(member.answered), "incarnation": member.incarnation,
+                "since_ms": ms_since(Some(member.since)), "heard_ms": ms_since(member.last_heard),
+                "answered_ms": ms_since(member.last_answered), "incarnation": member.incarnation,
                 "zone": &*member.record.zone, "program": &*member.record.program,
                 "configuration": member.record.configuration, "serving": lower_case(&member.record.serving),
                 "load": member.load, "same_view": member.digest == agreement.digest,
@@ -27,10 +27,10 @@
         .collect();
     json!({
         "name": &*membership.own().name, "address": peers.address().to_string(),
-        "part": lower_case(&agreement.part), "alive": agreement.alive, "silent": agreement.silent, "same": agreement.same,
+        "part": lower_case(&agreement.connectivity), "alive": agreement.alive, "silent": agreement.failed, "same": agreement.same_view,
         "agreed": agreement.agreed(), "digest": format!("{:016x}", agreement.digest), "incarnation": membership.own().incarnation,
-        "health": membership.health(), "waiting": membership.waiting(),
-        "parts": peers.division().map(|d| d.parts), "place": peers.division().map(|d| d.place),
+        "health": membership.local_health(), "waiting": membership.queued_claims(),
+        "parts": peers.division().map(|d| d.divisor), "place": peers.division().map(|d| d.part_index),
         "known": membership.members().count(), "members": members,
     })
 }
--- a/src/versions/keeper.rs
+++ b/src/versions/store_thread.rs
@@ -3,11 +3,11 @@
 
 use super::rules::{self, CheckContext};
 use crate::config::version::{Effective, effective};
-use crate::net::{Poll, Worker};
-use ochreward_stream::last_good::LastGood;
-use ochreward_stream::subscriber::Ticket;
+use crate::net::{BackgroundThread, Poll};
+use ochreward_stream::last_good::VersionStore;
+use ochreward_stream::subscriber::OfferId;
 use ochreward_stream::wire::{Code, Fault};
-use ochreward_stream::{Memory, Snapshot, Version};
+use ochreward_stream::{Snapshot, SubscriberState, Version};
 use serde_json::Value;
 use std::io;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 /// A job for the thread.
 pub enum Job {
     /// Read a version over the instance's own file, check it against the rules, and store it as the one on trial.
-    Check(Ticket, Arc<Snapshot>, Arc<Value>, Box<CheckContext>),
+    Check(OfferId, Arc<Snapshot>, Arc<Value>, Box<CheckContext>),
     /// Read the version to roll back to, and delete the one on trial.
     RollBack(Option<Arc<Snapshot>>, Arc<Value>),
     /// Store the version on trial as the last good one.
     Promote(Version),
     /// Store the subscriber's memory.
-    SaveMemory(Memory),
+    SaveMemory(SubscriberState),
 }
 
 /// The outcome of a check: the configuration to run, or why the version is refused.
@@ -30,7 +30,7 @@
 /// The result of a job.
 pub enum JobResult {
     /// The outcome of a check, with the own file that the version was read over.
-    Checked(Ticket, Arc<Snapshot>, Arc<Value>, CheckOutcome),
+    Checked(OfferId, Arc<Snapshot>, Arc<Value>, CheckOutcome),
     /// The configuration to roll back to.
     RolledBack(Result<Box<Effective>, Vec<Fault>>),
     /// A file could not be written: what it holds, and why.
@@ -38,15 +38,15 @@
 }
 
 /// The event loop's handle of the thread.
-pub type VersionThread = Worker<Job, JobResult>;
+pub type VersionThread = BackgroundThread<Job, JobResult>;
 
 /// Starts the thread.
-pub fn start(poll: &mut Poll, owner: u8, files: Option<LastGood>) -> io::Result<VersionThread> {
-    Worker::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
+pub fn start(poll: &mut Poll, owner: u8, files: Option<VersionStore>) -> io::Result<VersionThread> {
+    BackgroundThread::start(poll, (owner, 0), "versions", move |job| run_job(files.as_ref(), job))
 }
 
 /// Runs one job; returns its result if the loop has to act on it.
-fn run_job(files: Option<&LastGood>, job: Job) -> Option<JobResult> {
+fn run_job(files: Option<&VersionStore>, job: Job) -> Option<JobResult> {
     let write_failed = |what, result: io::Result<()>| result.err().map(|e| JobResult::WriteFailed(what, e));
     match job {
         Job::Check(ticket, snapshot, own_file, context) => {
@@ -62,16 +62,17 @@
             Some(JobResult::Checked(ticket, snapshot, own_file, checked))
         }
         Job::RollBack(snapshot, own_file) => {
-            let discarded = files.map_or(Ok(()), LastGood::discard_trial);
+            let discarded = files.map_or(Ok(()), VersionStore::discard_trial);
             if let Err(e) = discarded {
                 tracing::warn!(reason = %e, "the file of the version on trial could not be removed");
             }
             Some(JobResult::RolledBack(read(snapshot.as_deref(), &own_file)))
         }
-        Job::Promote(_) => write_failed("the last good version", files.map_or(Ok(()), LastGood::promote)),
-        Job::SaveMemory(memory) => {
-            write_failed("what is remembered of the service", files.map_or(Ok(()), |f| f.remember(&memory)))
-        }
+        Job::Promote(_) => write_failed("the last good version", files.map_or(Ok(()), VersionStore::promote)),
+        Job::SaveMemory(memory) => write_failed(
+            "what is remembered of the service",
+            files.map_or(Ok(()), |f| f.store_memory(&memory)),
+        ),
     }
 }
 
--- a/src/versions/stream.rs
+++ b/src/versions/stream.rs
@@ -4,15 +4,15 @@
 //! those that change the running configuration: these are left to the caller as [`StreamEvent`]s. Two messages fit into
 //! each buffer, and the size of a version is bounded by the memory limit and [`MAX_VERSION_BYTES`].
 
-use super::keeper::{self, Job, JobResult, VersionThread};
 use super::rules::CheckContext;
+use super::store_thread::{self, Job, JobResult, VersionThread};
 use crate::config::{Stream as StreamConfig, version::Effective};
 use crate::counters::{Counters, add, count};
-use crate::net::{Callbacks, Link, Malformed, Poll, Ready, Ring};
-use ochreward_stream::last_good::LastGood;
-use ochreward_stream::subscriber::{Memory, Options, Step, Subscriber, Ticket};
+use crate::net::{Connection, Malformed, Poll, PollEvent, ProtocolHandler, Ring};
+use ochreward_stream::last_good::VersionStore;
+use ochreward_stream::subscriber::{Action, OfferId, Options, Subscriber, SubscriberState};
 use ochreward_stream::trial::{Rules, Verdict};
-use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MOST_FRAME};
+use ochreward_stream::wire::{self, Code, Fault, FromService, Health, MAX_FRAME_BYTES};
 use ochreward_stream::{Snapshot, Version};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -24,8 +24,8 @@
 use tracing::{info, warn};
 
 /// The sizes of the buffers for received and sent messages, in bytes.
-const INPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
-const OUTPUT_BYTES: usize = 2 * (MOST_FRAME + 4);
+const INPUT_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
+const OUTPUT_BYTES: usize = 2 * (MAX_FRAME_BYTES + 4);
 /// The largest version accepted, whatever the memory limit.
 const MAX_VERSION_BYTES: u64 = 16 << 20;
 /// A version may take the memory limit divided by this.
@@ -34,16 +34,16 @@
 /// Parses the messages of the connection.
 struct FrameParser;
 
-impl Callbacks for FrameParser {
+impl ProtocolHandler for FrameParser {
     type Out = Vec<FromService>;
 
-    fn received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
+    fn on_received(&mut self, input: &mut Ring, out: &mut Vec<FromService>) -> Result<(), Malformed> {
         loop {
             let Some(body) = wire::body(input.contiguous()).map_err(|e| Malformed(e.0))? else {
                 return Ok(());
             };
             let size = body.len() + 4;
-            out.push(wire::parse(body).map_err(|e| Malformed(e.0))?);
+            out.push(wire::decode(body).map_err(|e| Malformed(e.0))?);
             input.consume(size);
         }
     }
@@ -52,9 +52,9 @@
 /// An action for the caller.
 pub enum StreamEvent {
     /// A version has arrived: call `check` with what it is to be checked against.
-    Check(Ticket, Arc<Snapshot>),
+    Check(OfferId, Arc<Snapshot>),
     /// Check a version against the rules as of now, take it into use, and report the result with `applied`.
-    Apply(Ticket, Box<Effective>),
+    Apply(OfferId, Box<Effective>),
     /// Roll back to this configuration without checking it.
     RollBack(Box<Effective>),
 }
@@ -83,17 +83,17 @@
 pub struct ConfigStream {
     options: Options,
     subscriber: Subscriber,
-    link: Option<Link<FrameParser>>,
+    link: Option<Connection<FrameParser>>,
     owner: u8,
     thread: VersionThread,
-    files: Option<LastGood>,
+    files: Option<VersionStore>,
     /// Whether another process of the instance has the stream.
     standby: bool,
     /// The modification times and sizes of the files when they were last read on standby.
     file_stamps: Vec<Option<(SystemTime, u64)>>,
     folder: Option<PathBuf>,
     /// Versions that passed the check, in the order in which they are to be applied.
-    checked: VecDeque<(Ticket, Box<Effective>)>,
+    checked: VecDeque<(OfferId, Box<Effective>)>,
     /// The buffer for received messages, kept for its capacity.
     received: Vec<FromService>,
     /// The current content of the instance's own file.
@@ -117,7 +117,7 @@
         let configured = config.folder.as_ref().map(|f| f.join(start.name));
         let folder = configured.or(start.folder.map(|f| f.join("versions")));
         let files = folder.clone().and_then(|folder| {
-            let opened = LastGood::open(folder, start.name);
+            let opened = VersionStore::open(folder, start.name);
             opened
                 .inspect_err(
                     |e| warn!(reason = %e, "versions can't be stored; they are lost when the process ends"),
@@ -129,17 +129,17 @@
             (Some(files), true) => files.load_running(),
             (Some(files), false) => files.load(),
         };
-        for (file, why) in &loaded.passed_over {
+        for (file, why) in &loaded.unusable_files {
             warn!(instance = start.name, file, %why, "a stored version is not used");
         }
-        let memory = files.as_ref().map(LastGood::memory);
+        let memory = files.as_ref().map(VersionStore::load_memory);
         let memory = match memory {
             Some(Ok(memory)) => memory,
             Some(Err(why)) if why != ochreward_stream::last_good::Unusable::Missing => {
                 warn!(instance = start.name, %why, "the stored state of the subscription is not used");
-                Memory::default()
+                SubscriberState::default()
             }
-            _ => Memory::default(),
+            _ => SubscriberState::default(),
         };
         if !start.standby
             && let Some(files) = &files
@@ -160,7 +160,7 @@
         let running = loaded.snapshot.map(|(snapshot, _)| snapshot);
         let good = files.as_ref().and_then(|f| f.load().snapshot).map(|(s, _)| s);
         let subscriber = Subscriber::new(options.clone(), now, memory, running.clone(), good);
-        let thread = keeper::start(poll, thread_owner, files.clone())?;
+        let thread = store_thread::start(poll, thread_owner, files.clone())?;
         let mut stream = ConfigStream {
             options,
             subscriber,
@@ -190,15 +190,18 @@
     /// Discards the stored version, which is invalid over the instance's own file: the stream continues as if there were
     /// none.
     pub fn discard_stored_version(&mut self, now: u64) {
-        let memory =
-            Memory { highest: Version::default(), content: None, ..self.subscriber.memory().clone() };
+        let memory = SubscriberState {
+            highest: Version::default(),
+            content: None,
+            ..self.subscriber.memory().clone()
+        };
         self.subscriber = Subscriber::new(self.options.clone(), now, memory, None, None);
         self.update_gauges();
     }
 
     /// Returns when `advance` is next due.
     pub fn due(&self) -> u64 {
-        if self.standby { u64::MAX } else { self.subscriber.due() }
+        if self.standby { u64::MAX } else { self.subscriber.next_due() }
     }
 
     /// Sets the counters of the running version.
@@ -220,36 +223,36 @@
         }
         let counters = &self.counters;
         let bad = counters.answers_refused.get() + counters.answers_failed.get();
-        let health = Health { answers: counters.answers_served.get() + bad, bad };
+        let health = Health { answers: counters.answers_served.get() + bad, failed: bad };
         self.subscriber.advance(now, health);
         self.run_steps(poll, now);
     }
 
     /// Handles a ready descriptor of the stream or of the version thread.
-    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: Ready) {
-        if self.thread.is(ready.token) {
+    pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
+        if self.thread.owns_token(ready.token) {
             self.handle_results();
         } else if let Some(link) = self.link.as_mut().filter(|l| l.io.token() == ready.token) {
             let was_connecting = link.io.connecting();
             let mut received = std::mem::take(&mut self.received);
             let before = link.io.received;
-            let mut result = link.ready(poll, ready, &mut received);
+            let mut result = link.handle_event(poll, ready, &mut received);
             add(&self.counters.stream_received_bytes, (link.io.received - before) as usize);
             if was_connecting && result.is_ok() && !link.io.connecting() {
-                self.subscriber.connected_now(now);
+                self.subscriber.on_connected(now);
             }
-            if link.io.ended && result.is_ok() {
+            if link.io.read_closed && result.is_ok() {
                 result = Err(crate::net::Closed::Broken);
             }
             for message in received.drain(..) {
                 if let FromService::Refused { why } = &message {
                     warn!(instance = self.options.instance, why, "the control service refused this instance");
                 }
-                self.subscriber.received(now, message);
+                self.subscriber.on_message(now, message);
             }
             self.received = received;
             // The subscriber may have decided to disconnect already.
-            let disconnecting = self.subscriber.steps.iter().any(|s| matches!(s, Step::Disconnect(_)));
+            let disconnecting = self.subscriber.steps.iter().any(|s| matches!(s, Action::Disconnect(_)));
             if let Err(why) = result
                 && !disconnecting
             {
@@ -262,7 +265,7 @@
                 );
                 count(&self.counters.stream_closes);
                 self.link = None;
-                self.subscriber.lost(now);
+                self.subscriber.on_connection_lost(now);
             }
         }
         self.run_steps(poll, now);
@@ -270,7 +273,7 @@
 
     /// Handles the results of the version thread.
     fn handle_results(&mut self) {
-        for result in self.thread.take() {
+        for result in self.thread.take_results() {
             match result {
                 // A SIGHUP has changed the own file meanwhile, so the checked configuration is not the one that would run.
                 JobResult::Checked(ticket, snapshot, own_file, _)
@@ -280,9 +283,9 @@
                 }
                 JobResult::Checked(ticket, _, _, Ok(effective)) => {
                     self.checked.push_back((ticket, effective));
-                    self.subscriber.checked(ticket, Ok(()));
+                    self.subscriber.on_checked(ticket, Ok(()));
                 }
-                JobResult::Checked(ticket, _, _, Err(why)) => self.subscriber.checked(ticket, Err(why)),
+                JobResult::Checked(ticket, _, _, Err(why)) => self.subscriber.on_checked(ticket, Err(why)),
                 JobResult::RolledBack(Ok(effective)) => self.events.push(StreamEvent::RollBack(effective)),
                 JobResult::RolledBack(Err(faults)) => {
                     warn!(fault = ?faults.first(), "the version to roll back to can't be read; the running one stays")
@@ -293,8 +296,8 @@
     }
 
     /// Has the version thread check a version against the context.
-    pub fn check(&self, ticket: Ticket, snapshot: Arc<Snapshot>, context: CheckContext) {
-        self.thread.ask(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
+    pub fn check(&self, ticket: OfferId, snapshot: Arc<Snapshot>, context: CheckContext) {
+        self.thread.submit(Job::Check(ticket, snapshot, self.own_file.clone(), Box::new(context)));
     }
 
     /// Replaces the content of the instance's own file.
@@ -312,11 +315,11 @@
         &mut self,
         poll: &mut Poll,
         now: u64,
-        ticket: Ticket,
+        ticket: OfferId,
         result: Result<(), (Code, Vec<Fault>)>,
     ) {
         let succeeded = result.is_ok();
-        self.subscriber.applied(now, ticket, result);
+        self.subscriber.on_applied(now, ticket, result);
         if succeeded {
             count(&self.counters.versions_applied);
             let version = self.version().unwrap_or_default();
@@ -330,15 +333,15 @@
     fn run_steps(&mut self, poll: &mut Poll, now: u64) {
         while let Some(step) = self.subscriber.steps.pop_front() {
             match step {
-                Step::Connect(to) => {
+                Action::Connect(to) => {
                     count(&self.counters.stream_connects);
                     let token = poll.token(self.owner, 0);
-                    match Link::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
+                    match Connection::connect(poll, to, token, FrameParser, (INPUT_BYTES, OUTPUT_BYTES)) {
                         Ok(link) => self.link = Some(link),
-                        Err(_) => self.subscriber.lost(now),
+                        Err(_) => self.subscriber.on_connection_lost(now),
                     }
                 }
-                Step::Disconnect(why) => {
+                Action::Disconnect(why) => {
                     count(&self.counters.stream_closes);
                     let stale_ms = self.subscriber.stale_for(now).map(|us| us / 1000);
                     info!(
@@ -349,19 +352,19 @@
                     );
                     self.link = None;
                 }
-                Step::Send(message) => {
+                Action::Send(message) => {
                     let Some(link) = &mut self.link else { continue };
-                    let frame = wire::frame(&message);
+                    let frame = wire::encode_frame(&message);
                     add(&self.counters.stream_sent_bytes, frame.len());
                     if !link.io.queue(&frame) || link.flush(poll).is_err() {
                         count(&self.counters.stream_closes);
                         self.link = None;
-                        self.subscriber.lost(now);
+                        self.subscriber.on_connection_lost(now);
                     }
                 }
-                Step::Check(ticket, snapshot) => self.events.push(StreamEvent::Check(ticket, snapshot)),
+                Action::Check(ticket, snapshot) => self.events.push(StreamEvent::Check(ticket, snapshot)),
                 // What is applied is the configuration that the version thread has read and checked.
-                Step::Apply(ticket, _) => {
+                Action::Apply(ticket, _) => {
                     while let Some((checked_ticket, effective)) = self.checked.pop_front() {
                         if checked_ticket == ticket {
                             self.events.push(StreamEvent::Apply(ticket, effective));
@@ -369,21 +372,21 @@
                         }
                     }
                 }
-                Step::Keep(version, verdict) => {
+                Action::Promote(version, verdict) => {
                     let untested = verdict == Verdict::Untested;
                     info!(instance = self.options.instance, %version, untested, "the version on trial is kept as the last good one");
                     count(&self.counters.versions_kept);
-                    self.thread.ask(Job::Promote(version));
+                    self.thread.submit(Job::Promote(version));
                 }
-                Step::Return(to, from, verdict) => {
+                Action::RollBack(to, from, verdict) => {
                     let running = self.version().map_or_else(|| "none".to_string(), |v| v.to_string());
                     warn!(instance = self.options.instance, %from, running, ?verdict, "the version on trial is rolled back");
                     count(&self.counters.versions_returned);
                     self.update_gauges();
-                    self.thread.ask(Job::RollBack(to, self.own_file.clone()));
+                    self.thread.submit(Job::RollBack(to, self.own_file.clone()));
                 }
-                Step::Remember(memory) => self.thread.ask(Job::SaveMemory(memory)),
-                Step::TurnedDown(version, code, faults) => {
+                Action::StoreState(memory) => self.thread.submit(Job::SaveMemory(memory)),
+                Action::Rejected(version, code, faults) => {
                     count(&self.counters.versions_refused);
                     let fault = faults.first().map(Fault::to_string).unwrap_or_default();
                     warn!(instance = self.options.instance, %version, ?code, faults = faults.len(), fault, "a version was refused");
@@ -418,8 +421,8 @@
             return None;
         }
         let good = files.load().snapshot.map(|(s, _)| s);
-        let memory = files.memory().unwrap_or_else(|_| self.subscriber.memory().clone());
-        self.subscriber.follow(running.clone(), good, memory);
+        let memory = files.load_memory().unwrap_or_else(|_| self.subscriber.memory().clone());
+        self.subscriber.adopt(running.clone(), good, memory);
         self.update_gauges();
         Some(running)
     }
@@ -430,11 +433,11 @@
             return;
         }
         let files = self.files.clone();
-        let load = |load: fn(&LastGood) -> ochreward_stream::last_good::Loaded| {
+        let load = |load: fn(&VersionStore) -> ochreward_stream::last_good::Loaded| {
             files.as_ref().and_then(|f| load(f).snapshot).map(|(s, _)| s)
         };
-        let (running, good) = (load(LastGood::load_running), load(LastGood::load));
-        let memory = files.as_ref().and_then(|f| f.memory().ok());
+        let (running, good) = (load(VersionStore::load_running), load(VersionStore::load));
+        let memory = files.as_ref().and_then(|f| f.load_memory().ok());
         let memory = memory.unwrap_or_else(|| self.subscriber.memory().clone());
         // This process runs the version it last followed. The files may be newer, by at most one reading interval; a newer
         // version is not used here, as it does not run here yet.
--- a/src/zones/report.rs
+++ b/src/zones/report.rs
@@ -1,20 +1,20 @@
 //! Reports on zones for operators: as JSON, and as text lines for the command line.
 
 use super::Zones;
-use ochreward_zones::SHARES;
+use ochreward_zones::STEP_SHARES_PER_MILLE;
 use serde_json::{Value, json};
 
 /// Returns the state of all zones as JSON.
 pub fn report(zones: &mut Zones, now: u64) -> Value {
     let lower_case = |value: &dyn std::fmt::Debug| format!("{value:?}").to_lowercase();
-    let (heard, stalls) = (zones.fleet_state.heard(), zones.fleet_state.stalls());
-    let standings = zones.fleet_state.standings(now).into_iter().map(|standing| {
+    let (heard, stalls) = (zones.fleet_state.report_count(), zones.fleet_state.stalls());
+    let standings = zones.fleet_state.status(now).into_iter().map(|standing| {
         let ms_left = |until: u64| until.saturating_sub(now) / 1_000;
         json!({
             "zone": &*standing.zone, "inside": standing.inside,
-            "epoch": standing.place.epoch, "step": standing.place.step,
-            "share": SHARES[usize::from(standing.place.step.min(4))], "reason": lower_case(&standing.place.reason),
-            "since_ms": standing.place.age_ms(now), "not_higher_for_ms": ms_left(standing.place.until),
+            "epoch": standing.state.epoch, "step": standing.state.step,
+            "share": STEP_SHARES_PER_MILLE[usize::from(standing.state.step.min(4))], "reason": lower_case(&standing.state.reason),
+            "since_ms": standing.state.age_ms(now), "not_higher_for_ms": ms_left(standing.state.until),
             "sees": lower_case(&standing.opinion),
             "order": standing.order.map(|(order, _)| lower_case(&order)),
             "order_ms": standing.order.map(|(_, until)| ms_left(until)),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -8,7 +8,7 @@
 
 fn class(effect: Effect) -> Class {
     Class {
-        aim: 500 * MS,
+        latency_target: 500 * MS,
         deadline: 4 * S,
         effect,
         key_scope: KeyScope::Zone,
@@ -20,9 +20,9 @@
 
 fn settings() -> Settings {
     Settings {
-        balancers: 1,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 1,
+        own_index: 0,
+        own_zone: 0,
         classes: vec![class(Effect::Idempotent), class(Effect::Deduplicated), class(Effect::AtMostOnce)],
         tenant_quotas: vec![],
         over_share_worth: 0.1,
@@ -31,12 +31,12 @@
         may_duplicate: true,
         may_cancel: true,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.2,
         warm_after: 10 * S,
         fall_multiple: 2.0,
         fall_window: S,
-        orders: false,
+        load_orders_allowed: false,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: 0,
@@ -52,7 +52,7 @@
 /// Settings whose aims leave room for a load after the hedge delay.
 fn settings_with_long_aims() -> Settings {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| c.aim = 3200 * MS);
+    set.classes.iter_mut().for_each(|c| c.latency_target = 3200 * MS);
     set
 }
 
@@ -77,7 +77,7 @@
         &self.out
     }
 
-    fn list(&mut self, complete: bool, entries: Vec<Listing>) {
+    fn list(&mut self, complete: bool, entries: Vec<WorkerEntry>) {
         self.handle(Event::Workers { complete, entries });
     }
 
@@ -94,10 +94,10 @@
             class,
             tenant,
             function,
-            lanes: 2.0,
+            replica_concurrency: 2.0,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left,
         });
         id
@@ -108,12 +108,21 @@
         id: RequestId,
         attempt: usize,
         outcome: Outcome,
-        found: Found,
+        found: ReplicaStatus,
         latency: Micros,
     ) {
         let last = outcome == Outcome::Ok;
         let (crowd, report) = (None, vec![]);
-        self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            is_final: last,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+        });
     }
 
     /// Returns the worker that the last actions sent to.
@@ -128,12 +137,12 @@
         self.out.iter().any(|a| matches!(a, Action::Refuse { .. }))
     }
 
-    /// Sends `count` requests for the function, each answered by a warm copy in 100 ms.
+    /// Sends `count` requests for the function, each answered by a warm replica in 100 ms.
     fn serve_warm(&mut self, class: usize, function: &str, count: usize) {
         for _ in 0..count {
             let id = self.request(class, function, 4 * S);
             self.now += 100 * MS;
-            self.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+            self.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
         }
     }
 
@@ -147,12 +156,12 @@
         id
     }
 
-    /// Sends a request for the function and answers it after a load, so that the chosen worker holds a copy.
+    /// Sends a request for the function and answers it after a load, so that the chosen worker holds a replica.
     fn warm_up(&mut self, class: usize, function: &str) -> WorkerId {
         let id = self.request(class, function, 4 * S);
         let worker = self.sent_to().expect("sent");
         self.now += 700 * MS;
-        self.end_attempt(id, 0, Outcome::Ok, Found::BeganLoad, 700 * MS);
+        self.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::LoadStarted, 700 * MS);
         worker
     }
 }
@@ -161,23 +170,30 @@
     format!("w{n}").into()
 }
 
-fn healthy(n: usize, ready_at: Option<Micros>) -> Listing {
-    Listing { worker: worker_id(n), zone: n % 2, kind: 0, cell: n, standing: Standing::Healthy, ready_at }
+fn healthy(n: usize, ready_at: Option<Micros>) -> WorkerEntry {
+    WorkerEntry {
+        worker: worker_id(n),
+        zone: n % 2,
+        kind: 0,
+        cell: n,
+        standing: WorkerStatus::Healthy,
+        ready_at,
+    }
 }
 
 #[test]
-fn requests_go_to_the_warm_copy_while_a_lane_is_free() {
+fn requests_go_to_the_warm_replica_while_a_lane_is_free() {
     let mut test = TestRouter::new(settings(), 1, 6);
     let worker = test.warm_up(0, "f");
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker.clone()));
-    // The second lane of the copy is used as well. Only then is a queue there compared with a load elsewhere.
+    // The second lane of the replica is used as well. Only then is a queue there compared with a load elsewhere.
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker));
 }
 
 #[test]
-fn a_copy_idle_past_its_keep_alive_is_not_assumed_loaded() {
+fn a_replica_idle_past_its_keep_alive_is_not_assumed_loaded() {
     let mut test = TestRouter::new(settings(), 1, 6);
     test.warm_up(0, "f");
     test.now += 11 * S;
@@ -210,7 +226,7 @@
     let mut test = TestRouter::new(settings(), 1, 2);
     let worker = test.warm_up(0, "f");
     let other = if worker == worker_id(0) { 1 } else { 0 };
-    test.list(false, vec![Listing { standing: Standing::Draining, ..healthy(1 - other, None) }]);
+    test.list(false, vec![WorkerEntry { standing: WorkerStatus::Draining, ..healthy(1 - other, None) }]);
     test.request(0, "f", 4 * S);
     assert_eq!(test.sent_to(), Some(worker_id(other)));
     test.list(true, vec![]);
@@ -219,7 +235,7 @@
 }
 
 #[test]
-fn a_worker_restart_clears_its_copies() {
+fn a_worker_restart_clears_its_replicas() {
     let mut test = TestRouter::new(settings(), 1, 1);
     test.warm_up(0, "f");
     let now = test.now;
@@ -232,10 +248,10 @@
 fn an_at_most_once_request_that_may_have_run_is_neither_resent_nor_refused() {
     let mut test = TestRouter::new(settings(), 1, 6);
     let id = test.request(2, "f", 4 * S);
-    test.end_attempt(id, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(test.out, vec![Action::Fail { id }]);
     let id = test.request(2, "f", 4 * S);
-    test.end_attempt(id, 0, Outcome::Full, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Full, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_some(), "a full worker proves that it never ran");
 }
 
@@ -245,10 +261,10 @@
     let id = test.request(1, "f", 4 * S);
     let zone = |w: &WorkerId| w[1..].parse::<usize>().expect("a number") % 2;
     let first = test.sent_to().expect("sent");
-    test.end_attempt(id, 0, Outcome::Reset, Found::Untold, 10 * MS);
+    test.end_attempt(id, 0, Outcome::Reset, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(zone(&test.sent_to().expect("resent")), zone(&first));
     test.now += 2900 * MS;
-    test.end_attempt(id, 1, Outcome::Reset, Found::Untold, 10 * MS);
+    test.end_attempt(id, 1, Outcome::Reset, ReplicaStatus::NotReported, 10 * MS);
     assert_eq!(test.out, vec![Action::Fail { id }], "the window is about to close");
 }
 
@@ -265,7 +281,7 @@
             let id = test.request(0, "f", 4 * S);
             assert_eq!(test.sent_to(), Some(worker.clone()));
             test.now += 100 * MS;
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
         }
         test.now += 500 * MS;
         test.handle(Event::Timer { cookie: slow });
@@ -285,7 +301,7 @@
     assert_eq!(test.sent_to(), None);
     test.now += 700 * MS;
     test.handle(Event::Timer { cookie: id });
-    test.end_attempt(id, 0, Outcome::Cancelled, Found::Untold, 1300 * MS);
+    test.end_attempt(id, 0, Outcome::Cancelled, ReplicaStatus::NotReported, 1300 * MS);
     assert!(test.sent_to().is_some_and(|w| w != worker), "{:?}", test.out);
 }
 
@@ -302,7 +318,13 @@
             let fails = worker == bad;
             sends += usize::from(fails);
             let outcome = if fails { Outcome::Error } else { Outcome::Ok };
-            test.end_attempt(id, attempt, outcome, if fails { Found::Untold } else { Found::Warm }, 5 * MS);
+            test.end_attempt(
+                id,
+                attempt,
+                outcome,
+                if fails { ReplicaStatus::NotReported } else { ReplicaStatus::Warm },
+                5 * MS,
+            );
         }
     }
     assert!(sends < 12, "{sends} sends to a worker that only fails");
@@ -319,7 +341,7 @@
             test.now += 5 * MS;
             let Some(worker) = test.sent_to() else { break };
             let outcome = if worker == warm { Outcome::Error } else { Outcome::Miss };
-            test.end_attempt(id, attempt, outcome, Found::Untold, 5 * MS);
+            test.end_attempt(id, attempt, outcome, ReplicaStatus::NotReported, 5 * MS);
         }
     }
     test.request(0, "f", 4 * S);
@@ -327,7 +349,7 @@
 }
 
 #[test]
-fn a_broken_connection_keeps_the_copies_and_the_worker_in_use() {
+fn a_broken_connection_keeps_the_replicas_and_the_worker_in_use() {
     for outcome in [Outcome::Reset, Outcome::Unknown] {
         let mut test = TestRouter::new(settings(), 1, 3);
         let worker = test.warm_up(0, "f");
@@ -335,7 +357,7 @@
         let open: Vec<RequestId> = (0..4).map(|_| test.request(0, "f", 4 * S)).collect();
         test.now += 10 * MS;
         for id in open {
-            test.end_attempt(id, 0, outcome, Found::Untold, 10 * MS);
+            test.end_attempt(id, 0, outcome, ReplicaStatus::NotReported, 10 * MS);
         }
         test.now += 1_000 * MS;
         let id = test.request(0, "f", 4 * S);
@@ -348,16 +370,16 @@
 }
 
 #[test]
-fn recently_used_copies_are_renewed_within_the_load_ration() {
+fn recently_used_replicas_are_renewed_within_the_load_ration() {
     let rationed = Settings {
-        orders: true,
+        load_orders_allowed: true,
         load_window: 5 * S,
         loads_anyway: 6.0,
         loads_per_request: 0.3,
         ..settings()
     };
     let mut test = TestRouter::new(rationed, 1, 3);
-    let copies: Vec<(String, WorkerId)> =
+    let replicas: Vec<(String, WorkerId)> =
         (0..20).map(|n| (format!("f{n}"), test.warm_up(0, &format!("f{n}")))).collect();
     let mut orders: Vec<(Micros, FunctionId)> = Vec::new();
     let mut taken: Vec<Micros> = Vec::new();
@@ -367,8 +389,8 @@
         let id = test.request(0, "other", 4 * S);
         let loads: Vec<_> = test.out.iter().filter(|a| matches!(a, Action::Load { .. })).cloned().collect();
         for load in loads {
-            let Action::Load { worker, function, copies: 1 } = load else { panic!("{load:?}") };
-            assert!(copies.iter().any(|(f, w)| **f == *function && *w == worker) || &*function == "other");
+            let Action::Load { worker, function, replicas: 1 } = load else { panic!("{load:?}") };
+            assert!(replicas.iter().any(|(f, w)| **f == *function && *w == worker) || &*function == "other");
             orders.push((test.now, function));
             let since = test.now - 5 * S;
             let within =
@@ -380,9 +402,9 @@
                 test.now
             );
         }
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 0);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 0);
     }
-    // The last of the copies is renewed, and copies without requests are dropped in the end.
+    // The last of the replicas is renewed, and replicas without requests are dropped in the end.
     assert!(orders.iter().any(|(_, f)| &**f == "f19"), "{orders:?}");
     let before = orders.len();
     test.now += 60 * S;
@@ -399,12 +421,12 @@
     let mut test = TestRouter::new(Settings { cross_zone_price: 0.04, ..settings() }, 1, 1);
     // The only worker is in the other zone. Its estimate is within the time left; with the price added it
     // would not be.
-    test.list(true, vec![Listing { zone: 1, ..healthy(0, None) }]);
+    test.list(true, vec![WorkerEntry { zone: 1, ..healthy(0, None) }]);
     test.warm_up(0, "f");
     test.serve_warm(0, "f", 30);
     test.request(0, "f", 250 * MS);
     assert!(test.sent_to().is_some(), "{:?}", test.out);
-    // With warm copies in both zones, the one in the router's own zone is chosen though it is no faster.
+    // With warm replicas in both zones, the one in the router's own zone is chosen though it is no faster.
     let mut test = TestRouter::new(Settings { cross_zone_price: 0.04, ..settings() }, 1, 2);
     test.list(true, vec![healthy(1, None)]);
     assert_eq!(test.warm_up(0, "f"), worker_id(1));
@@ -415,7 +437,7 @@
         let id = test.request(0, "f", 4 * S);
         assert_eq!(test.sent_to(), Some(worker_id(0)));
         test.now += 100 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
 }
 
@@ -425,13 +447,14 @@
     let kept = test.warm_up(0, "kept");
     for n in 0..3_000 {
         test.now += 20 * S;
-        let workers = [kept.clone(), worker_id(10 + n)].map(|worker| Listing { worker, ..healthy(0, None) });
+        let workers =
+            [kept.clone(), worker_id(10 + n)].map(|worker| WorkerEntry { worker, ..healthy(0, None) });
         test.list(true, workers.to_vec());
         test.warm_up(0, &format!("f{n}"));
     }
-    let (workers, functions, requests) = test.router.held();
+    let (workers, functions, requests) = test.router.entry_counts();
     assert!(workers <= 8 && functions <= 1024 && requests == 0, "{workers} {functions} {requests}");
-    test.list(true, vec![Listing { worker: kept.clone(), ..healthy(0, None) }]);
+    test.list(true, vec![WorkerEntry { worker: kept.clone(), ..healthy(0, None) }]);
     assert_eq!(test.warm_up(0, "kept"), kept);
 }
 
@@ -447,21 +470,21 @@
         let mut attempt = 0;
         if test.sent_to().expect("sent") == full {
             rejected += 1;
-            test.end_attempt(id, attempt, Outcome::Full, Found::Untold, 5 * MS);
+            test.end_attempt(id, attempt, Outcome::Full, ReplicaStatus::NotReported, 5 * MS);
             attempt += 1;
         }
         assert!(test.sent_to().is_some_and(|w| w != full) || attempt == 0, "request {n}: {:?}", test.out);
         test.now += 95 * MS;
-        test.end_attempt(id, attempt, Outcome::Ok, Found::Warm, 95 * MS);
+        test.end_attempt(id, attempt, Outcome::Ok, ReplicaStatus::Warm, 95 * MS);
     }
     assert!(rejected < 20, "{rejected} of 60 went to a worker that rejects all");
     // A miss proves that nothing ran: twenty in a row are all resent.
     let mut test = TestRouter::new(settings(), 1, 3);
     for n in 0..20 {
         let id = test.request(0, &format!("f{n}"), 4 * S);
-        test.end_attempt(id, 0, Outcome::Miss, Found::Untold, 5 * MS);
+        test.end_attempt(id, 0, Outcome::Miss, ReplicaStatus::NotReported, 5 * MS);
         assert!(test.sent_to().is_some(), "request {n}: {:?}", test.out);
-        test.end_attempt(id, 1, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 1, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
 }
 
@@ -481,7 +504,13 @@
 fn all_routers_together_use_a_cold_worker_and_stay_within_its_budget() {
     for balancers in [1, 2, 40, 200] {
         let mut routers: Vec<TestRouter> = (0..balancers)
-            .map(|me| TestRouter::new(Settings { balancers, me, ..settings() }, me as u64, 0))
+            .map(|me| {
+                TestRouter::new(
+                    Settings { dispatcher_count: balancers, own_index: me, ..settings() },
+                    me as u64,
+                    0,
+                )
+            })
             .collect();
         // Each router always has a request to send there, and every request takes the expected 125 ms.
         let mut sends: Vec<Micros> = vec![];
@@ -495,7 +524,7 @@
                 let id = test.request(0, "f", 4 * S);
                 if test.sent_to().is_some() {
                     sends.push(test.now);
-                    test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 125 * MS);
+                    test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 125 * MS);
                 }
             }
         }
@@ -512,7 +541,7 @@
 
 #[test]
 fn a_request_with_little_time_is_sent_to_a_home_that_is_probably_warm() {
-    let mut test = TestRouter::new(Settings { balancers: 80, ..settings() }, 1, 6);
+    let mut test = TestRouter::new(Settings { dispatcher_count: 80, ..settings() }, 1, 6);
     (0..4).for_each(|n| test.serve_warm(0, &format!("f{n}"), 1));
     // The expected load time and the run together exceed these 160 ms; the run alone does not.
     test.request(0, "new", 160 * MS);
@@ -520,7 +549,7 @@
 }
 
 #[test]
-fn a_hedged_request_does_not_load_a_copy_that_would_miss_the_aim() {
+fn a_hedged_request_does_not_load_a_replica_that_would_miss_the_aim() {
     let mut test = TestRouter::new(settings(), 1, 2);
     test.request_past_hedge_delay(0, "f");
     assert_eq!(test.sent_to(), None, "a load of 600 ms can't end within the aim of 500 ms");
@@ -535,7 +564,7 @@
     for _ in 0..4 {
         let id = test.request(1, "g", 4 * S);
         if test.sent_to() == Some(worker.clone()) {
-            test.end_attempt(id, 0, Outcome::Error, Found::Untold, MS);
+            test.end_attempt(id, 0, Outcome::Error, ReplicaStatus::NotReported, MS);
         }
     }
     test.request(1, "g", 4 * S);
@@ -549,23 +578,23 @@
     let mut test = TestRouter::new(settings_with_long_aims(), 1, 6);
     let id = test.request_past_hedge_delay(1, "f");
     assert!(test.sent_to().is_some(), "hedged after the delay");
-    test.end_attempt(id, 0, Outcome::Miss, Found::LoadFailed, 1_500 * MS);
+    test.end_attempt(id, 0, Outcome::Miss, ReplicaStatus::LoadFailed, 1_500 * MS);
     test.now += 1000 * MS;
-    test.end_attempt(id, 1, Outcome::Reset, Found::Untold, 1000 * MS);
+    test.end_attempt(id, 1, Outcome::Reset, ReplicaStatus::NotReported, 1000 * MS);
     assert_eq!(test.sent_to(), None, "2.5 s of 3 have passed since the first send");
 }
 
 #[test]
 fn homes_are_assumed_warm_once_answers_show_that_other_routers_keep_them_warm() {
     for others_keep_it in [true, false] {
-        let mut test = TestRouter::new(Settings { balancers: 80, ..settings() }, 1, 6);
+        let mut test = TestRouter::new(Settings { dispatcher_count: 80, ..settings() }, 1, 6);
         for n in 0..12 {
             let id = test.request(0, &format!("f{n}"), 4 * S);
             assert!(test.sent_to().is_some());
             test.now += 100 * MS;
             let (found, took) = match others_keep_it {
-                true => (Found::Warm, 100 * MS),
-                false => (Found::BeganLoad, 700 * MS),
+                true => (ReplicaStatus::Warm, 100 * MS),
+                false => (ReplicaStatus::LoadStarted, 700 * MS),
             };
             test.end_attempt(id, 0, Outcome::Ok, found, took);
         }
@@ -577,7 +606,7 @@
 #[test]
 fn a_few_lost_attempts_in_a_zone_count_against_its_other_workers() {
     // Twenty workers are in the router's own zone, which is lost, and twenty in the other.
-    let set = Settings { balancers: 100, my_zone: 1, ..settings() };
+    let set = Settings { dispatcher_count: 100, own_zone: 1, ..settings() };
     let mut test = TestRouter::new(set, 1, 40);
     let mut failed = 0;
     for n in 0..60 {
@@ -587,11 +616,11 @@
             let Some(worker) = test.sent_to() else { break };
             let number: usize = worker[1..].parse().expect("a number");
             if number.is_multiple_of(2) {
-                test.end_attempt(id, attempt, Outcome::Ok, Found::Warm, 100 * MS);
+                test.end_attempt(id, attempt, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
                 break;
             }
             failed += 1;
-            test.end_attempt(id, attempt, Outcome::ConnectFailed, Found::Untold, MS);
+            test.end_attempt(id, attempt, Outcome::ConnectFailed, ReplicaStatus::NotReported, MS);
         }
     }
     assert!(failed <= 10, "{failed} attempts went to a zone that is lost");
@@ -599,17 +628,17 @@
 
 #[test]
 fn a_worker_that_has_just_become_a_home_is_not_assumed_warm() {
-    let mut test = TestRouter::new(Settings { balancers: 2, ..settings() }, 1, 6);
+    let mut test = TestRouter::new(Settings { dispatcher_count: 2, ..settings() }, 1, 6);
     // Answers show that other routers keep functions warm at their homes.
     for n in 0..40 {
         let id = test.request(0, &format!("f{n}"), 4 * S);
         test.now += 50 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 50 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 50 * MS);
     }
     let home = test.warm_up(0, "f");
     test.request(0, "f", 500 * MS);
     assert_eq!(test.sent_to(), Some(home.clone()));
-    let gone = Listing { standing: Standing::Gone, worker: home, ..healthy(0, None) };
+    let gone = WorkerEntry { standing: WorkerStatus::Removed, worker: home, ..healthy(0, None) };
     test.list(false, vec![gone]);
     // The load takes 600 ms.
     test.request(0, "f", 500 * MS);
@@ -623,7 +652,7 @@
     test.now += 2 * S;
     test.handle(Event::Timer { cookie: id });
     assert!(test.out.contains(&Action::Fail { id }), "{:?}", test.out);
-    test.end_attempt(id, 0, Outcome::Timeout, Found::Untold, 2 * S);
+    test.end_attempt(id, 0, Outcome::Timeout, ReplicaStatus::NotReported, 2 * S);
     assert!(test.out.is_empty(), "actions after the request ended: {:?}", test.out);
 }
 
@@ -644,7 +673,7 @@
         if test.sent_to() == Some(slow.clone()) {
             test.now += 100 * MS; // shorter than the latency: as if several requests were under way at once
             let sent = std::mem::take(&mut test.out);
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 1200 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 1200 * MS);
             test.out = sent;
         }
     }
@@ -686,7 +715,7 @@
     for _ in 0..60 {
         let id = test.request(0, "f", 60 * S);
         test.now += 100 * MS; // shorter than the latency: as if several requests were under way at once
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 20 * S);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 20 * S);
     }
     test.request(0, "f", 2 * S);
     assert!(test.refused(), "the long run times were not learned: {:?}", test.out);
@@ -701,36 +730,36 @@
 #[test]
 fn invalid_settings_and_events_are_ignored() {
     let absurd = Settings {
-        balancers: 0,
+        dispatcher_count: 0,
         keep_alive: 0,
         max_attempts: 0,
         cold_share: -1.0,
         fall_multiple: f64::NAN,
         fall_window: 0,
         warm_after: 0,
-        classes: vec![Class { aim: 0, ..class(Effect::Idempotent) }],
+        classes: vec![Class { latency_target: 0, ..class(Effect::Idempotent) }],
         ..settings()
     };
     for set in [settings(), absurd] {
         let mut test = TestRouter::new(set, 1, 2);
         (test.next_id, test.now) = (50, S);
-        test.end_attempt(99, 7, Outcome::Ok, Found::Warm, 0);
+        test.end_attempt(99, 7, Outcome::Ok, ReplicaStatus::Warm, 0);
         test.handle(Event::Timer { cookie: u64::MAX });
         test.handle(Event::Abandoned { id: 99 });
         test.handle(Event::Streaming { id: 99 });
         let (worker, function) = ("never seen".into(), "never asked".into());
         let (outcome, latency) = (Outcome::Ok, 0);
-        test.handle(Event::Loaded { worker, function, outcome, latency, copies: 3 });
+        test.handle(Event::Loaded { worker, function, outcome, latency, replicas: 3 });
         let (function, load_time) = ("f".into(), Some(0));
         let odd = Event::Request {
             id: 5,
             class: 77,
             tenant: 9,
             function,
-            lanes: f64::NAN,
+            replica_concurrency: f64::NAN,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left: 0,
         };
         test.handle(odd);
@@ -742,16 +771,16 @@
             class: 0,
             tenant: 9,
             function,
-            lanes: -1.0,
+            replica_concurrency: -1.0,
             load_time,
-            work: None,
-            again: false,
+            work_hint: None,
+            is_retry: false,
             time_left,
         });
         test.handle(Event::Timer { cookie: 6 });
         let id = test.request(0, "f", S);
-        test.end_attempt(id, 9, Outcome::Ok, Found::Warm, 1);
-        test.end_attempt(id, 0, Outcome::Unknown, Found::Untold, 0);
+        test.end_attempt(id, 9, Outcome::Ok, ReplicaStatus::Warm, 1);
+        test.end_attempt(id, 0, Outcome::Unknown, ReplicaStatus::NotReported, 0);
     }
 }
 
@@ -763,21 +792,21 @@
 /// Creates a router that inherits the handover, and returns whether it was accepted.
 fn successor(set: Settings, now: Micros, handover: &str, workers: usize) -> (bool, TestRouter) {
     let mut test = TestRouter { router: Router::new(set.clone(), 9, now), now, out: vec![], next_id: 1 };
-    let learned = serde_json::from_str::<ochreward::control::Learned>(handover);
-    let taken = learned.is_ok_and(|l| test.router.inherit(now, l));
+    let learned = serde_json::from_str::<ochreward::control::LearnedState>(handover);
+    let taken = learned.is_ok_and(|l| test.router.restore(now, l));
     test.router.configure(set, &[]);
     test.list(true, (0..workers).map(|n| healthy(n, None)).collect());
     (taken, test)
 }
 
 #[test]
-fn a_successor_inherits_copies_and_learned_times() {
+fn a_successor_inherits_replicas_and_learned_times() {
     let mut old = TestRouter::new(settings(), 1, 6);
     let warm = old.warm_up(0, "f");
     old.serve_warm(0, "f", 20);
     let (taken, mut new) = successor(settings(), old.now, &handover_text(&old), 6);
     assert!(taken);
-    // Too little time for a load: only a router that inherited the copy and the run time sends this.
+    // Too little time for a load: only a router that inherited the replica and the run time sends this.
     new.request(0, "f", 300 * MS);
     assert_eq!(new.sent_to(), Some(warm));
 }
@@ -785,9 +814,9 @@
 #[test]
 fn a_successor_inherits_the_used_part_of_the_load_ration() {
     let mut set = settings();
-    (set.orders, set.load_window, set.loads_anyway) = (true, 5 * S, 1.0 / 0.9);
+    (set.load_orders_allowed, set.load_window, set.loads_anyway) = (true, 5 * S, 1.0 / 0.9);
     let ordered = |test: &mut TestRouter| {
-        // The copy of f is due for renewal; a request for another function triggers the check.
+        // The replica of f is due for renewal; a request for another function triggers the check.
         test.now += 8 * S;
         test.request(0, "other", 4 * S);
         test.out.iter().any(|a| matches!(a, Action::Load { .. }))
@@ -828,12 +857,12 @@
     set.classes[0].effect = Effect::AtMostOnce;
     set.max_attempts = 2;
     test.router.configure(set, &[]);
-    test.end_attempt(old, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(old, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_some(), "it may be resent, as when it arrived");
-    test.end_attempt(old, 1, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(old, 1, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_none(), "but only as often as the new settings allow");
     let new = test.request(0, "f", 4 * S);
-    test.end_attempt(new, 0, Outcome::Error, Found::Untold, 10 * MS);
+    test.end_attempt(new, 0, Outcome::Error, ReplicaStatus::NotReported, 10 * MS);
     assert!(test.sent_to().is_none() && !test.refused());
 }
 
@@ -842,11 +871,11 @@
 /// quarter than before.
 #[test]
 fn every_table_stays_bounded_over_45_minutes() {
-    use ochreward::control::Sizes;
+    use ochreward::control::TableSizes;
     let mut test = TestRouter::new(settings(), 45, 36);
     const FUNCTION_BYTES: usize = 768 << 10;
-    test.router.bound_functions(FUNCTION_BYTES);
-    let (mut generation, mut most_early, mut most_late) = (0, Sizes::default(), Sizes::default());
+    test.router.set_max_function_bytes(FUNCTION_BYTES);
+    let (mut generation, mut most_early, mut most_late) = (0, TableSizes::default(), TableSizes::default());
     let end = 45 * 60 * S;
     let mut n = 0usize;
     while test.now < end {
@@ -863,22 +892,22 @@
         let function = format!("f{}", (n * 7_919) % (if n.is_multiple_of(3) { 20 } else { 5_000 }));
         let id = test.request(0, &function, 2 * S);
         if test.sent_to().is_some() {
-            test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 40 * MS);
+            test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 40 * MS);
         }
         let sizes = test.router.sizes();
         let most = if test.now < end * 3 / 4 { &mut most_early } else { &mut most_late };
-        *most = Sizes {
+        *most = TableSizes {
             workers: most.workers.max(sizes.workers),
             functions: most.functions.max(sizes.functions),
-            dormant: most.dormant.max(sizes.dormant),
+            dormant_functions: most.dormant_functions.max(sizes.dormant_functions),
             function_bytes: most.function_bytes.max(sizes.function_bytes),
             ring_bytes: most.ring_bytes.max(sizes.ring_bytes),
             renewals: most.renewals.max(sizes.renewals),
             requests: most.requests.max(sizes.requests),
-            marks: most.marks.max(sizes.marks),
-            open: most.open.max(sizes.open),
+            replicas: most.replicas.max(sizes.replicas),
+            open_attempts: most.open_attempts.max(sizes.open_attempts),
             zones: most.zones.max(sizes.zones),
-            window: most.window.max(sizes.window),
+            ration_window: most.ration_window.max(sizes.ration_window),
         };
     }
     println!("early {most_early:?}\nlate {most_late:?}");
@@ -887,16 +916,20 @@
     assert!(most_late.functions <= 1_024, "{most_late:?}");
     assert!(most_late.function_bytes <= FUNCTION_BYTES, "{most_late:?}");
     // Every request has ended: none is left under way.
-    assert!(most_late.requests <= 2 && most_late.open <= 2, "{most_late:?}");
-    assert!(most_late.marks <= most_late.workers * 1_024, "{most_late:?}");
+    assert!(most_late.requests <= 2 && most_late.open_attempts <= 2, "{most_late:?}");
+    assert!(most_late.replicas <= most_late.workers * 1_024, "{most_late:?}");
     // No growth: the last quarter needs no more entries than the three before it.
     assert!(
         most_late.workers <= most_early.workers && most_late.functions <= most_early.functions,
         "{most_late:?}"
     );
-    assert!(most_late.marks <= most_early.marks && most_late.window <= most_early.window, "{most_late:?}");
     assert!(
-        most_late.dormant <= most_early.dormant && most_late.renewals <= most_early.renewals,
+        most_late.replicas <= most_early.replicas && most_late.ration_window <= most_early.ration_window,
+        "{most_late:?}"
+    );
+    assert!(
+        most_late.dormant_functions <= most_early.dormant_functions
+            && most_late.renewals <= most_early.renewals,
         "{most_late:?}"
     );
     // The size of the ring is bounded by the number of workers; the spread of its points varies with the
@@ -907,13 +940,22 @@
 // ---- Load reports, quotas, hints and other optional settings ----
 
 impl TestRouter {
-    /// Ends an attempt with an answer of a warm copy and a load report.
+    /// Ends an attempt with an answer of a warm replica and a load report.
     fn end_with_report(&mut self, id: RequestId, attempt: usize, latency: Micros, report: Vec<f64>) {
-        let (last, outcome, found, crowd) = (true, Outcome::Ok, Found::Warm, None);
-        self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+        let (last, outcome, found, crowd) = (true, Outcome::Ok, ReplicaStatus::Warm, None);
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            is_final: last,
+            outcome,
+            found,
+            concurrent_requests: crowd,
+            latency,
+            report,
+        });
     }
 
-    /// Sends one request to each of two workers, so that both hold a copy, and answers it with that worker's
+    /// Sends one request to each of two workers, so that both hold a replica, and answers it with that worker's
     /// report.
     fn warm_up_two(&mut self, reports: [&[f64]; 2]) -> [WorkerId; 2] {
         let first = self.request(0, "f", 4 * S);
@@ -921,7 +963,7 @@
         let other = if &*a == "w0" { 1 } else { 0 };
         // The first worker drains for a moment, so that the next request goes to the other.
         let at = 1 - other;
-        self.list(false, vec![Listing { standing: Standing::Draining, ..healthy(at, None) }]);
+        self.list(false, vec![WorkerEntry { standing: WorkerStatus::Draining, ..healthy(at, None) }]);
         self.request(0, "f", 4 * S);
         let b = self.sent_to().expect("sent");
         self.list(false, vec![healthy(at, None)]);
@@ -996,7 +1038,7 @@
 #[test]
 fn a_retry_of_a_refused_request_is_not_charged_to_the_quota_again() {
     let mut set = settings();
-    (set.tenant_quotas, set.report_fields, set.classes[0].aim) = (vec![10.0], vec![], 500 * MS);
+    (set.tenant_quotas, set.report_fields, set.classes[0].latency_target) = (vec![10.0], vec![], 500 * MS);
     // Two requests stay open, so that a third would wait longer than a request beyond its quota may, but less
     // than the aim.
     let test = || {
@@ -1018,15 +1060,15 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work,
-                again,
+                work_hint: work,
+                is_retry: again,
                 time_left,
             });
             let sent = test.sent_to().is_some();
             if sent {
-                test.end_attempt(id, 0, Outcome::Ok, Found::Untold, 300 * MS);
+                test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::NotReported, 300 * MS);
             }
             sent
         };
@@ -1047,18 +1089,18 @@
 }
 
 #[test]
-fn without_a_load_ration_requests_are_counted_but_no_copies_are_renewed() {
+fn without_a_load_ration_requests_are_counted_but_no_replicas_are_renewed() {
     let mut set = settings();
-    (set.orders, set.load_window, set.keep_alive) = (true, 0, 10 * S);
+    (set.load_orders_allowed, set.load_window, set.keep_alive) = (true, 0, 10 * S);
     let mut test = TestRouter::new(set, 1, 3);
     let mut ordered = 0;
     for _ in 0..400 {
         let id = test.request(0, "f", 4 * S);
         ordered += test.out.iter().filter(|a| matches!(a, Action::Load { .. })).count();
         test.now += 100 * MS;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, 100 * MS);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, 100 * MS);
     }
-    let window = test.router.sizes().window;
+    let window = test.router.sizes().ration_window;
     assert!((40..=51).contains(&window), "half a keep-alive of requests: {window}");
     assert_eq!(ordered, 0);
 }
@@ -1073,7 +1115,17 @@
         test.next_id += 1;
         let (class, tenant, lanes, load_time, again) = (0, 0, 1.0, Some(MS), false);
         let work = Some(work);
-        test.handle(Event::Request { id, class, tenant, function, lanes, load_time, work, again, time_left });
+        test.handle(Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            replica_concurrency: lanes,
+            load_time,
+            work_hint: work,
+            is_retry: again,
+            time_left,
+        });
         id
     };
     for n in 0..300 {
@@ -1081,13 +1133,13 @@
         let id = ask(&mut test, work, 4 * S);
         assert!(test.sent_to().is_some(), "{n}: a heavy request's own work is no queue");
         test.now += work;
-        test.end_attempt(id, 0, Outcome::Ok, Found::Warm, work);
+        test.end_attempt(id, 0, Outcome::Ok, ReplicaStatus::Warm, work);
     }
     // With 100 ms left, a light request can finish and a heavy one cannot.
     let light = ask(&mut test, 20 * MS, 100 * MS);
     assert!(test.sent_to().is_some());
     test.now += 20 * MS;
-    test.end_attempt(light, 0, Outcome::Ok, Found::Warm, 20 * MS);
+    test.end_attempt(light, 0, Outcome::Ok, ReplicaStatus::Warm, 20 * MS);
     ask(&mut test, 180 * MS, 100 * MS);
     assert!(test.refused());
 }
@@ -1101,7 +1153,7 @@
     let first = test.request(0, "f", 4 * S);
     assert!(test.out.iter().any(|a| matches!(a, Action::Send { .. })));
     test.handle(Event::Abandoned { id: first });
-    test.end_attempt(first, 0, Outcome::Moot, Found::Untold, 0);
+    test.end_attempt(first, 0, Outcome::NotSent, ReplicaStatus::NotReported, 0);
     test.now = 500 * MS;
     test.request(0, "f", 4 * S);
     let timers = |out: &[Action]| {
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -14,7 +14,7 @@
 
 fn settings(balancers: usize, me: usize) -> Settings {
     let class = Class {
-        aim: 800 * MS,
+        latency_target: 800 * MS,
         deadline: 3 * S,
         effect: Effect::Idempotent,
         key_scope: KeyScope::All,
@@ -23,9 +23,9 @@
         late_worth: 0.1,
     };
     Settings {
-        balancers,
-        me,
-        my_zone: 0,
+        dispatcher_count: balancers,
+        own_index: me,
+        own_zone: 0,
         classes: vec![class],
         tenant_quotas: vec![],
         over_share_worth: 0.2,
@@ -34,12 +34,12 @@
         may_duplicate: true,
         may_cancel: true,
         max_retry_after: S,
-        tick: MS,
+        min_batch_interval: MS,
         cold_share: 0.15,
         warm_after: 14 * S,
         fall_multiple: 2.0,
         fall_window: 1500 * MS,
-        orders: true,
+        load_orders_allowed: true,
         loads_on_miss: true,
         keep_alive: 10 * S,
         load_window: 5 * S,
@@ -79,13 +79,13 @@
     shares: Vec<f64>,
 }
 
-fn entries(workers: &[(&str, Option<Micros>)]) -> Vec<Listing> {
-    let entry = |(name, ready_at): &(&str, Option<Micros>)| Listing {
+fn entries(workers: &[(&str, Option<Micros>)]) -> Vec<WorkerEntry> {
+    let entry = |(name, ready_at): &(&str, Option<Micros>)| WorkerEntry {
         worker: (*name).into(),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Healthy,
+        standing: WorkerStatus::Healthy,
         ready_at: *ready_at,
     };
     workers.iter().map(entry).collect()
@@ -122,20 +122,20 @@
     }
 
     /// Runs on until `end` with `rate` requests a second in all, at random routers, over so many functions; a
-    /// run at a worker takes `run(worker)`. Copies stand everywhere.
+    /// run at a worker takes `run(worker)`. Replicas stand everywhere.
     fn run(&mut self, end: Micros, rate: f64, functions: u32, run: impl Fn(&str) -> Micros) {
         let gap = (1e6 / rate) as Micros;
         while self.now < end {
             self.now += gap / 2 + Micros::from(self.rng.next_u32()) % gap;
             while let Some(n) = (0..self.out.len()).find(|n| self.out[*n].done <= self.now) {
                 let Out { router, id, sent, done, crowd, .. } = self.out.swap_remove(n);
-                let event = Event::Outcome {
+                let event = Event::AttemptEnded {
                     id,
                     attempt: 0,
-                    last: true,
+                    is_final: true,
                     outcome: Outcome::Ok,
-                    found: Found::Warm,
-                    crowd: Some(crowd),
+                    found: ReplicaStatus::Warm,
+                    concurrent_requests: Some(crowd),
                     latency: done - sent,
                     report: vec![],
                 };
@@ -155,10 +155,10 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work: None,
-                again: false,
+                work_hint: None,
+                is_retry: false,
                 time_left,
             };
             for action in self.tell(router, &event) {
@@ -228,7 +228,7 @@
         let least = 0.2 * capacity * (0.15 + 0.85 / 2.0) * 14.0;
         let sent = sends.len();
         assert!(sent as f64 >= least, "{balancers} routers, seed {seed}: {sent} sent, {least} wanted");
-        let turns: u64 = fleet.routers.iter().map(|r| r.tally().cold_turns).sum();
+        let turns: u64 = fleet.routers.iter().map(|r| r.counters().cold_turns).sum();
         assert_eq!(turns, sends.len() as u64, "{balancers} routers, seed {seed}: each takes a turn");
     }
 }
@@ -236,7 +236,7 @@
 /// What many routers use needs no orders to be held: in sum they are few beside the requests. Before the mend there
 /// were half as many orders as requests.
 #[test]
-fn routers_that_use_the_same_copies_do_not_all_order_them_held() {
+fn routers_that_use_the_same_replicas_do_not_all_order_them_held() {
     for (balancers, seed) in [(37, 1), (37, 2), (100, 1), (100, 2)] {
         let mut fleet = Fleet::new(balancers, seed);
         fleet.list(true, &["a", "b", "c", "d", "e", "f", "g", "h"].map(|w| (w, None)));
@@ -246,7 +246,10 @@
             orders * 50 < requests,
             "{balancers} routers, seed {seed}: {orders} orders, {requests} requests"
         );
-        assert!(fleet.routers.iter().all(|r| r.tally().loads_left > 0), "what is left to others is counted");
+        assert!(
+            fleet.routers.iter().all(|r| r.counters().renewals_skipped > 0),
+            "what is left to others is counted"
+        );
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
 
 fn class(effect: Effect, key_scope: KeyScope) -> Class {
     Class {
-        aim: 500_000,
+        latency_target: 500_000,
         deadline: 3_000_000,
         effect,
         key_scope,
@@ -27,9 +27,9 @@
 
 fn settings(rng: &mut Pcg32) -> Settings {
     Settings {
-        balancers: 2,
-        me: 0,
-        my_zone: 0,
+        dispatcher_count: 2,
+        own_index: 0,
+        own_zone: 0,
         classes: vec![
             class(Effect::Idempotent, KeyScope::All),
             class(Effect::Deduplicated, KeyScope::Zone),
@@ -44,12 +44,12 @@
         may_duplicate: rng.next_u32().is_multiple_of(2),
         may_cancel: rng.next_u32().is_multiple_of(2),
         max_retry_after: 1_000_000,
-        tick: 2_000,
+        min_batch_interval: 2_000,
         cold_share: 0.2,
         warm_after: 10_000_000,
         fall_multiple: 3.0,
         fall_window: 2_000_000,
-        orders: true,
+        load_orders_allowed: true,
         loads_on_miss: true,
         keep_alive: 8_000_000,
         load_window: 5_000_000,
@@ -68,9 +68,9 @@
     let mut pick = |n: u32| rng.next_u32() % n;
     // With more routers, turns at cold workers that lapse are made up for by further turns, which cannot be
     // checked for one router alone: tests/fleet.rs counts them over all routers.
-    set.balancers = 1 + pick(2) as usize;
-    set.me = pick(set.balancers as u32) as usize;
-    set.my_zone = pick(3) as usize;
+    set.dispatcher_count = 1 + pick(2) as usize;
+    set.own_index = pick(set.dispatcher_count as u32) as usize;
+    set.own_zone = pick(3) as usize;
     set.max_attempts = 1 + pick(5) as usize;
     set.max_retry_after = u64::from(pick(2)) * 2_000_000;
     set.tenant_quotas = (0..pick(4)).map(|n| f64::from(n) * 15.0).collect();
@@ -84,14 +84,14 @@
     set.warm_after = [5_000_000, 18_000_000][pick(2) as usize];
     set.fall_window = [1_500_000, 3_000_000][pick(2) as usize];
     set.fall_multiple = [2.0, 3.0][pick(2) as usize];
-    set.orders = pick(2) == 0;
+    set.load_orders_allowed = pick(2) == 0;
     set.load_window = u64::from(pick(2)) * 5_000_000;
     set.loads_anyway = f64::from(pick(7));
     set.keep_alive = [7_000_000, 8_600_000, 13_000_000][pick(3) as usize];
     set.memory_price = [0.0, 0.05][pick(2) as usize];
     set.cross_zone_price = [0.0, 0.02, 0.5][pick(3) as usize];
     for class in &mut set.classes {
-        class.aim = [1, 400_000, 750_000][pick(3) as usize];
+        class.latency_target = [1, 400_000, 750_000][pick(3) as usize];
         class.repeat_window = [0, 2_000_000, 5_000_000][pick(3) as usize];
         class.credit = [0.0, 1.0, 5.0][pick(3) as usize];
     }
@@ -116,7 +116,7 @@
 struct Simulation {
     rng: Pcg32,
     set: Settings,
-    /// Requests that one copy runs at a time.
+    /// Requests that one replica runs at a time.
     lanes: f64,
     /// Whether clients send work hints and flag retries.
     hints: bool,
@@ -127,7 +127,7 @@
     slack: f64,
     router: Router,
     now: Micros,
-    list: Vec<Listing>,
+    list: Vec<WorkerEntry>,
     requests: BTreeMap<RequestId, RequestRecord>,
     timers: Vec<(Micros, u64)>,
     open_orders: Vec<(Micros, WorkerId, FunctionId)>,
@@ -149,13 +149,13 @@
     }
 
     fn with(seed: u64, rng: Pcg32, set: Settings, zones: usize, (lanes, hints): (f64, bool)) -> Simulation {
-        let list: Vec<Listing> = (0..6)
-            .map(|n| Listing {
+        let list: Vec<WorkerEntry> = (0..6)
+            .map(|n| WorkerEntry {
                 worker: format!("worker-{n}").into(),
                 zone: n % zones,
                 kind: n % 2,
                 cell: n,
-                standing: Standing::Healthy,
+                standing: WorkerStatus::Healthy,
                 ready_at: None,
             })
             .collect();
@@ -204,7 +204,7 @@
 
     fn check_action(&mut self, action: Action) {
         match action {
-            Action::Send { id, worker, until } => self.check_send(id, self.index(&worker), until),
+            Action::Send { id, worker, deadline: until } => self.check_send(id, self.index(&worker), until),
             Action::Refuse { id, .. } => {
                 let class = &self.set.classes[self.requests[&id].class];
                 let request = &self.requests[&id];
@@ -225,16 +225,16 @@
                     t.closes = t.closes.min(self.now + 1_000);
                 }
             }
-            Action::Load { worker, function, copies } => {
+            Action::Load { worker, function, replicas } => {
                 let index = self.index(&worker);
                 assert!(
-                    self.set.orders && self.set.load_window > 0,
+                    self.set.load_orders_allowed && self.set.load_window > 0,
                     "a load order although none is allowed or rationed"
                 );
-                if copies > 0 {
+                if replicas > 0 {
                     assert_eq!(
                         self.list[index].standing,
-                        Standing::Healthy,
+                        WorkerStatus::Healthy,
                         "load ordered at a worker that is not healthy"
                     );
                     self.load_orders.push_back(self.now);
@@ -249,7 +249,7 @@
                 self.open_orders.push((due, worker, function));
             }
             Action::Timer { at, cookie } => self.timers.push((at, cookie)),
-            Action::Watch => panic!("asked for the list although it is pushed"),
+            Action::WatchWorkers => panic!("asked for the list although it is pushed"),
         }
     }
 
@@ -263,7 +263,7 @@
 
     fn check_send(&mut self, id: RequestId, worker: usize, until: Option<Micros>) {
         let listing = &self.list[worker];
-        assert_eq!(listing.standing, Standing::Healthy, "sent to a worker that is not healthy");
+        assert_eq!(listing.standing, WorkerStatus::Healthy, "sent to a worker that is not healthy");
         let request = &self.requests[&id];
         let class = &self.set.classes[request.class];
         assert!(!request.answered, "sent after the request ended");
@@ -307,13 +307,14 @@
             self.answers.retain(|t| *t + window > self.now);
             // A cold peer counts by its share of capacity, so that the rate stays that of a warm worker where
             // most peers are cold.
-            let warmth = |l: &Listing| {
+            let warmth = |l: &WorkerEntry| {
                 let age = l.ready_at.map_or(f64::INFINITY, |r| self.now.saturating_sub(r) as f64);
                 (self.set.cold_share + (1.0 - self.set.cold_share) * age / self.set.warm_after as f64)
                     .min(1.0)
             };
-            let peers = self.list.iter().filter(|l| l.standing == Standing::Healthy).map(warmth).sum::<f64>();
-            let routers = self.set.balancers as f64;
+            let peers =
+                self.list.iter().filter(|l| l.standing == WorkerStatus::Healthy).map(warmth).sum::<f64>();
+            let routers = self.set.dispatcher_count as f64;
             let each = (routers * self.answers.len() as f64 / window as f64 / peers.max(1.0)).max(1.0 / 60e3);
             let budget = self.set.fall_multiple * share * self.set.fall_window as f64 * each;
             // A cold worker that is alone, or nearly, has no peers whose rate could be compared with, so where the
@@ -363,16 +364,16 @@
                 _ => Outcome::Ok,
             };
             let found = match self.below(4) {
-                0 if outcome == Outcome::Ok => Found::BeganLoad,
-                0 if matches!(outcome, Outcome::Error | Outcome::Miss) => Found::LoadFailed,
-                _ if outcome == Outcome::Ok => Found::Warm,
-                _ => Found::Untold,
+                0 if outcome == Outcome::Ok => ReplicaStatus::LoadStarted,
+                0 if matches!(outcome, Outcome::Error | Outcome::Miss) => ReplicaStatus::LoadFailed,
+                _ if outcome == Outcome::Ok => ReplicaStatus::Warm,
+                _ => ReplicaStatus::NotReported,
             };
             let request = self.requests.get_mut(&id).expect("listed above");
             let t = &mut request.attempts[attempt];
             t.open = false;
             t.may_have_run =
-                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Miss | Outcome::Moot);
+                !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Miss | Outcome::NotSent);
             if outcome == Outcome::Ok && !request.answered {
                 request.answered = true;
                 self.end_count += 1;
@@ -384,7 +385,16 @@
             let odd = [0.0, 3.0, 9.0, -1.0, 1e300, f64::NAN, f64::INFINITY];
             let report = (0..self.below(4)).map(|_| odd[self.below(7) as usize]).collect();
             let crowd = Some(self.below(9) as u32);
-            self.handle(Event::Outcome { id, attempt, last, outcome, found, crowd, latency, report });
+            self.handle(Event::AttemptEnded {
+                id,
+                attempt,
+                is_final: last,
+                outcome,
+                found,
+                concurrent_requests: crowd,
+                latency,
+                report,
+            });
         }
     }
 
@@ -399,8 +409,8 @@
         self.open_orders.extend(rest);
         for (_, worker, function) in due {
             let outcome = [Outcome::Ok, Outcome::Full, Outcome::Error][self.below(3) as usize];
-            let copies = self.below(3) as u32;
-            self.handle(Event::Loaded { worker, function, outcome, latency: 5_000, copies });
+            let replicas = self.below(3) as u32;
+            self.handle(Event::Loaded { worker, function, outcome, latency: 5_000, replicas });
         }
         for (id, request) in &self.requests {
             assert!(
@@ -413,11 +423,12 @@
             let index = self.below(self.list.len() as u64) as usize;
             let listing = &mut self.list[index];
             match listing.standing {
-                Standing::Healthy => {
-                    listing.standing = if id.is_multiple_of(2) { Standing::Draining } else { Standing::Gone };
+                WorkerStatus::Healthy => {
+                    listing.standing =
+                        if id.is_multiple_of(2) { WorkerStatus::Draining } else { WorkerStatus::Removed };
                 }
                 _ => {
-                    listing.standing = Standing::Healthy;
+                    listing.standing = WorkerStatus::Healthy;
                     listing.ready_at = Some(self.now - 1_000);
                     self.sends[index].clear();
                 }
@@ -440,10 +451,10 @@
                 class,
                 tenant,
                 function,
-                lanes,
+                replica_concurrency: lanes,
                 load_time,
-                work,
-                again,
+                work_hint: work,
+                is_retry: again,
                 time_left,
             });
         }
--- a/tests/sockets/versions.rs
+++ b/tests/sockets/versions.rs
@@ -3,7 +3,7 @@
 
 use crate::id;
 use crate::stand::{Client, Executor, Names, PATIENCE, Program, Reply, config, fields, file, folder};
-use ochreward_control::admin::{self, Ask};
+use ochreward_control::admin::{self, Request};
 use ochreward_stream::wire::{self, Code, Entry, FromService, PROTOCOL, ToService};
 use ochreward_stream::{Digest, Kind, Version};
 use serde_json::{Value, json};
@@ -58,18 +58,18 @@
         Control::on(&store, &address.to_string(), &rollout)
     }
 
-    fn ask(&self, ask: &Ask, document: Option<&str>) -> Result<Value, String> {
+    fn ask(&self, ask: &Request, document: Option<&str>) -> Result<Value, String> {
         let client = admin::Client::connect(self.program.address).map_err(|e| e.to_string())?;
-        client.ask(ask, document).map_err(|e| e.to_string())
+        client.request(ask, document).map_err(|e| e.to_string())
     }
 
     fn publish(&self, document: &str) -> String {
-        let answer = self.ask(&Ask::Publish { at_once: true }, Some(document)).expect("published");
+        let answer = self.ask(&Request::Publish { at_once: true }, Some(document)).expect("published");
         answer["version"].as_str().expect("a version").to_string()
     }
 
     fn status(&self) -> Value {
-        self.ask(&Ask::Status {}, None).expect("a status")
+        self.ask(&Request::Status {}, None).expect("a status")
     }
 
     /// Waits until the instance is known to run the version.
@@ -181,7 +181,8 @@
     }
     bed.serves(&mut client, 2);
     // What no version may say is not even published.
-    let faults = control.ask(&Ask::Publish { at_once: true }, Some("[fleet.settings.limits]\nsend_cap = 0"));
+    let faults =
+        control.ask(&Request::Publish { at_once: true }, Some("[fleet.settings.limits]\nsend_cap = 0"));
     assert!(faults.as_ref().is_err_and(|e| e.contains("fleet.settings.limits.send_cap")), "{faults:?}");
     // Whether a drain rule is too wide only the platform's file tells: 250 ms where it says nothing.
     let grace = control.publish("[fleet.settings.rules]\nstop_sending_within_us = 300000");
@@ -274,7 +275,7 @@
 
 impl Peer {
     fn send(&mut self, message: &FromService) {
-        self.stream.write_all(&wire::frame(message)).expect("sent");
+        self.stream.write_all(&wire::encode_frame(message)).expect("sent");
     }
 
     /// The next message; none once the connection has ended.
@@ -283,7 +284,7 @@
         self.stream.read_exact(&mut head).ok()?;
         let mut body = vec![0; u32::from_be_bytes(head) as usize];
         self.stream.read_exact(&mut body).ok()?;
-        Some(wire::parse(&body).expect("a message"))
+        Some(wire::decode(&body).expect("a message"))
     }
 
     fn messages(&mut self, version: Version, text: &str) -> Vec<FromService> {
@@ -293,7 +294,7 @@
         let mut out = vec![FromService::Offer { nonce, version, entries: vec![entry] }];
         let mut from = 0;
         while from < text.len() {
-            let piece = wire::piece(text, from).to_string();
+            let piece = wire::next_piece(text, from).to_string();
             from += piece.len();
             out.push(FromService::Part { nonce, kind, text: piece });
         }
@@ -314,7 +315,7 @@
             match self.receive().expect("an answer") {
                 ToService::Ack { nonce, .. } if nonce == self.nonce => return None,
                 ToService::Nack { nonce, code, .. } if nonce == self.nonce => return Some(code),
-                ToService::Beat { .. } | ToService::Reverted { .. } => {}
+                ToService::Heartbeat { .. } | ToService::Reverted { .. } => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -356,7 +357,7 @@
     // Truncated: the connection ends in the middle of a version, and the next one is another's.
     let messages = peer.messages(v(1, 10), &bound(800));
     peer.send(&messages[0]);
-    let half = wire::frame(&messages[1]);
+    let half = wire::encode_frame(&messages[1]);
     peer.stream.write_all(&half[..half.len() / 2]).expect("sent");
     drop(peer);
     // Oversize: what is announced is never allocated, what is no frame ends the connection.
@@ -590,7 +591,7 @@
         })
         .collect();
     until("all are there", || (control.status()["instances"].as_array()?.len() == 5).then_some(()));
-    let answer = control.ask(&Ask::Publish { at_once: false }, Some(&open(900))).expect("published");
+    let answer = control.ask(&Request::Publish { at_once: false }, Some(&open(900))).expect("published");
     assert_eq!(answer["version"], "1.1");
     control.until_runs("n0", "1.1");
     let control = control.restart();
@@ -609,11 +610,11 @@
         "no wave was repeated"
     );
     // The same content twice is one version; one that an instance can't take halts the rollout.
-    let again = control.ask(&Ask::Publish { at_once: false }, Some(&open(900))).expect("published");
+    let again = control.ask(&Request::Publish { at_once: false }, Some(&open(900))).expect("published");
     assert_eq!((&again["version"], &again["new"]), (&json!("1.1"), &json!(false)));
     let version = control
         .ask(
-            &Ask::Publish { at_once: false },
+            &Request::Publish { at_once: false },
             Some("[fleet.limits]\nmemory_mb = 128\n[zone.h1.settings.limits]\nmax_open = 10"),
         )
         .expect("published")["version"]
@@ -636,12 +637,12 @@
         let changed = rollout["changed"].as_array().expect("a list").contains(&name);
         assert_eq!(counter(program, "version_number"), if changed { 2 } else { 1 }, "{name}");
     }
-    let explained = control.ask(&Ask::Explain { instance: "n1".into() }, None).expect("an answer");
+    let explained = control.ask(&Request::Explain { instance: "n1".into() }, None).expect("an answer");
     assert_eq!(explained["version"], "1.1", "nothing more is offered while it is halted");
-    control.ask(&Ask::Resume {}, None).expect("resumed");
+    control.ask(&Request::Resume {}, None).expect("resumed");
     done(&control, "done");
     control.until_runs("n1", &version);
-    let explained = control.ask(&Ask::Explain { instance: "n1".into() }, None).expect("an answer");
+    let explained = control.ask(&Request::Explain { instance: "n1".into() }, None).expect("an answer");
     let layer = |key: &str| {
         let keys = explained["keys"].as_array().expect("keys");
         keys.iter().find(|k| k["key"] == key).map(|k| k["layer"].clone())
@@ -656,7 +657,7 @@
     // It says hello and then takes its version slowly; its rings stay bounded, and others are served.
     let mut slow = TcpStream::connect(control.program.address).expect("a connection");
     let hello = json!({"type": "hello", "protocol": PROTOCOL, "instance": "slow", "running": null});
-    slow.write_all(&wire::frame(&hello)).expect("sent");
+    slow.write_all(&wire::encode_frame(&hello)).expect("sent");
     until("known", || (control.status()["instances"].as_array()?.len() == 1).then_some(()));
     let program = bed.start(&[control.program.address], "trial_ms = 0");
     let ids: Vec<String> = (0..4_000).map(|n| format!("{n:0100}")).collect();
