--- a/src/front/mqtt/front.rs
+++ b/src/front/mqtt/front.rs
@@ -162,7 +162,7 @@
         self.backoff = (self.backoff * 2).min(BACKOFF_MAX_US);
         let token = poll.token(self.id, 0);
         let limits = (options.maximum_packet * 2, 4 << 20);
-        let Ok(mut link) = Link::connect(
+        let Ok(mut link) = Connection::connect(
             poll,
             options.broker,
             token,
--- a/src/front/stations/front.rs
+++ b/src/front/stations/front.rs
@@ -230,7 +230,7 @@
             let decoder =
                 Decoder { max_packet_bytes, version: Version::V5, violation: None, discarding: false };
             if let Ok(link) =
-                Link::accepted(poll, fd, token, decoder, (max_packet_bytes + 5, MAX_UNSENT_BYTES))
+                Connection::accepted(poll, fd, token, decoder, (max_packet_bytes + 5, MAX_UNSENT_BYTES))
             {
                 entry.insert(Station { link, closing_since: None });
                 self.sessions.connection_accepted(now, conn);
