--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,9 @@
-//! The operators' door: HTTP calls that ask whether the process is ready, and leave executors out or take them back.
+//! The operators' HTTP endpoint: readiness, the state of peers, budgets and zones, and commands that ban executors or
+//! override the handling of a zone.
 //!
-//! It reads and writes; what a call does is up to the program's loop. Its connections are few and bounded, with
-//! descriptors of their own, so that no load on the clients' side keeps an operator out.
+//! This module accepts connections, parses requests into [`AdminCommand`]s and writes responses; the program's loop
+//! executes the commands. The number of connections is small and bounded, and descriptors are reserved for them, so
+//! that client load cannot lock operators out.
 
 use crate::api::WorkerId;
 use crate::counters::{Counters, count};
@@ -14,239 +16,255 @@
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 
-/// A caller that has not sent a whole call this long after it connected is told so and closed.
-const SLOW: u64 = 5_000_000;
-/// An answered caller may take this long to close; closing first could cost it the answer.
-const LINGER: u64 = 1_000_000;
-/// Where all places are taken, accepting waits this long for one; and a caller is left at least this long to call.
-const PAUSE: u64 = 5_000;
-const STAY: u64 = 10_000;
-/// Descriptors kept for when the process has run out of them.
-const SPARES: usize = 4;
-/// Bytes of an answer.
-const MOST_ANSWER: usize = 64 * 1024;
+/// The time in which a complete request must arrive after the connect; later the caller gets a 408 and is closed.
+const REQUEST_TIMEOUT_US: u64 = 5_000_000;
+/// The time that an answered caller has to close its end. Closing first could reset the connection and lose the
+/// response.
+const LINGER_US: u64 = 1_000_000;
+/// The pause of accepting while all connections are in use.
+const ACCEPT_PAUSE_US: u64 = 5_000;
+/// The minimum age at which a caller without a request may be evicted.
+const MIN_IDLE_AGE_US: u64 = 10_000;
+/// The number of descriptors reserved for when the process has run out of them.
+const RESERVED_DESCRIPTORS: usize = 4;
+/// The maximum size of a response.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process is ready to serve.
+    /// Reports whether this process is ready to serve.
     Ready,
-    /// To leave an executor out.
+    /// Bans an executor: nothing new is sent to it.
     Detach(WorkerId),
-    /// To use it again.
+    /// Lifts the ban of an executor.
     Attach(WorkerId),
-    /// What is known of peers.
+    /// Reports the known state of peers.
     Peers,
-    /// Budgets that the fleet shares, and the level of admission.
+    /// Reports the budgets shared by the fleet and the admission level.
     Budgets,
-    /// Where the fleet stands to each zone.
+    /// Reports the state of each zone.
     Zones,
-    /// A word on a zone, for so long; none takes it back.
+    /// Sets an override for a zone for a time in microseconds; `None` removes it.
     Zone(String, Option<(zones::Order, u64)>),
 }
 
 struct Caller {
-    link: Connection<Http>,
-    since: u64,
-    /// When it was answered.
-    answered: Option<u64>,
+    connection: Connection<Http>,
+    connected_at: u64,
+    answered_at: Option<u64>,
 }
 
-/// The door.
+/// The operators' HTTP endpoint.
 pub struct AdminEndpoint {
     owner: u8,
     listener: Listener,
     callers: Slab<Caller>,
-    places: usize,
-    spares: Vec<OwnedFd>,
+    max_callers: usize,
+    reserved: Vec<OwnedFd>,
     paused_until: Option<u64>,
     counters: Rc<Counters>,
-    /// Calls that wait for their answer.
+    /// Commands that wait for their response, with the token of their connection.
     pub commands: Vec<(Token, AdminCommand)>,
 }
 
 impl AdminEndpoint {
-    /// Listens on the address, with so many places for callers.
+    /// Listens on `address`, for at most `max_callers` concurrent connections.
     pub fn new(
         poll: &mut Poll,
         owner: u8,
         address: SocketAddr,
-        places: usize,
+        max_callers: usize,
         counters: Rc<Counters>,
     ) -> io::Result<AdminEndpoint> {
         let listener = Listener::bind(poll, owner, address)?;
-        let (callers, orders) = (Slab::new(), Vec::new());
-        let (spares, paused_until) = (Vec::new(), None);
-        let mut door = AdminEndpoint {
+        let (callers, commands) = (Slab::new(), Vec::new());
+        let (reserved, paused_until) = (Vec::new(), None);
+        let mut endpoint = AdminEndpoint {
             owner,
             listener,
             callers,
-            places,
-            spares,
+            max_callers,
+            reserved,
             paused_until,
             counters,
-            commands: orders,
+            commands,
         };
-        door.refill();
-        Ok(door)
+        endpoint.reserve_descriptors();
+        Ok(endpoint)
     }
 
-    /// Keeps descriptors back, as many as there are. Danger: clients take all that the system gives, whatever the
-    /// configuration says, and an operator would not get in.
-    fn refill(&mut self) {
-        while self.spares.len() < SPARES {
-            let Ok(spare) = self.listener.reserve_descriptor() else { return };
-            self.spares.push(spare);
+    /// Reserves descriptors, as far as there are any. Clients may use up all descriptors of the process whatever the
+    /// configured limit, and operators could then not connect.
+    fn reserve_descriptors(&mut self) {
+        while self.reserved.len() < RESERVED_DESCRIPTORS {
+            let Ok(descriptor) = self.listener.reserve_descriptor() else { return };
+            self.reserved.push(descriptor);
         }
     }
 
-    /// The address it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.address().ok()
     }
 
-    /// Handles what happened to a descriptor of the door.
+    /// Handles an event of the listener or of a connection.
     pub fn ready(&mut self, poll: &mut Poll, now: u64, ready: PollEvent) {
         if self.listener.owns_token(ready.token) {
             return self.accept(poll, now);
         }
         let slot = ready.token.slot as usize;
-        let Some(caller) = self.callers.get_mut(slot).filter(|c| c.link.io.token() == ready.token) else {
+        let Some(caller) = self.callers.get_mut(slot).filter(|c| c.connection.io.token() == ready.token)
+        else {
             return;
         };
-        let mut calls = Vec::new();
-        let result = caller.link.handle_event(poll, ready, &mut calls);
-        let unasked = !caller.link.handler.asked();
-        let ended = caller.link.io.read_closed;
-        match (result, calls.pop()) {
-            (_, Some(Ok(asked))) => self.call(poll, now, ready.token, &asked),
-            (_, Some(Err(Bad(status)))) => self.bad(poll, now, ready.token, status),
-            (Err(Closed::Malformed(_)), None) => self.bad(poll, now, ready.token, 400),
+        let mut requests = Vec::new();
+        let result = caller.connection.handle_event(poll, ready, &mut requests);
+        let no_request = !caller.connection.handler.asked();
+        let ended = caller.connection.io.read_closed;
+        match (result, requests.pop()) {
+            (_, Some(Ok(request))) => self.handle_request(poll, now, ready.token, &request),
+            (_, Some(Err(Bad(status)))) => self.reject_malformed(poll, now, ready.token, status),
+            (Err(Closed::Malformed(_)), None) => self.reject_malformed(poll, now, ready.token, 400),
             (Err(_), None) => self.close(slot),
-            // It has sent its last, and that was no whole call.
-            (Ok(()), None) if ended && unasked => self.bad(poll, now, ready.token, 400),
+            // The caller has closed its end without a complete request.
+            (Ok(()), None) if ended && no_request => self.reject_malformed(poll, now, ready.token, 400),
             (Ok(()), None) => {}
         }
-        // Nothing more comes, and all that was owed has gone.
-        let over =
-            |c: &Caller| c.link.io.read_closed && c.answered.is_some() && c.link.io.unsent_bytes() == 0;
-        if self.callers.get(slot).is_some_and(over) {
+        // The caller has closed its end and the response has been sent.
+        let finished = |c: &Caller| {
+            c.connection.io.read_closed && c.answered_at.is_some() && c.connection.io.unsent_bytes() == 0
+        };
+        if self.callers.get(slot).is_some_and(finished) {
             self.close(slot);
         }
     }
 
     fn accept(&mut self, poll: &mut Poll, now: u64) {
         loop {
-            if self.callers.len() >= self.places && !self.evict(now) {
+            if self.callers.len() >= self.max_callers && !self.evict(now) {
                 return self.pause(poll, now);
             }
             match self.listener.accept() {
                 Accepted::Connection(fd) => {
                     let entry = self.callers.vacant_entry();
                     let token = poll.token(self.owner, entry.key());
-                    let limits = (MOST_CALL, MOST_ANSWER);
-                    if let Ok(link) = Connection::accepted(poll, fd, token, Http::default(), limits) {
+                    let limits = (MOST_CALL, MAX_RESPONSE_BYTES);
+                    if let Ok(connection) = Connection::accepted(poll, fd, token, Http::default(), limits) {
                         count(&self.counters.door_accepted);
-                        entry.insert(Caller { link, since: now, answered: None });
+                        entry.insert(Caller { connection, connected_at: now, answered_at: None });
                     }
                 }
                 Accepted::None => return,
-                Accepted::OutOfDescriptors if self.spares.pop().is_some() || self.evict(now) => {}
+                Accepted::OutOfDescriptors if self.reserved.pop().is_some() || self.evict(now) => {}
                 Accepted::OutOfDescriptors => return self.pause(poll, now),
             }
         }
     }
 
-    /// Danger: with no place left, the listener stays readable and the loop would spin on it.
+    /// Stops accepting for a short time. While all connections are in use the listener stays readable, and the loop
+    /// would spin on it.
     fn pause(&mut self, poll: &Poll, now: u64) {
-        self.paused_until = Some(now + PAUSE);
+        self.paused_until = Some(now + ACCEPT_PAUSE_US);
         self.listener.set_accepting(poll, false);
     }
 
-    /// Makes room: answered callers go first, then those that have said nothing, the oldest first. Danger: idle
-    /// callers must not keep the door shut for others; nor may one go whose call has come and was not read yet.
+    /// Closes one caller to make room: answered callers first, then those that have sent nothing, the oldest first.
+    /// Idle callers must not lock others out, and a caller whose request has arrived but was not read yet should not be
+    /// evicted before them.
     fn evict(&mut self, now: u64) -> bool {
-        let spare = |c: &Caller| c.answered.is_some() || (!c.link.handler.asked() && now >= c.since + STAY);
-        let worth = |c: &Caller| (c.answered.is_none(), c.link.io.unparsed_bytes() > 0, c.since);
-        let spare = self.callers.iter().filter(|(_, c)| spare(c));
-        let Some((slot, _)) = spare.min_by_key(|(_, c)| worth(c)) else { return false };
+        let evictable = |c: &Caller| {
+            c.answered_at.is_some()
+                || (!c.connection.handler.asked() && now >= c.connected_at + MIN_IDLE_AGE_US)
+        };
+        let priority =
+            |c: &Caller| (c.answered_at.is_none(), c.connection.io.unparsed_bytes() > 0, c.connected_at);
+        let candidates = self.callers.iter().filter(|(_, c)| evictable(c));
+        let Some((slot, _)) = candidates.min_by_key(|(_, c)| priority(c)) else { return false };
         count(&self.counters.door_evicted);
         self.close(slot);
         true
     }
 
-    fn call(&mut self, poll: &Poll, now: u64, token: Token, asked: &Asked) {
+    fn handle_request(&mut self, poll: &Poll, now: u64, token: Token, request: &Asked) {
         count(&self.counters.door_calls);
-        match order(asked) {
-            Ok(order) => self.commands.push((token, order)),
+        match parse_command(request) {
+            Ok(command) => self.commands.push((token, command)),
             Err((status, why)) => self.answer(poll, now, token, status, why),
         }
     }
 
-    fn bad(&mut self, poll: &Poll, now: u64, token: Token, status: u16) {
+    fn reject_malformed(&mut self, poll: &Poll, now: u64, token: Token, status: u16) {
         count(&self.counters.door_malformed);
         self.answer(poll, now, token, status, "no call that can be read");
     }
 
-    /// Answers a call.
+    /// Sends the response to a request.
     pub fn answer(&mut self, poll: &Poll, now: u64, token: Token, status: u16, text: &str) {
         let slot = token.slot as usize;
-        let Some(caller) = self.callers.get_mut(slot).filter(|c| c.link.io.token() == token) else { return };
+        let Some(caller) = self.callers.get_mut(slot).filter(|c| c.connection.io.token() == token) else {
+            return;
+        };
         count(if status < 300 { &self.counters.door_yes } else { &self.counters.door_no });
-        caller.answered = Some(now);
-        let sent = caller.link.io.queue(&http::answer(status, &format!("{text}\n")));
-        if !sent || caller.link.flush(poll).is_err() {
+        caller.answered_at = Some(now);
+        let queued = caller.connection.io.queue(&http::answer(status, &format!("{text}\n")));
+        if !queued || caller.connection.flush(poll).is_err() {
             return self.close(slot);
         }
-        // Only our side ends: a close with something unread would reset the connection, and cost the answer.
-        caller.link.io.shutdown_write();
+        // Only the sending side is shut down: closing a socket with unread input resets the connection, and the
+        // response could be lost.
+        caller.connection.io.shutdown_write();
     }
 
     fn close(&mut self, slot: usize) {
         self.callers.try_remove(slot);
-        self.refill();
+        self.reserve_descriptors();
     }
 
-    /// Ends callers that kept their call back, or that were answered and stay.
+    /// Closes callers whose request is overdue, and answered ones that do not close their end; resumes accepting.
     pub fn advance(&mut self, poll: &mut Poll, now: u64) {
         if self.paused_until.is_some_and(|until| now >= until) {
             self.paused_until = None;
             self.listener.set_accepting(poll, true);
             self.accept(poll, now);
         }
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (slot, caller) in &self.callers {
-            match caller.answered {
-                Some(at) if now >= at + LINGER => over.push((slot, None)),
-                None if now >= caller.since + SLOW => over.push((slot, Some(caller.link.io.token()))),
+            match caller.answered_at {
+                Some(at) if now >= at + LINGER_US => expired.push((slot, None)),
+                None if now >= caller.connected_at + REQUEST_TIMEOUT_US => {
+                    expired.push((slot, Some(caller.connection.io.token())))
+                }
                 _ => {}
             }
         }
-        for (slot, late) in over {
-            match late {
-                Some(token) => self.bad(poll, now, token, 408),
+        for (slot, overdue) in expired {
+            match overdue {
+                Some(token) => self.reject_malformed(poll, now, token, 408),
                 None => self.close(slot),
             }
         }
     }
 
-    /// When `advance` next has something to do.
+    /// Returns the time at which `advance` is next due.
     pub fn due(&self) -> u64 {
-        let of = |(_, c): (usize, &Caller)| c.answered.map_or(c.since + SLOW, |at| at + LINGER);
-        let callers = self.callers.iter().map(of).min().unwrap_or(u64::MAX);
+        let due = |(_, c): (usize, &Caller)| {
+            c.answered_at.map_or(c.connected_at + REQUEST_TIMEOUT_US, |at| at + LINGER_US)
+        };
+        let callers = self.callers.iter().map(due).min().unwrap_or(u64::MAX);
         callers.min(self.paused_until.unwrap_or(u64::MAX))
     }
 }
 
-/// What a call asks for; else the status and the words of a no.
-fn order(asked: &Asked) -> Result<AdminCommand, (u16, &'static str)> {
+/// Parses a request into a command; on failure returns the status and text of the response.
+fn parse_command(request: &Asked) -> Result<AdminCommand, (u16, &'static str)> {
     const UNKNOWN: (u16, &str) = (404, "no such call");
-    let path = asked.path.split(['?', '#']).next().unwrap_or_default();
+    let path = request.path.split(['?', '#']).next().unwrap_or_default();
     let worker = |id: &str| {
         let id = http::unescape(id).filter(|id| !id.is_empty() && !id.contains('/'));
         id.map(WorkerId::from).ok_or((400, "an executor's id is wanted"))
     };
-    let method = asked.method.as_str();
+    let method = request.method.as_str();
     if path == "/_ready" {
         return if matches!(method, "GET" | "HEAD") {
             Ok(AdminCommand::Ready)
@@ -254,40 +272,41 @@
             Err((405, "GET is wanted"))
         };
     }
-    let asks = match path {
+    let query = match path {
         "/_peers" => Some(AdminCommand::Peers),
         "/_budgets" => Some(AdminCommand::Budgets),
         "/_zones" => Some(AdminCommand::Zones),
         _ => None,
     };
-    if let Some(order) = asks {
-        return if method == "GET" { Ok(order) } else { Err((405, "GET is wanted")) };
+    if let Some(command) = query {
+        return if method == "GET" { Ok(command) } else { Err((405, "GET is wanted")) };
     }
     if let Some(words) = path.strip_prefix("/_zones/") {
-        let order = zone(words).ok_or((400, "/_zones/leave|stay|follow/ZONE/SECONDS is wanted"))?;
-        return if method == "PUT" { Ok(order) } else { Err((405, "PUT is wanted")) };
+        let command =
+            parse_zone_command(words).ok_or((400, "/_zones/leave|stay|follow/ZONE/SECONDS is wanted"))?;
+        return if method == "PUT" { Ok(command) } else { Err((405, "PUT is wanted")) };
     }
     let (verb, id) = path.strip_prefix("/_executors/").and_then(|p| p.split_once('/')).ok_or(UNKNOWN)?;
-    let order = match verb {
+    let command = match verb {
         "detach" => AdminCommand::Detach(worker(id)?),
         "attach" => AdminCommand::Attach(worker(id)?),
         _ => return Err(UNKNOWN),
     };
-    if method == "PUT" { Ok(order) } else { Err((405, "PUT is wanted")) }
+    if method == "PUT" { Ok(command) } else { Err((405, "PUT is wanted")) }
 }
 
-/// A word on a zone: `leave/ZONE/SECONDS`, `stay/ZONE/SECONDS`, or `follow/ZONE`, which takes such a word back.
-fn zone(words: &str) -> Option<AdminCommand> {
+/// Parses an override for a zone: `leave/ZONE/SECONDS` or `stay/ZONE/SECONDS`, or `follow/ZONE`, which removes it.
+fn parse_zone_command(words: &str) -> Option<AdminCommand> {
     let parts: Vec<&str> = words.split('/').collect();
     let seconds =
         |text: &str| text.parse::<u64>().ok().filter(|s| *s > 0).map(|s| s.saturating_mul(1_000_000));
-    let (name, order) = match parts.as_slice() {
+    let (name, override_order) = match parts.as_slice() {
         ["leave", zone, time] => (zone, Some((zones::Order::Leave, seconds(time)?))),
         ["stay", zone, time] => (zone, Some((zones::Order::Stay, seconds(time)?))),
         ["follow", zone] => (zone, None),
         _ => return None,
     };
-    Some(AdminCommand::Zone(http::unescape(name).filter(|n| !n.is_empty())?, order))
+    Some(AdminCommand::Zone(http::unescape(name).filter(|n| !n.is_empty())?, override_order))
 }
 
 #[cfg(test)]
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn each_call_is_told_from_what_is_none() {
-    let of = |method: &str, path: &str| order(&Asked { method: method.into(), path: path.into() });
-    assert_eq!(of("GET", "/_ready"), Ok(AdminCommand::Ready));
-    assert_eq!(of("GET", "/_peers"), Ok(AdminCommand::Peers));
+fn each_request_parses_to_its_command_or_status() {
+    let parse = |method: &str, path: &str| parse_command(&Asked { method: method.into(), path: path.into() });
+    assert_eq!(parse("GET", "/_ready"), Ok(AdminCommand::Ready));
+    assert_eq!(parse("GET", "/_peers"), Ok(AdminCommand::Peers));
     let leave = AdminCommand::Zone("zone-b".into(), Some((zones::Order::Leave, 90_000_000)));
-    assert_eq!(of("PUT", "/_zones/leave/zone-b/90"), Ok(leave));
-    assert_eq!(of("PUT", "/_zones/follow/zone-b"), Ok(AdminCommand::Zone("zone-b".into(), None)));
-    assert_eq!(of("PUT", "/_executors/detach/s-1"), Ok(AdminCommand::Detach("s-1".into())));
-    assert_eq!(of("PUT", "/_executors/attach/s%2D1"), Ok(AdminCommand::Attach("s-1".into())));
-    let no = [
+    assert_eq!(parse("PUT", "/_zones/leave/zone-b/90"), Ok(leave));
+    assert_eq!(parse("PUT", "/_zones/follow/zone-b"), Ok(AdminCommand::Zone("zone-b".into(), None)));
+    assert_eq!(parse("PUT", "/_executors/detach/s-1"), Ok(AdminCommand::Detach("s-1".into())));
+    assert_eq!(parse("PUT", "/_executors/attach/s%2D1"), Ok(AdminCommand::Attach("s-1".into())));
+    let rejected = [
         ("PUT", "/_zones", 405),
         ("GET", "/_zones/leave/a/9", 405),
         ("PUT", "/_zones/leave/a/0", 400),
@@ -23,7 +23,7 @@
         ("PUT", "/_executors/forget/s", 404),
         ("GET", "/", 404),
     ];
-    for (method, path, status) in no {
-        assert_eq!(of(method, path).map_err(|(status, _)| status), Err(status), "{method} {path}");
+    for (method, path, status) in rejected {
+        assert_eq!(parse(method, path).map_err(|(status, _)| status), Err(status), "{method} {path}");
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent: keeps many instances running, tells balancers and operators how each of them is.
+//! The agent: keeps a number of dispatcher instances running and reports the health of each to load balancers and
+//! operators. The instances and the intervals come from the operator's file.
 
 mod instance;
 mod probe;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check` and `schema`: what may stand in a file, and what is wrong with one.
+//! The commands `check`, `schema` and `hash-password`, which need no running process.
 
 use super::{Error, io_error};
 use crate::config::{Config, Faults, Operator, features, version};
@@ -18,18 +18,18 @@
     Version,
 }
 
-/// Names the faults of all files, not only of the first that has one.
+/// Reports the faults of all given files together, and the features that a good configuration enables.
 pub fn check(config: Option<&Path>, operator: Option<&Path>) -> Result<(), Error> {
     let mut faults = Vec::new();
-    let mut read = None;
+    let mut config_result = None;
     if let Some(path) = config {
         let text = std::fs::read_to_string(path).map_err(io_error(path.display().to_string()))?;
-        read = Some(Config::read(&text));
+        config_result = Some(Config::read(&text));
     }
     if let Some(path) = operator {
         match Operator::load(path) {
             Err(found) => faults.push(found),
-            // The users' file is part of what the operator's file says.
+            // The users' file that the operator's file names is checked as part of it.
             Ok(operator) => {
                 let users = operator.stations.as_ref().and_then(|s| stations::users(&s.users).err());
                 faults.extend(users.map(|why| Faults::one("stations.users", why.to_string())));
@@ -37,20 +37,21 @@
         }
     }
     if config.is_none() && operator.is_none() {
-        read = Some(Config::from_environment(false));
+        config_result = Some(Config::from_environment(false));
     }
-    let read = read.map(|r| r.map_err(|e| faults.push(e)));
+    let config_result = config_result.map(|r| r.map_err(|e| faults.push(e)));
     if !faults.is_empty() {
         return Err(Error::Config(Faults(faults.into_iter().flat_map(|f| f.0).collect())));
     }
-    // What the settings make of each part, so that a choice can be told from an oversight.
-    if let Some(Ok(config)) = read {
+    // The list of features lets an operator tell a choice from an oversight.
+    if let Some(Ok(config)) = config_result {
         features::features(&config.parts.settings).iter().for_each(print_line);
     }
     print_line(format_args!("the configuration is good"));
     Ok(())
 }
 
+/// Prints the JSON Schema of a kind of file.
 pub fn schema(kind: Kind) {
     let schema = match kind {
         Kind::Config => Config::schema(),
@@ -60,7 +61,7 @@
     print_line(format_args!("{schema:#}"));
 }
 
-/// Prints the hash of the password that standard input holds, without its line end.
+/// Reads a password from standard input, without its line end, and prints its hash.
 pub fn hash_password() -> Result<(), Error> {
     use std::io::Read;
     let mut password = Vec::new();
@@ -71,7 +72,7 @@
     let mut salt = [0; 16];
     let random = std::fs::File::open("/dev/urandom").and_then(|mut f| f.read_exact(&mut salt));
     random.map_err(io_error("/dev/urandom"))?;
-    let unfit = || Error::Io("the password".to_string(), std::io::ErrorKind::InvalidInput.into());
-    print_line(stations::hash(&password, &salt).ok_or_else(unfit)?);
+    let unusable = || Error::Io("the password".to_string(), std::io::ErrorKind::InvalidInput.into());
+    print_line(stations::hash(&password, &salt).ok_or_else(unusable)?);
     Ok(())
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,5 @@
-//! The command line. Exit codes: 0 yes or done, 1 no or failed, 2 words that make no command.
+//! The command line: parses the arguments and runs the command. Exit codes: 0 for yes or done, 1 for no or failed, 2
+//! for arguments that form no command.
 
 mod agent;
 mod check;
@@ -21,37 +22,37 @@
     args_conflicts_with_subcommands = true,
     after_help = "\
 Examples:
-  ochreward                                     one dispatcher, told by the environment
+  ochreward                                     one dispatcher, configured by the environment
   ochreward run --operator operator.toml        the same, with MQTT triggers or streamed configuration
-  ochreward agent --operator operator.toml      many dispatchers, and what balancers ask of them
-  ochreward check --config n0.json              names every faulty key of a file
+  ochreward agent --operator operator.toml      many dispatchers, with health checks for balancers
+  ochreward check --config n0.json              reports every faulty key of a file
 
 Environment of a dispatcher: ROUTER_NAME, ROUTER_LISTEN, ROUTER_CONFIG; ROUTER_OPS, ROUTER_INHERITED_FD, TMPDIR.
-SIGUSR1 prints its counters, SIGHUP has it read its configuration again, SIGTERM settles everything and ends it.
-Exit codes: 0 yes or done, 1 no or failed, 2 words that make no command."
+SIGUSR1 prints its counters, SIGHUP reloads its configuration, SIGTERM completes open requests and ends it.
+Exit codes: 0 yes or done, 1 no or failed, 2 arguments that form no command."
 )]
-struct Words {
+struct Cli {
     #[command(flatten)]
-    run: Run,
+    run: RunArguments,
     #[command(flatten)]
-    logs: Logs,
+    logs: LogArguments,
     #[command(subcommand)]
-    verb: Option<Verb>,
+    verb: Option<Command>,
 }
 
 #[derive(Args)]
-struct Logs {
-    /// How events are written to standard error
+struct LogArguments {
+    /// The format of log events on standard error
     #[arg(long, global = true, value_enum, default_value_t = Format::Text, value_name = "FORMAT")]
     log_format: Format,
-    /// What is written: a level, or a filter such as `warn,ochreward::node=debug`
+    /// The log filter: a level, or a filter such as `warn,ochreward::node=debug`
     #[arg(long, global = true, env = "OCHREWARD_LOG", default_value = "info", value_name = "FILTER")]
     log_level: String,
 }
 
 #[derive(Args)]
-struct Run {
-    /// The operator's file: MQTT brokers, and the control service that configuration comes from
+struct RunArguments {
+    /// The operator's file: MQTT brokers, and the control service that configuration is streamed from
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// Take no MQTT triggers, whatever the operator's file says
@@ -63,25 +64,25 @@
 }
 
 #[derive(Args)]
-struct At {
-    /// Where the agent answers
+struct AgentAddress {
+    /// The address of the agent
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:8700")]
     agent: SocketAddr,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// One dispatcher, told by ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONFIG
-    Run(Run),
-    /// Keeps the file's instances running and answers balancers
+enum Command {
+    /// Runs one dispatcher, configured by ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONFIG
+    Run(RunArguments),
+    /// Keeps the instances of an operator's file running and answers balancers' health checks
     Agent {
         /// The operator's file
         #[arg(long, value_name = "FILE")]
         operator: PathBuf,
     },
-    /// Reads configuration and names every faulty key
+    /// Checks configuration and reports every faulty key
     #[command(
-        after_help = "Without a file it reads what the environment names.\nExample: ochreward check --config n0.json --operator operator.toml"
+        after_help = "Without a file it checks the configuration that the environment names.\nExample: ochreward check --config n0.json --operator operator.toml"
     )]
     Check {
         /// A dispatcher's configuration, in the platform's JSON
@@ -98,46 +99,46 @@
         #[arg(value_enum)]
         kind: check::Kind,
     },
-    /// The agent's instances, a line each
+    /// Lists the agent's instances, one per line
     Status {
-        /// Nothing but this one
+        /// Only this instance
         name: Option<String>,
         #[command(flatten)]
-        at: At,
+        at: AgentAddress,
     },
-    /// Ready, drain or down; ends with 0 if ready
+    /// Prints ready, drain or down; exits with 0 if ready
     Health {
-        /// The instance; without it, whether any is ready
+        /// The instance; without it, checks whether any is ready
         name: Option<String>,
         #[command(flatten)]
-        at: At,
+        at: AgentAddress,
     },
-    /// Has balancers send an instance nothing new
-    Drain(Named),
-    /// Has balancers use an instance again
-    Ready(Named),
-    /// Drains an instance, ends it and starts it again
-    Restart(Named),
-    /// Drains an instance and ends it
-    Stop(Named),
-    /// What a dispatcher knows of the others of its group
+    /// Makes balancers send an instance nothing new
+    Drain(InstanceArguments),
+    /// Makes balancers use an instance again
+    Ready(InstanceArguments),
+    /// Drains, stops and restarts an instance
+    Restart(InstanceArguments),
+    /// Drains and stops an instance
+    Stop(InstanceArguments),
+    /// Shows a dispatcher's view of its group
     #[command(
-        after_help = "Ends with 0 where all that are alive see the same.\nExample: ochreward peers --door 127.0.0.1:8081"
+        after_help = "Exits with 0 if all dispatchers alive have the same view.\nExample: ochreward peers --door 127.0.0.1:8081"
     )]
     Peers {
-        /// What: all that is known; budgets, leases and the level of admission; or zones
+        /// What to show: everything known of peers; budgets, leases and the admission level; or zones
         #[arg(value_parser = ["all", "budgets", "zones"], default_value = "all")]
         what: String,
-        /// The dispatcher's door
+        /// The address of the dispatcher's operators' endpoint
         #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:8081")]
         door: SocketAddr,
-        /// As JSON
+        /// Prints JSON
         #[arg(long)]
         json: bool,
     },
-    /// The control service, and what it is asked: versions, rollouts, who runs which
+    /// Runs or queries the control service: versions, rollouts, and which instance runs which version
     #[command(subcommand)]
-    Control(control::Words),
+    Control(control::ControlCommand),
     /// Reads a password from standard input and prints its hash for a users' file
     #[command(after_help = "Example: ochreward hash-password < password.txt")]
     HashPassword,
@@ -151,37 +152,37 @@
 }
 
 #[derive(Args)]
-struct Named {
+struct InstanceArguments {
     /// The instance
     name: String,
     #[command(flatten)]
-    at: At,
+    at: AgentAddress,
 }
 
-/// Why a command came to nothing.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The configuration has faults.
     #[error(transparent)]
     Config(#[from] config::Faults),
-    /// Something else went wrong: what, and how.
-    #[error("{0}, {1}: see to the address, the file or the rights that this names")]
+    /// Another operation failed: which, and how.
+    #[error("{0}, {1}: check the address, the file or the permissions that this names")]
     Io(String, io::Error),
-    /// The agent would not.
+    /// The agent answered with an error status.
     #[error("the agent answered {0}: `ochreward status` names the instances that it has")]
     Agent(u16),
-    /// The operators' door would not.
-    #[error("the door answered {0}: docs/on-call.md says what each status wants")]
+    /// The operators' endpoint answered with an error status.
+    #[error("the operators' endpoint answered {0}: docs/on-call.md says what to do for each status")]
     Door(u16),
-    /// The dispatchers of a group see different things.
+    /// The dispatchers of a group have different views.
     #[error(
-        "not all that are alive see the same: ask again in some seconds, then look at `ochreward peers --json`"
+        "not all dispatchers alive have the same view: ask again in some seconds, then look at `ochreward peers --json`"
     )]
     Disagree,
-    /// The control service would not, or a rollout did not get through.
+    /// The control service refused, or a rollout failed.
     #[error(transparent)]
     Control(ochreward_control::cli::Failure),
-    /// The log filter has a fault.
+    /// The log filter is invalid.
     #[error(transparent)]
     Filter(#[from] logs::FilterError),
 }
@@ -190,29 +191,30 @@
     |e| Error::Io(what.into(), e)
 }
 
-/// Does what the words ask for. The error is for standard error; words that make no command end the process with 2.
+/// Parses the arguments and runs the command. The caller prints the error to standard error; arguments that form no
+/// command end the process with code 2.
 pub fn main() -> Result<(), Error> {
-    let words = Words::parse();
-    let _flushed_at_the_end = logs::start(words.logs.log_format, &words.logs.log_level)?;
-    match words.verb.unwrap_or(Verb::Run(words.run)) {
-        Verb::Run(asked) => run(&asked),
-        Verb::Agent { operator } => agent::serve(operator),
-        Verb::Check { config, operator } => check::check(config.as_deref(), operator.as_deref()),
-        Verb::Schema { kind } => {
+    let cli = Cli::parse();
+    let _log_guard = logs::start(cli.logs.log_format, &cli.logs.log_level)?;
+    match cli.verb.unwrap_or(Command::Run(cli.run)) {
+        Command::Run(arguments) => run(&arguments),
+        Command::Agent { operator } => agent::serve(operator),
+        Command::Check { config, operator } => check::check(config.as_deref(), operator.as_deref()),
+        Command::Schema { kind } => {
             check::schema(kind);
             Ok(())
         }
-        Verb::Status { name, at } => agent::order("status", name.as_deref(), at.agent),
-        Verb::Health { name, at } => agent::order("health", name.as_deref(), at.agent),
-        Verb::Drain(named) => agent::order("drain", Some(&named.name), named.at.agent),
-        Verb::Ready(named) => agent::order("ready", Some(&named.name), named.at.agent),
-        Verb::Restart(named) => agent::order("restart", Some(&named.name), named.at.agent),
-        Verb::Stop(named) => agent::order("stop", Some(&named.name), named.at.agent),
-        Verb::Peers { what, door, json } => agent::peers(door, json, &what),
-        Verb::Control(words) => control::run(words),
-        Verb::HashPassword => check::hash_password(),
-        Verb::Completions { shell } => {
-            clap_complete::generate(shell, &mut Words::command(), "ochreward", &mut io::stdout());
+        Command::Status { name, at } => agent::send_command("status", name.as_deref(), at.agent),
+        Command::Health { name, at } => agent::send_command("health", name.as_deref(), at.agent),
+        Command::Drain(instance) => agent::send_command("drain", Some(&instance.name), instance.at.agent),
+        Command::Ready(instance) => agent::send_command("ready", Some(&instance.name), instance.at.agent),
+        Command::Restart(instance) => agent::send_command("restart", Some(&instance.name), instance.at.agent),
+        Command::Stop(instance) => agent::send_command("stop", Some(&instance.name), instance.at.agent),
+        Command::Peers { what, door, json } => agent::peers(door, json, &what),
+        Command::Control(command) => control::run(command),
+        Command::HashPassword => check::hash_password(),
+        Command::Completions { shell } => {
+            clap_complete::generate(shell, &mut Cli::command(), "ochreward", &mut io::stdout());
             Ok(())
         }
     }
@@ -222,30 +224,31 @@
     Ok(Operator::load(path)?)
 }
 
-fn run(asked: &Run) -> Result<(), Error> {
-    if asked.with_parent {
-        // An agent that is killed takes its instances along: the next one could not listen where they do.
+fn run(arguments: &RunArguments) -> Result<(), Error> {
+    if arguments.with_parent {
+        // If the agent is killed its instances must end too: those of the next agent could not listen on their
+        // addresses.
         let signal = Some(rustix::process::Signal::TERM);
         rustix::process::set_parent_process_death_signal(signal)
             .map_err(|e| Error::Io("can't start".to_string(), e.into()))?;
     }
-    let operator = asked.operator.as_deref().map(load).transpose()?.unwrap_or_default();
-    let stream = operator.control.as_ref().and_then(|c| c.stream.clone());
-    let config = Config::from_environment(stream.is_some())?;
+    let operator = arguments.operator.as_deref().map(load).transpose()?.unwrap_or_default();
+    let stream_settings = operator.control.as_ref().and_then(|c| c.stream.clone());
+    let config = Config::from_environment(stream_settings.is_some())?;
     let name = config.name.clone();
-    let brokers = if asked.without_mqtt { Vec::new() } else { operator.brokers_of(&name) };
+    let brokers = if arguments.without_mqtt { Vec::new() } else { operator.brokers_of(&name) };
     let mut node = Node::new(
         config,
         brokers,
-        stream.as_ref(),
+        stream_settings.as_ref(),
         operator.stations,
         (operator.peers, operator.overload, operator.zones),
         operator.function_bytes,
     )
     .map_err(io_error("can't start"))?;
     let address = node.address().map_or_else(String::new, |a| a.to_string());
-    if let Some(door) = node.admin_address() {
-        print_line(format_args!("ochreward {name} answers operators on {door}"));
+    if let Some(endpoint) = node.admin_address() {
+        print_line(format_args!("ochreward {name} answers operators on {endpoint}"));
     }
     if let Some(stations) = node.station_address() {
         print_line(format_args!("ochreward {name} takes stations on {stations}"));
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn the_words_fit_together_and_old_ones_go_on_working() {
-    Words::command().debug_assert();
+fn command_lines_parse_or_exit_with_code_2() {
+    Cli::command().debug_assert();
     let good = [
         "",
         "run",
@@ -28,7 +28,7 @@
     ];
     for words in good {
         let words: Vec<&str> = ["ochreward"].into_iter().chain(words.split_whitespace()).collect();
-        assert!(Words::try_parse_from(&words).is_ok(), "{words:?}");
+        assert!(Cli::try_parse_from(&words).is_ok(), "{words:?}");
     }
     for words in [
         "drain",
@@ -41,7 +41,7 @@
         "control serve",
     ] {
         let words: Vec<&str> = ["ochreward"].into_iter().chain(words.split_whitespace()).collect();
-        let error = Words::try_parse_from(&words).err().map(|e| e.exit_code());
+        let error = Cli::try_parse_from(&words).err().map(|e| e.exit_code());
         assert_eq!(error, Some(2), "{words:?}");
     }
 }
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -1,5 +1,5 @@
-//! `[control]` of the operator's file: where a dispatcher gets its configuration from, and what the control service
-//! of such a fleet is told.
+//! The `[control]` table of the operator's file: the control service that a dispatcher streams its configuration from,
+//! and the settings of the control service itself.
 
 use crate::keys::Key;
 use ochreward_control::Plan;
@@ -7,43 +7,44 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a dispatcher is told of its control service. Without it nothing is streamed.
+/// The settings of a dispatcher's configuration stream. Without them nothing is streamed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stream {
-    /// The services, tried in turn.
+    /// The control services, tried in turn.
     pub services: Vec<SocketAddr>,
-    /// What the instance says of itself, such as `zone`: overlays and waves go by it.
+    /// The instance's labels, such as `zone`; overlays and rollout waves select instances by them.
     pub labels: BTreeMap<String, String>,
-    /// Where the last good version is kept, in a folder of the instance's name; else beside the bans, in `$TMPDIR`.
+    /// The directory of the last good version, kept in a subdirectory named after the instance; by default it is kept
+    /// beside the bans, in `$TMPDIR`.
     pub folder: Option<PathBuf>,
-    /// The first wait after a lost connection, and the longest, in microseconds.
+    /// The first and the longest reconnect backoff, in microseconds.
     pub backoff: (u64, u64),
-    /// Without a word from the service for this long the stream counts as dead, in microseconds.
+    /// The stream is considered dead when nothing was received from the service for this long, in microseconds.
     pub silence: u64,
-    /// How long a version is on trial, in microseconds; 0: never.
+    /// The length of a new version's trial, in microseconds; 0 disables trials.
     pub trial: u64,
-    /// Failures and refusals may grow by this share of the requests during a trial.
+    /// The share of requests by which failures and refusals may grow during a trial.
     pub trial_margin: f64,
-    /// A trial with fewer requests than this says nothing.
+    /// The number of requests below which a trial gives no verdict.
     pub trial_least: u64,
 }
 
-/// What the control service is told.
+/// The settings of the control service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Where versions are kept.
+    /// The directory in which versions are stored.
     pub store: PathBuf,
-    /// Streams at a time.
+    /// The maximum number of concurrent streams.
     pub streams: usize,
-    /// The time between two signs of life, in microseconds.
+    /// The heartbeat interval, in microseconds.
     pub heartbeat: u64,
-    /// How a version is rolled out.
+    /// The plan by which a version is rolled out.
     pub rollout: Plan,
 }
 
-/// Both ends of the stream.
+/// The settings of both ends of the configuration stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Control {
     /// The dispatcher's end.
@@ -54,10 +55,13 @@
 
 pub(super) fn read(key: &Key) -> Control {
     key.only(&["stream", "service"]);
-    Control { stream: key.get("stream").optional(stream), service: key.get("service").optional(service) }
+    Control {
+        stream: key.get("stream").optional(read_stream),
+        service: key.get("service").optional(read_service),
+    }
 }
 
-fn stream(key: &Key) -> Stream {
+fn read_stream(key: &Key) -> Stream {
     key.only(&[
         "services",
         "labels",
@@ -85,32 +89,35 @@
     }
 }
 
-fn service(key: &Key) -> Service {
+fn read_service(key: &Key) -> Service {
     key.only(&["listen", "store", "streams", "heartbeat_ms", "rollout"]);
     Service {
         listen: key.get("listen").address(),
         store: key.get("store").text().into(),
         streams: key.get("streams").between(1, 60_000, 4_096) as usize,
         heartbeat: key.get("heartbeat_ms").between(5, 60_000, 1_000) * 1000,
-        rollout: rollout(&key.get("rollout")),
+        rollout: read_rollout(&key.get("rollout")),
     }
 }
 
-fn rollout(key: &Key) -> Plan {
+fn read_rollout(key: &Key) -> Plan {
     key.given();
     key.only(&["canary", "waves", "answer_ms", "watch_ms"]);
-    let usual = Plan::default();
+    let defaults = Plan::default();
     let canary = key.get("canary");
-    let pair = canary.optional(|k| k.text().split_once('=').map(|(l, v)| (l.to_string(), v.to_string())));
-    canary.must(pair != Some(None), "a label and its value are wanted, such as role=canary");
+    let pair = canary
+        .optional(|k| k.text().split_once('=').map(|(label, value)| (label.to_string(), value.to_string())));
+    canary.must(pair != Some(None), "expected a label and its value, such as role=canary");
     let listed: Vec<f64> = key.get("waves").entries().iter().map(Key::number).collect();
-    let waves = if listed.is_empty() { usual.waves } else { listed };
-    let rising = waves.windows(2).all(|w| w[0] < w[1]) && waves.first().is_some_and(|w| *w > 0.0);
-    key.get("waves").must(rising && waves.last() == Some(&1.0), "shares that rise to 1 are wanted");
+    let waves = if listed.is_empty() { defaults.waves } else { listed };
+    let increasing =
+        waves.windows(2).all(|pair| pair[0] < pair[1]) && waves.first().is_some_and(|share| *share > 0.0);
+    key.get("waves")
+        .must(increasing && waves.last() == Some(&1.0), "expected increasing shares that end with 1");
     Plan {
         canary: pair.flatten(),
         waves,
-        answer: key.get("answer_ms").between(10, 3_600_000, usual.answer / 1000) * 1000,
-        watch: key.get("watch_ms").between(0, 3_600_000, usual.watch / 1000) * 1000,
+        answer: key.get("answer_ms").between(10, 3_600_000, defaults.answer / 1000) * 1000,
+        watch: key.get("watch_ms").between(0, 3_600_000, defaults.watch / 1000) * 1000,
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The one place where configuration is read, checked and given defaults. Messages name the faulty key.
+//! Configuration: reads, checks and defaults every setting of a dispatcher, of the operator's file and of published
+//! versions. Only the file of the stations' users is read elsewhere. Each fault names the key that it concerns.
 
 mod control;
 pub mod features;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's file: MQTT brokers and the agent. Without it both are off.
+//! The operator's file (TOML): MQTT brokers, the agent, the control service, stations, peers, budgets and zones.
+//! A feature whose table is absent is off.
 
 use super::control::{self, Control};
 use crate::front::mqtt::Options;
@@ -9,115 +10,116 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// An instance that the agent keeps running.
+/// A dispatcher instance that the agent keeps running.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where its clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Its configuration file.
+    /// The configuration file.
     pub config: PathBuf,
-    /// Where balancers ask for its agent-check line.
+    /// The address on which load balancers read its agent-check line.
     pub check: Option<SocketAddr>,
-    /// It takes MQTT triggers.
+    /// Whether it takes MQTT triggers.
     pub mqtt: bool,
 }
 
-/// What the agent is told.
+/// The settings of the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Agent {
-    /// Where it answers HTTP: health, status, and the command line's orders.
+    /// The address of its HTTP endpoint: health, status, and the commands of the command line.
     pub listen: SocketAddr,
-    /// The time between two health checks of an instance, in microseconds.
+    /// The interval between health checks of an instance, in microseconds.
     pub check_every: u64,
-    /// An instance that does not answer a health check for this long is down, in microseconds.
+    /// An instance that has not answered a health check for this long is down, in microseconds.
     pub check_timeout: u64,
-    /// How long balancers are told to drain an instance before it is ended, in microseconds.
+    /// How long an instance is reported as draining to load balancers before it is stopped, in microseconds.
     pub drain: u64,
-    /// How long an instance may take to end before it is killed, in microseconds.
+    /// How long an instance may take to exit after SIGTERM before it is killed, in microseconds.
     pub stop_timeout: u64,
     /// The instances.
     pub instances: Vec<Instance>,
 }
 
-/// The operator's file.
+/// The contents of the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
-    /// The brokers to take triggers from; `{name}` still stands for the instance's name.
+    /// The brokers to take triggers from; the placeholder `{name}` is not yet replaced by the instance's name.
     pub brokers: Vec<Options>,
-    /// What the agent is told.
+    /// The settings of the agent.
     pub agent: Option<Agent>,
-    /// The control service that configuration comes from, or that this process is.
+    /// The control service that configuration is streamed from, or that this process runs.
     pub control: Option<Control>,
-    /// Where stations connect to the dispatcher itself.
+    /// The endpoint on which stations connect to the dispatcher directly.
     pub stations: Option<stations::Options>,
-    /// How dispatchers find each other.
+    /// Peer discovery and membership among dispatchers.
     pub peers: Option<peers::Options>,
-    /// Budgets that the fleet shares, and its level of admission.
+    /// Budgets shared by the fleet, and load shedding.
     pub overload: Option<overload::Options>,
-    /// Zones, left and returned to by the fleet as one.
+    /// Zone failover, coordinated across the fleet.
     pub zones: Option<zones::Options>,
-    /// Bytes that functions may take in the module; `None`: as many as the limit on memory leaves.
+    /// The memory that functions may take in the module, in bytes; `None` allows what the memory limit leaves.
     pub function_bytes: Option<usize>,
 }
 
 impl Operator {
-    /// Reads the file.
+    /// Reads the file at `path`.
     pub fn load(path: &Path) -> Result<Operator, Faults> {
         let fault = |why: String| Faults::one(path.display().to_string(), why);
         let text = std::fs::read_to_string(path).map_err(|e| fault(e.to_string()))?;
         Operator::read(&text)
     }
 
-    /// Reads the text of such a file.
+    /// Reads the text of an operator's file.
     pub fn read(text: &str) -> Result<Operator, Faults> {
         let value: Value =
             toml::from_str(text).map_err(|e| Faults::one("(the whole file)", format!("is not TOML: {e}")))?;
         let top = Key::top(&value);
-        let operator = Operator::of(&top);
+        let operator = Operator::from_key(&top);
         top.finish(operator)
     }
 
-    /// The JSON Schema of the file, written down from what is read.
+    /// Returns the JSON Schema of the file, recorded from the readers themselves.
     pub fn schema() -> Value {
-        Key::describe(|top| drop(Operator::of(top))).schema("An operator's file")
+        Key::describe(|top| drop(Operator::from_key(top))).schema("An operator's file")
     }
 
-    fn of(top: &Key) -> Operator {
+    fn from_key(top: &Key) -> Operator {
         top.only(&["mqtt", "agent", "control", "stations", "peers", "overload", "zones", "routing"]);
         let peers = top.get("peers").optional(read_peers);
-        // Danger: a part that grows while leases of before still run would be spent twice.
-        let hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.share_hold);
+        // A share of the budget may grow only after earlier leases have expired; otherwise it would be spent twice.
+        // So leases must end before membership changes take effect on shares.
+        let share_hold = peers.as_ref().map_or(u64::MAX, |p| p.settings.share_hold);
         Operator {
             brokers: brokers(&top.get("mqtt")),
             agent: top.get("agent").optional(read_agent),
             control: top.get("control").optional(control::read),
-            stations: top.get("stations").optional(stations),
+            stations: top.get("stations").optional(read_stations),
             peers,
-            overload: top.get("overload").optional(|key| read_overload(key, hold)),
+            overload: top.get("overload").optional(|key| read_overload(key, share_hold)),
             zones: top.get("zones").optional(read_zones),
             function_bytes: top.get("routing").optional(read_function_bytes).flatten(),
         }
     }
 
-    /// The brokers of the instance with this name.
+    /// Returns the brokers with `{name}` replaced by the name of an instance.
     pub fn brokers_of(&self, name: &str) -> Vec<Options> {
-        let own = |o: &Options| Options {
-            client_id: o.client_id.replace("{name}", name),
-            triggers: o.triggers.replace("{name}", name),
-            ..o.clone()
+        let expand = |options: &Options| Options {
+            client_id: options.client_id.replace("{name}", name),
+            triggers: options.triggers.replace("{name}", name),
+            ..options.clone()
         };
-        self.brokers.iter().map(own).collect()
+        self.brokers.iter().map(expand).collect()
     }
 }
 
-/// Reads a list of brokers, as the operator's file and a version's `fronts` have it.
+/// Reads a list of brokers, which has the same form in the operator's file and in a version's `fronts`.
 pub(super) fn brokers(key: &Key) -> Vec<Options> {
-    key.entries().iter().map(broker).collect()
+    key.entries().iter().map(read_broker).collect()
 }
 
-fn broker(key: &Key) -> Options {
+fn read_broker(key: &Key) -> Options {
     key.only(&[
         "broker",
         "client_id",
@@ -132,7 +134,7 @@
     ]);
     let (user, triggers) = (key.get("user"), key.get("triggers"));
     let filter = triggers.text_or("ochreward/{name}/triggers/#");
-    triggers.must(!filter.is_empty(), "a topic filter is wanted");
+    triggers.must(!filter.is_empty(), "expected a topic filter");
     Options {
         broker: key.get("broker").address(),
         client_id: key.get("client_id").text_or("ochreward-{name}"),
@@ -146,7 +148,7 @@
     }
 }
 
-fn stations(key: &Key) -> stations::Options {
+fn read_stations(key: &Key) -> stations::Options {
     key.only(&[
         "listen",
         "users",
@@ -191,46 +193,45 @@
         "join_patience_ms",
         "members",
     ]);
-    let usual = ochreward_membership::Settings::default();
-    let ms = |name: &str, least: u64, most: u64, usual: u64| {
-        key.get(name).between(least, most, usual / 1000) * 1000
+    let defaults = ochreward_membership::Settings::default();
+    let ms = |name: &str, least: u64, most: u64, default: u64| {
+        key.get(name).between(least, most, default / 1000) * 1000
     };
     let addresses =
         |name: &str| key.get(name).members().into_iter().map(|(name, at)| (name, at.address())).collect();
     let (seeds, group, zone) = (key.get("seeds"), key.get("group"), key.get("zone"));
     let list: Vec<SocketAddr> = seeds.entries().iter().map(Key::address).collect();
     seeds.must(list.len() <= peers::MOST_SEEDS, "holds more than 64 addresses");
-    let (named, place) = (group.text_or(&usual.group), zone.text_or(""));
-    let short = |text: &str| text.len() <= ochreward_membership::wire::MAX_TEXT_BYTES;
-    group.must(!named.is_empty(), "a name is wanted");
-    zone.must(short(&place), "is longer than 32 bytes");
+    let (group_name, zone_name) = (group.text_or(&defaults.group), zone.text_or(""));
+    let fits = |text: &str| text.len() <= ochreward_membership::wire::MAX_TEXT_BYTES;
+    group.must(!group_name.is_empty(), "expected a name");
+    zone.must(fits(&zone_name), "is longer than 32 bytes");
     let (probe_every, probe_timeout) = (
-        ms("probe_ms", 20, 60_000, usual.probe_period),
-        ms("probe_timeout_ms", 5, 30_000, usual.probe_timeout),
+        ms("probe_ms", 20, 60_000, defaults.probe_period),
+        ms("probe_timeout_ms", 5, 30_000, defaults.probe_timeout),
     );
-    key.get("probe_timeout_ms")
-        .must(probe_timeout * 2 <= probe_every, "must be half of probe_ms at the most");
+    key.get("probe_timeout_ms").must(probe_timeout * 2 <= probe_every, "must be at most half of probe_ms");
     peers::Options {
         listen: key.get("listen").address(),
         at: addresses("at"),
         reach: addresses("reach"),
         seeds: list,
-        zone: place,
+        zone: zone_name,
         settings: ochreward_membership::Settings {
-            group: named,
+            group: group_name,
             probe_period: probe_every,
             probe_timeout,
-            indirect_probes: key.get("indirect").between(0, 16, usual.indirect_probes as u64) as usize,
-            sync_period: ms("sync_ms", 50, 600_000, usual.sync_period),
-            share_hold: ms("hold_ms", 100, 600_000, usual.share_hold),
-            join_timeout: ms("join_patience_ms", 100, 600_000, usual.join_timeout),
-            max_members: key.get("members").between(2, 4_096, usual.max_members as u64) as usize,
-            ..usual
+            indirect_probes: key.get("indirect").between(0, 16, defaults.indirect_probes as u64) as usize,
+            sync_period: ms("sync_ms", 50, 600_000, defaults.sync_period),
+            share_hold: ms("hold_ms", 100, 600_000, defaults.share_hold),
+            join_timeout: ms("join_patience_ms", 100, 600_000, defaults.join_timeout),
+            max_members: key.get("members").between(2, 4_096, defaults.max_members as u64) as usize,
+            ..defaults
         },
     }
 }
 
-fn read_overload(key: &Key, hold: u64) -> overload::Options {
+fn read_overload(key: &Key, share_hold: u64) -> overload::Options {
     key.only(&[
         "resends_per_s",
         "orders_per_s",
@@ -242,13 +243,13 @@
         "trial_ms",
     ]);
     let lease = key.get("lease_ms").between(100, 60_000, 2_000) * 1_000;
-    let least = key.get("lease_ms");
+    let lease_key = key.get("lease_ms");
     let (resends, orders) =
         (key.get("resends_per_s").between(0, 1_000_000, 0), key.get("orders_per_s").between(0, 1_000_000, 0));
     let lends = resends + orders > 0;
-    least.must(
-        !lends || lease + lease / 10 <= hold,
-        "must be a tenth shorter than hold_ms of [peers] at the least",
+    lease_key.must(
+        !lends || lease + lease / 10 <= share_hold,
+        "must be at least a tenth shorter than hold_ms of [peers]",
     );
     overload::Options {
         resends,
@@ -279,10 +280,10 @@
 
 fn read_agent(key: &Key) -> Agent {
     key.only(&["listen", "check_every_ms", "check_timeout_ms", "drain_ms", "stop_timeout_ms", "instance"]);
-    let instances: Vec<Instance> = key.get("instance").entries().iter().map(instance).collect();
+    let instances: Vec<Instance> = key.get("instance").entries().iter().map(read_instance).collect();
     for (i, instance) in instances.iter().enumerate() {
-        let other = instances[..i].iter().any(|other| other.name == instance.name);
-        key.get(&format!("instance[{i}]")).get("name").must(!other, "another instance has this name");
+        let duplicate = instances[..i].iter().any(|other| other.name == instance.name);
+        key.get(&format!("instance[{i}]")).get("name").must(!duplicate, "another instance has this name");
     }
     Agent {
         listen: key.get("listen").address(),
@@ -294,12 +295,12 @@
     }
 }
 
-fn instance(key: &Key) -> Instance {
+fn read_instance(key: &Key) -> Instance {
     key.only(&["name", "listen", "config", "check", "mqtt"]);
     let (name, check) = (key.get("name"), key.get("check"));
     let text = name.text();
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    name.must(!text.is_empty() && text.bytes().all(plain), "letters, digits, - and _ are wanted");
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    name.must(!text.is_empty() && text.bytes().all(allowed), "expected letters, digits, - and _ only");
     Instance {
         name: text.to_string(),
         listen: key.get("listen").address(),
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a dispatcher: `ROUTER_NAME`, `ROUTER_LISTEN` and the file named by `ROUTER_CONFIG`.
+//! The configuration of a dispatcher: the platform's environment variables (`ROUTER_NAME`, `ROUTER_LISTEN` and others)
+//! and the JSON file named by `ROUTER_CONFIG`.
 
 use crate::api::{self, Class, Effect, KeyScope, ReportField, WorkerId};
 use crate::discovery::{Executor, ExecutorState, MAX_EXECUTORS, MAX_ID_BYTES, ZoneAndKindNames};
@@ -8,144 +9,146 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The name under which the whole list is asked for.
+/// The DNS name under which the complete list of executors is queried.
 pub const SERVICE: &str = "_back._tcp.pool.lan";
 
-/// Nothing new goes to an executor later than this after it was told to drain, in microseconds.
+/// The longest time after the start of an executor's drain in which new attempts may still go to it, in microseconds.
 pub const MAX_DRAIN_GRACE_US: u64 = 250_000;
 
-/// Names of classes remembered after they were taken out.
-const MOST_PAST: usize = 256;
+/// The number of removed class names that one change of settings adds at most.
+const MAX_REMOVED_CLASS_NAMES: usize = 256;
 
-/// What the process may use.
+/// The resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Resources {
     /// Memory, in bytes.
     pub memory: usize,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
-/// The settings: the module's, and what only the program needs.
+/// The settings: those of the module, and those that only the program needs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the module is told.
+    /// The settings of the decision module.
     pub module: api::Settings,
     /// The classes' names.
     pub classes: Vec<String>,
-    /// Whether the class in that place was taken out of the settings: it takes nothing new.
+    /// Whether the class at this index was removed from the settings; a retired class takes no new requests.
     pub retired: Vec<bool>,
-    /// Names of classes that were taken out: whoever still asks for one has not heard yet.
+    /// Names of removed classes. Clients that still use one have not picked up the change yet.
     pub removed_classes: BTreeSet<String>,
-    /// The longest time that a class has had.
+    /// The longest deadline that any class has had, in microseconds.
     pub longest_deadline_us: u64,
     /// The tenants' names.
     pub tenants: Vec<String>,
     /// The names of zones and kinds.
     pub vocabulary: ZoneAndKindNames,
-    /// Requests open on a connection to an executor.
+    /// The maximum number of requests open on one connection to an executor.
     pub streams_per_conn: usize,
-    /// How long a connection may take to come up.
+    /// The connect timeout, in microseconds.
     pub connect_timeout: u64,
-    /// Executors close a connection idle for this long.
+    /// The keep-alive time after which executors close an idle connection, in microseconds.
     pub keepalive: u64,
-    /// Requests that may be held open.
+    /// The maximum number of open requests.
     pub max_open: usize,
-    /// How long an order to load is waited for.
+    /// How long to wait for the result of a load order, in microseconds.
     pub load_wait: u64,
-    /// Answers tell what they found.
+    /// Whether answers report if the copy was warm.
     pub tells_warm: bool,
-    /// Answers tell how many requests were held.
+    /// Whether answers report the number of requests that the executor held.
     pub tells_crowd: bool,
-    /// What the load reports in answers tell, in order; empty where answers carry none.
+    /// The fields of the load reports in answers, in order; empty if answers carry none.
     pub report: Vec<String>,
-    /// The time within which nothing more may go to an executor that drains, in microseconds.
+    /// The time after the start of a drain from which nothing more may go to the executor, in microseconds.
     pub drain_grace: u64,
 }
 
-/// Everything that a dispatcher is told at its start.
+/// The complete configuration of a dispatcher at its start.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The descriptor of a socket that listens there already.
+    /// An inherited descriptor of a socket that already listens on that address.
     pub inherited: Option<i32>,
-    /// Where operators call.
+    /// The address of the operators' HTTP endpoint.
     pub admin_address: Option<SocketAddr>,
-    /// Where files are kept that outlive the process.
+    /// The directory of files that outlive the process.
     pub folder: Option<PathBuf>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// The name service.
+    /// The address of the name service.
     pub names: SocketAddr,
     /// The list of executors at the start, and the number of the last event in it.
     pub initial_list: (u64, Vec<Executor>),
-    /// What a control service may change as well.
+    /// The settings and limits, which a control service may replace.
     pub parts: VersionedConfig,
-    /// The file has no settings: they come from a control service, and nothing is served before.
+    /// Whether the file has no settings. They then come from a control service, and nothing is served before.
     pub has_no_settings: bool,
-    /// The file as it was written, but for the list.
-    told: Value,
+    /// The file as written, without the list of executors.
+    source: Value,
 }
 
-/// What the file says and a streamed version may change.
+/// The part of the configuration that a streamed version may replace.
 #[derive(Clone, Debug)]
 pub struct VersionedConfig {
-    /// What it may use.
+    /// The resource limits.
     pub resources: Resources,
     /// The settings.
     pub settings: Settings,
 }
 
 impl Settings {
-    /// Puts the classes in the places that they had, since requests under way and what was learned name them by
-    /// those. A class that is gone keeps its place while it is `used`; returns the places that mean another class
-    /// from now on.
+    /// Keeps each class at the index that it had, since open requests and learned state refer to classes by index. A
+    /// removed class keeps its index while that is in `used`. Returns the indexes that now stand for another class.
     pub fn follow(&mut self, (names, classes): (&[String], &[Class]), used: &BTreeSet<usize>) -> Vec<usize> {
-        let gone = names.iter().filter(|n| !self.classes.contains(n));
-        self.removed_classes.extend(gone.take(MOST_PAST).cloned());
-        let (mut places, mut rules) = (names.to_vec(), classes.to_vec());
-        let mut retired = vec![true; places.len()];
-        let mut fresh = Vec::new();
-        for ((name, class), out) in self.classes.iter().zip(&self.module.classes).zip(&self.retired) {
-            let free = |p: &usize| retired[*p] && !used.contains(p) && !self.classes.contains(&places[*p]);
-            let place = places.iter().position(|n| n == name).or_else(|| {
-                fresh.push((0..places.len()).find(free).unwrap_or(places.len()));
-                fresh.last().copied()
+        let removed = names.iter().filter(|n| !self.classes.contains(n));
+        self.removed_classes.extend(removed.take(MAX_REMOVED_CLASS_NAMES).cloned());
+        let (mut class_names, mut class_rules) = (names.to_vec(), classes.to_vec());
+        let mut retired = vec![true; class_names.len()];
+        let mut reassigned = Vec::new();
+        for ((name, class), is_retired) in self.classes.iter().zip(&self.module.classes).zip(&self.retired) {
+            let is_free =
+                |i: &usize| retired[*i] && !used.contains(i) && !self.classes.contains(&class_names[*i]);
+            let index = class_names.iter().position(|n| n == name).or_else(|| {
+                reassigned.push((0..class_names.len()).find(is_free).unwrap_or(class_names.len()));
+                reassigned.last().copied()
             });
-            let place = place.unwrap_or(places.len());
-            if place == places.len() {
-                places.push(String::new());
-                rules.push(*class);
+            let index = index.unwrap_or(class_names.len());
+            if index == class_names.len() {
+                class_names.push(String::new());
+                class_rules.push(*class);
                 retired.push(true);
             }
-            places[place].clone_from(name);
-            (rules[place], retired[place]) = (*class, *out);
+            class_names[index].clone_from(name);
+            (class_rules[index], retired[index]) = (*class, *is_retired);
         }
-        (self.classes, self.module.classes, self.retired) = (places, rules, retired);
-        fresh
+        (self.classes, self.module.classes, self.retired) = (class_names, class_rules, retired);
+        reassigned
     }
 
-    /// The place of a class that takes requests.
+    /// Returns the index of a class, unless it is retired.
     pub fn class(&self, name: &str) -> Option<usize> {
-        let place = self.classes.iter().position(|n| n == name)?;
-        (!self.retired[place]).then_some(place)
+        let index = self.classes.iter().position(|n| n == name)?;
+        (!self.retired[index]).then_some(index)
     }
 }
 
 impl Config {
-    /// Reads the environment and the file that it names; `streamed`: that file may leave the settings out.
+    /// Reads the environment and the file that it names. With `streamed`, the file may omit the settings.
     pub fn from_environment(streamed: bool) -> Result<Config, Faults> {
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let fault = |key: &str, why: String| Faults::one(key, why);
-        let path = var("ROUTER_CONFIG")
-            .ok_or_else(|| fault("ROUTER_CONFIG", "the environment must name the file".to_string()))?;
+        let path = var("ROUTER_CONFIG").ok_or_else(|| {
+            fault("ROUTER_CONFIG", "must be set to the path of the configuration file".to_string())
+        })?;
         let text =
             std::fs::read_to_string(&path).map_err(|e| fault("ROUTER_CONFIG", format!("{path}: {e}")))?;
         let mut config = Config::parse(&text, streamed)?;
-        // The folder is the process's own or that of its instance; a name in it tells instances apart.
+        // `TMPDIR` may belong to this process alone or be shared by instances, so the directory carries the instance's
+        // name.
         let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
         let folder = |name: &str| format!("ochreward-{}", name.chars().map(plain).collect::<String>());
         if let Some(name) = var("ROUTER_NAME") {
@@ -154,17 +157,17 @@
         if let Some(listen) = var("ROUTER_LISTEN") {
             config.listen = listen
                 .parse()
-                .map_err(|_| fault("ROUTER_LISTEN", "an address and port is wanted".to_string()))?;
+                .map_err(|_| fault("ROUTER_LISTEN", "expected an address and port".to_string()))?;
         }
         if let Some(ops) = var("ROUTER_OPS") {
             let ops = ops.parse();
             config.admin_address =
-                Some(ops.map_err(|_| fault("ROUTER_OPS", "an address and port is wanted".to_string()))?);
+                Some(ops.map_err(|_| fault("ROUTER_OPS", "expected an address and port".to_string()))?);
         }
         if let Some(number) = var("ROUTER_INHERITED_FD") {
             let number = number.parse().ok().filter(|n| *n > 2);
-            let wanted = || fault("ROUTER_INHERITED_FD", "a descriptor's number is wanted".to_string());
-            config.inherited = Some(number.ok_or_else(wanted)?);
+            let invalid = || fault("ROUTER_INHERITED_FD", "expected a file descriptor over 2".to_string());
+            config.inherited = Some(number.ok_or_else(invalid)?);
         }
         config.folder = var("TMPDIR").map(|dir| PathBuf::from(dir).join(folder(&config.name)));
         Ok(config)
@@ -175,7 +178,7 @@
         Config::parse(text, false)
     }
 
-    /// Reads the text of a configuration file which may leave the settings to a control service.
+    /// Reads the text of a configuration file that may leave the settings to a control service.
     pub fn read_streamed(text: &str) -> Result<Config, Faults> {
         Config::parse(text, true)
     }
@@ -184,24 +187,24 @@
         let value: Value = serde_json::from_str(text)
             .map_err(|e| Faults::one("(the whole file)", format!("is not JSON: {e}")))?;
         let top = Key::top(&value);
-        let mut config = Config::of(&top, streamed);
-        config.told = value.clone();
-        // Its entries change by themselves; only that it is there counts.
-        config.told.get_mut("known").into_iter().for_each(|known| *known = Value::Bool(true));
+        let mut config = Config::from_key(&top, streamed);
+        config.source = value.clone();
+        // The entries of the executor list change without an edit of the file; only its presence is compared.
+        config.source.get_mut("known").into_iter().for_each(|known| *known = Value::Bool(true));
         top.finish(config)
     }
 
-    /// The JSON Schema of the file, written down from what is read.
+    /// Returns the JSON Schema of the file, recorded from the readers themselves.
     pub fn schema() -> Value {
-        Key::describe(|top| drop(Config::of(top, false)))
+        Key::describe(|top| drop(Config::from_key(top, false)))
             .schema("A dispatcher's configuration (ROUTER_CONFIG)")
     }
 
-    fn of(top: &Key, streamed: bool) -> Config {
+    fn from_key(top: &Key, streamed: bool) -> Config {
         let seed = top.get("seed");
         let number = u64::from_str_radix(&seed.text_or("0"), 16);
-        seed.must(number.is_ok(), "hex digits, 16 at most, are wanted");
-        let bare = streamed && !top.get("settings").given();
+        seed.must(number.is_ok(), "expected at most 16 hexadecimal digits");
+        let settings_absent = streamed && !top.get("settings").given();
         Config {
             name: top.get("name").text_or("dispatcher"),
             listen: top.get("listen").address(),
@@ -210,54 +213,62 @@
             folder: None,
             seed: number.unwrap_or_default(),
             names: top.get("names").address(),
-            initial_list: known(&top.get("known")),
-            parts: if bare { VersionedConfig::none(&top.get("limits")) } else { VersionedConfig::of(top) },
-            has_no_settings: bare,
-            told: Value::Null,
+            initial_list: read_known(&top.get("known")),
+            parts: if settings_absent {
+                VersionedConfig::limits_only(&top.get("limits"))
+            } else {
+                VersionedConfig::from_key(top)
+            },
+            has_no_settings: settings_absent,
+            source: Value::Null,
         }
     }
 
-    /// Checks that a file that is to replace the one of `old` leaves nothing out.
+    /// Checks that this configuration omits no key that `old`, which it is to replace, has.
     pub fn check_replacement(&self, old: &Config) -> Result<(), Faults> {
-        let top = Key::top(&self.told);
-        top.keeps(&old.told);
+        let top = Key::top(&self.source);
+        top.keeps(&old.source);
         top.finish(())
     }
 
-    /// The file as it was written, but for the list.
+    /// Returns the file as written, without the list of executors.
     pub fn source(&self) -> &Value {
-        &self.told
+        &self.source
     }
 }
 
 impl VersionedConfig {
-    /// Reads what a version may change out of a whole configuration.
+    /// Reads the part that a version may replace out of a complete configuration.
     pub fn read(value: &Value) -> Result<VersionedConfig, Faults> {
         let top = Key::top(value);
-        let parts = VersionedConfig::of(&top);
+        let parts = VersionedConfig::from_key(&top);
         top.finish(parts)
     }
 
-    pub(super) fn of(top: &Key) -> VersionedConfig {
-        VersionedConfig { resources: resources(&top.get("limits")), settings: settings(&top.get("settings")) }
+    pub(super) fn from_key(top: &Key) -> VersionedConfig {
+        VersionedConfig {
+            resources: read_resources(&top.get("limits")),
+            settings: read_settings(&top.get("settings")),
+        }
     }
 
-    /// Limits, and no settings yet.
-    fn none(limits: &Key) -> VersionedConfig {
+    /// Reads the limits, with empty settings.
+    fn limits_only(limits: &Key) -> VersionedConfig {
         let empty = serde_json::json!({"lanes": []});
-        VersionedConfig { resources: resources(limits), settings: settings(&Key::top(&empty)) }
+        VersionedConfig { resources: read_resources(limits), settings: read_settings(&Key::top(&empty)) }
     }
 }
 
-fn resources(limits: &Key) -> Resources {
+fn read_resources(limits: &Key) -> Resources {
     Resources {
         memory: limits.get("memory_mb").between(16, 1 << 20, 192) as usize * (1 << 20),
         sockets: limits.get("sockets").between(32, 1 << 20, 1024) as usize,
     }
 }
 
-/// Events of the start, in order: the first holds the whole list, later ones what has changed.
-fn known(key: &Key) -> (u64, Vec<Executor>) {
+/// Reads the executors known at the start from a series of events, in order: the first holds the complete list, later
+/// ones the changes. Returns the offset of the last event and the resulting list.
+fn read_known(key: &Key) -> (u64, Vec<Executor>) {
     let mut list = BTreeMap::<WorkerId, Executor>::new();
     for event in key.get("batch").entries() {
         let topology = event.get("topology");
@@ -266,12 +277,15 @@
         }
         let instances = topology.get("instances");
         let entries = instances.entries();
-        let few = entries.len() <= MAX_EXECUTORS;
-        instances.must(few, "names more than 65,536 executors: split the fleet into several services");
+        let within_limit = entries.len() <= MAX_EXECUTORS;
+        instances.must(within_limit, "has more than 65,536 executors: split the fleet into several services");
         for entry in entries.into_iter().take(MAX_EXECUTORS) {
             let name = entry.get("instanceId");
             let id: WorkerId = name.text().into();
-            name.must(id.len() <= MAX_ID_BYTES, "is longer than 255 bytes: see who registered it");
+            name.must(
+                id.len() <= MAX_ID_BYTES,
+                "is longer than 255 bytes: find out who registered this executor",
+            );
             let states = ["in_service", "terminating", "terminated"];
             let state = match entry.get("lifecycle").word(&states) {
                 0 => ExecutorState::Ready,
@@ -296,28 +310,28 @@
     (key.get("offset").whole_or(0), list.into_values().collect())
 }
 
-fn names(key: &Key) -> Vec<String> {
+fn texts(key: &Key) -> Vec<String> {
     key.entries().iter().map(|k| k.text().to_string()).collect()
 }
 
-fn settings(key: &Key) -> Settings {
+fn read_settings(key: &Key) -> Settings {
     let lanes = key.get("lanes").some_entries("class");
     let orgs = key.get("orgs").entries();
     let (limits, rules, info) = (key.get("limits"), key.get("rules"), key.get("family_info"));
     let costs = key.get("costs");
     let retry_after = limits.get("max_retry_after_us").whole_or(0);
-    // Reports that only probes carry are not asked for: a probe has its price.
+    // Load reports that only probes carry are not requested, since a probe has a cost of its own.
     let in_answers = key.get("report").get("how").text_or("off") == "inline";
-    let mut reported = names(&key.get("report").get("fields"));
+    let mut reported = texts(&key.get("report").get("fields"));
     reported.retain(|_| in_answers);
     let module = api::Settings {
         dispatcher_count: key.get("balancers").between(1, 1 << 20, 1) as usize,
         own_index: key.get("me").whole_or(0) as usize,
         own_zone: key.get("my_zone").whole_or(0) as usize,
-        classes: lanes.iter().map(class).collect(),
+        classes: lanes.iter().map(read_class).collect(),
         tenant_quotas: orgs.iter().map(|o| o.get("quota_per_s").number_or(0.0)).collect(),
         over_share_worth: key.get("over_share_worth").number_or(1.0),
-        report_fields: reported.iter().map(|f| field(f)).collect(),
+        report_fields: reported.iter().map(|name| report_field(name)).collect(),
         max_attempts: limits.get("send_cap").between(1, 64, 1) as usize,
         may_duplicate: limits.get("may_duplicate").flag_or(false),
         may_cancel: limits.get("cancel").flag_or(false),
@@ -336,22 +350,22 @@
         cross_zone_price: costs.get("cross_zone").number_or(0.0),
         fetch_price: costs.get("origin").number_or(0.0),
         memory_price: info.get("memory_price").number_or(0.0),
-        // The list comes by itself, from the name service.
+        // The list is polled from the name service, not requested by the module.
         list_on_request: false,
     };
     Settings {
-        classes: lanes.iter().map(|l| l.get("name").text().to_string()).collect(),
+        classes: lanes.iter().map(|lane| lane.get("name").text().to_string()).collect(),
         tenants: orgs.iter().map(|o| o.get("name").text().to_string()).collect(),
-        retired: lanes.iter().map(|l| l.get("retired").flag_or(false)).collect(),
-        // Who still asks for a retired class has not heard yet.
+        retired: lanes.iter().map(|lane| lane.get("retired").flag_or(false)).collect(),
+        // Clients that still use a retired class have not picked up the change yet.
         removed_classes: lanes
             .iter()
-            .filter(|l| l.get("retired").flag_or(false))
-            .map(|l| l.get("name").text().to_string())
+            .filter(|lane| lane.get("retired").flag_or(false))
+            .map(|lane| lane.get("name").text().to_string())
             .collect(),
         drain_grace: rules.get("stop_sending_within_us").whole_or(MAX_DRAIN_GRACE_US),
         longest_deadline_us: module.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
-        vocabulary: ZoneAndKindNames { zones: names(&key.get("zones")), kinds: names(&key.get("kinds")) },
+        vocabulary: ZoneAndKindNames { zones: texts(&key.get("zones")), kinds: texts(&key.get("kinds")) },
         streams_per_conn: limits.get("streams_per_conn").between(1, 1 << 16, 32) as usize,
         connect_timeout: limits.get("connect_timeout_us").between(1_000, 60_000_000, 250_000),
         keepalive: limits.get("keepalive_us").between(1_000_000, 1 << 40, 15_000_000),
@@ -364,7 +378,7 @@
     }
 }
 
-fn class(key: &Key) -> Class {
+fn read_class(key: &Key) -> Class {
     let effects = [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce];
     let scopes = [KeyScope::All, KeyScope::Zone, KeyScope::Cell];
     let scope = key.get("key_scope");
@@ -379,7 +393,7 @@
     }
 }
 
-fn field(name: &str) -> ReportField {
+fn report_field(name: &str) -> ReportField {
     match name {
         "inflight" => ReportField::Inflight,
         "queue" => ReportField::Queue,
--- a/src/keys/schema.rs
+++ b/src/keys/schema.rs
@@ -1,51 +1,51 @@
-//! JSON Schema (draft 2020-12) of what is read, made by having the readers themselves run over nothing and write down
-//! what they ask for: a key, a bound or a default that changes there changes here.
+//! Builds the JSON Schema (draft 2020-12) of a file. The readers run without a value and record what they require of
+//! each key, so that a change of a key, a bound or a default in a reader also changes the schema.
 
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 
-/// What a reader asks of a key.
+/// A constraint that a reader puts on a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
-    /// Nothing yet.
+pub enum Constraint {
+    /// No constraint.
     Any,
-    /// It may be absent.
+    /// The key may be absent.
     Optional,
-    /// No other members than those asked for.
+    /// An object without members other than those read.
     Closed,
-    /// Text.
+    /// A string.
     Text,
     /// A number of 0 or more.
     Number,
     /// A whole number between bounds.
     Whole(u64, u64),
-    /// True or false.
+    /// A boolean.
     Flag,
-    /// An address and port.
+    /// An IP address and port.
     Address,
-    /// One of the words.
+    /// One of the given words.
     Word(Vec<String>),
-    /// A list with at least so many entries.
+    /// An array with at least this number of entries.
     List(usize),
 }
 
 #[derive(Default)]
 struct Node {
-    asks: Vec<Ask>,
+    constraints: Vec<Constraint>,
     members: BTreeMap<String, Node>,
     entry: Option<Box<Node>>,
 }
 
-/// Everything that was asked, as a tree.
+/// The recorded constraints, as a tree of keys.
 #[derive(Default)]
-pub struct Asks {
-    top: Node,
+pub struct SchemaRecorder {
+    root: Node,
 }
 
-impl Asks {
-    /// Notes what was asked of the key with this path.
-    pub fn note(&mut self, path: &str, ask: Ask) {
-        let mut node = &mut self.top;
+impl SchemaRecorder {
+    /// Records a constraint on the key with this path.
+    pub fn record(&mut self, path: &str, constraint: Constraint) {
+        let mut node = &mut self.root;
         for part in path.split('.').filter(|p| !p.is_empty()) {
             let name = part.trim_end_matches("[]");
             node = node.members.entry(name.to_string()).or_default();
@@ -53,20 +53,20 @@
                 node = node.entry.get_or_insert_default();
             }
         }
-        if !node.asks.contains(&ask) {
-            node.asks.push(ask);
+        if !node.constraints.contains(&constraint) {
+            node.constraints.push(constraint);
         }
     }
 
-    /// The same where nothing need be there, since it is laid over something else.
-    pub fn all_optional(mut self) -> Asks {
-        self.top.relax();
+    /// Makes every key optional, as for a value that is merged over another one.
+    pub fn all_optional(mut self) -> SchemaRecorder {
+        self.root.make_optional();
         self
     }
 
-    /// The schema.
+    /// Returns the schema.
     pub fn schema(&self, title: &str) -> Value {
-        let mut schema = self.top.schema();
+        let mut schema = self.root.schema();
         schema["$schema"] = json!("https://json-schema.org/draft/2020-12/schema");
         schema["title"] = json!(title);
         schema
@@ -74,58 +74,59 @@
 }
 
 impl Node {
-    fn relax(&mut self) {
-        if !self.asks.contains(&Ask::Optional) {
-            self.asks.push(Ask::Optional);
+    fn make_optional(&mut self) {
+        if !self.constraints.contains(&Constraint::Optional) {
+            self.constraints.push(Constraint::Optional);
         }
-        self.members.values_mut().chain(self.entry.as_deref_mut()).for_each(Node::relax);
+        self.members.values_mut().chain(self.entry.as_deref_mut()).for_each(Node::make_optional);
     }
 
-    fn required(&self) -> bool {
-        if self.asks.contains(&Ask::Optional) {
+    fn is_required(&self) -> bool {
+        if self.constraints.contains(&Constraint::Optional) {
             return false;
         }
-        let own = self.asks.iter().any(|a| !matches!(a, Ask::Any | Ask::Closed));
-        own || self.members.iter().any(|(name, m)| name != "*" && m.required())
+        let own = self.constraints.iter().any(|c| !matches!(c, Constraint::Any | Constraint::Closed));
+        own || self.members.iter().any(|(name, m)| name != "*" && m.is_required())
     }
 
-    /// The narrowest bounds of all that were asked for.
-    fn whole(&self) -> Option<(u64, u64)> {
-        let bounds =
-            self.asks.iter().filter_map(|a| if let Ask::Whole(l, m) = a { Some((*l, *m)) } else { None });
+    /// Returns the intersection of all recorded bounds on a whole number.
+    fn whole_bounds(&self) -> Option<(u64, u64)> {
+        let bounds = self.constraints.iter().filter_map(|c| {
+            if let Constraint::Whole(least, most) = c { Some((*least, *most)) } else { None }
+        });
         bounds.reduce(|one, other| (one.0.max(other.0), one.1.min(other.1)))
     }
 
     fn schema(&self) -> Value {
         let mut out = Map::new();
         let mut kind = "object";
-        if let Some((least, most)) = self.whole() {
+        if let Some((least, most)) = self.whole_bounds() {
             kind = "integer";
             out.insert("minimum".into(), json!(least));
             if most < u64::MAX {
                 out.insert("maximum".into(), json!(most));
             }
         }
-        for ask in &self.asks {
-            match ask {
-                Ask::Text => kind = "string",
-                Ask::Address => {
+        for constraint in &self.constraints {
+            match constraint {
+                Constraint::Text => kind = "string",
+                Constraint::Address => {
                     kind = "string";
                     out.insert(
                         "pattern".into(),
                         json!(r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:.%]+\]):\d{1,5}$"),
                     );
                 }
-                Ask::Number => {
+                Constraint::Number => {
                     kind = "number";
                     out.insert("minimum".into(), json!(0));
                 }
-                Ask::Flag => kind = "boolean",
-                Ask::Word(words) => {
+                Constraint::Flag => kind = "boolean",
+                Constraint::Word(words) => {
                     kind = "string";
                     out.insert("enum".into(), json!(words));
                 }
-                Ask::List(least) => {
+                Constraint::List(least) => {
                     kind = "array";
                     out.insert("minItems".into(), json!(least));
                 }
@@ -139,18 +140,18 @@
         let properties: Map<String, Value> = named.clone().map(|(n, m)| (n.clone(), m.schema())).collect();
         if !properties.is_empty() {
             out.insert("properties".into(), Value::Object(properties));
-            let required: Vec<&String> = named.filter(|(_, m)| m.required()).map(|(n, _)| n).collect();
+            let required: Vec<&String> = named.filter(|(_, m)| m.is_required()).map(|(n, _)| n).collect();
             if !required.is_empty() {
                 out.insert("required".into(), json!(required));
             }
         }
         if let Some(any) = self.members.get("*") {
             out.insert("additionalProperties".into(), any.schema());
-        } else if self.asks.contains(&Ask::Closed) {
+        } else if self.constraints.contains(&Constraint::Closed) {
             out.insert("additionalProperties".into(), json!(false));
         }
-        // A null counts as absent wherever that is allowed.
-        let nullable = self.asks.contains(&Ask::Optional) && !out.contains_key("enum");
+        // The readers treat null as absent, so it is allowed wherever the key is optional.
+        let nullable = self.constraints.contains(&Constraint::Optional) && !out.contains_key("enum");
         out.insert("type".into(), if nullable { json!([kind, "null"]) } else { json!(kind) });
         Value::Object(out)
     }
--- a/src/keys/tests.rs
+++ b/src/keys/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn every_fault_is_found_and_named_once() {
+fn every_fault_is_reported_once_under_its_key() {
     let value = json!({"a": "x", "c": {"d": -1}, "e": [1, "two", 3.5], "z": 1, "f": 0});
     let top = Key::top(&value);
     top.only(&["a", "b", "c", "e", "f"]);
--- a/src/logs/mod.rs
+++ b/src/logs/mod.rs
@@ -1,12 +1,13 @@
-//! Structured logs on standard error: one event for each change of state, never one for each request.
+//! Structured logs on standard error: one event per change of state, never one per request.
 //!
-//! A thread of the library's writes them, and what it can't keep up with is dropped, so that a standard error that
-//! nobody reads never stops the loop. A storm of one kind is rationed and counted by [`Ration`].
+//! A thread of the logging library writes them. Lines that exceed its queue are dropped, so that a blocked standard
+//! error never blocks the event loop. Bursts of events from one call site are rate-limited, and the dropped ones
+//! counted.
 
 mod ration;
 
 use clap::ValueEnum;
-use ration::Ration;
+use ration::RateLimiter;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
@@ -16,45 +17,45 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt};
 use tracing_subscriber::{EnvFilter, Layer, fmt};
 
-/// Lines that may wait for standard error; later ones are dropped.
-const MOST_WAITING: usize = 1_024;
+/// The maximum number of lines queued for standard error; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// Events that the ration kept back in this process.
+/// The number of events dropped by the rate limit in this process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Events that the ration kept back so far.
+/// Returns the number of events dropped by the rate limit so far.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// How events are written.
+/// The format of log events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// A line for people
+    /// One line of readable text per event
     Text,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
-/// Rations the events of each place in the source.
-struct Rationed {
-    began: Instant,
-    ration: Mutex<Ration>,
+/// A filter that limits the rate of events per call site.
+struct RateLimitFilter {
+    started_at: Instant,
+    limiter: Mutex<RateLimiter>,
 }
 
-impl<S: Subscriber> Filter<S> for Rationed {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
         let meta = event.metadata();
-        let place = (meta.file().unwrap_or_default(), meta.line().unwrap_or_default());
-        let now = self.began.elapsed().as_micros() as u64;
-        let Ok(mut ration) = self.ration.lock() else { return false };
-        let taken = ration.take(now, place);
-        DROPPED.fetch_add(ration.dropped(place), Ordering::Relaxed);
-        taken
+        let call_site = (meta.file().unwrap_or_default(), meta.line().unwrap_or_default());
+        let now = self.started_at.elapsed().as_micros() as u64;
+        let Ok(mut limiter) = self.limiter.lock() else { return false };
+        let allowed = limiter.allow(now, call_site);
+        DROPPED.fetch_add(limiter.take_dropped(call_site), Ordering::Relaxed);
+        allowed
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
@@ -62,28 +63,28 @@
     }
 }
 
-/// Logs can't be written as they were asked for.
+/// The log filter of the command line can't be parsed.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "--log-level, {0}: name a level, or TARGET=LEVEL and more of them after commas, such as info,ochreward::peers=debug"
+    "--log-level, {0}: give a level, or a comma-separated list of TARGET=LEVEL, such as info,ochreward::peers=debug"
 )]
 pub struct FilterError(#[from] tracing_subscriber::filter::ParseError);
 
-/// Starts writing; what is returned writes the rest out when it goes.
+/// Starts logging. The returned guard flushes the queued lines when it is dropped.
 pub fn start(format: Format, filter: &str) -> Result<WorkerGuard, FilterError> {
     let filter = EnvFilter::try_new(filter)?;
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MOST_WAITING)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stderr());
-    let rationed = Rationed { began: Instant::now(), ration: Mutex::default() };
+    let rate_limit = RateLimitFilter { started_at: Instant::now(), limiter: Mutex::default() };
     let layer = fmt::layer().with_writer(writer).with_ansi(false);
     let layer = match format {
         Format::Text => layer.with_target(false).boxed(),
         Format::Json => layer.json().flatten_event(true).boxed(),
     };
-    let layered = tracing_subscriber::registry().with(filter).with(layer.with_filter(rationed));
-    // A second start in one process, as tests may do, keeps the first.
-    let _ = tracing::subscriber::set_global_default(layered);
+    let subscriber = tracing_subscriber::registry().with(filter).with(layer.with_filter(rate_limit));
+    // A second call in one process, as in tests, keeps the first subscriber.
+    let _ = tracing::subscriber::set_global_default(subscriber);
     Ok(guard)
 }
--- a/src/logs/ration.rs
+++ b/src/logs/ration.rs
@@ -1,49 +1,52 @@
-//! How many events of one kind are written: a burst, and then a few a second. No clock of its own.
+//! A rate limiter for log events: each call site may log a burst, then a few events per second. The caller passes the
+//! time; the module reads no clock.
 
 use std::collections::BTreeMap;
 
-/// Events of a kind that may come at once, and how often one more may.
+/// The number of events that one call site may log at once.
 const BURST: u64 = 20;
-const EVERY: u64 = 200_000;
-/// Kinds told apart; there are far fewer places in the source.
-const MOST: usize = 1_024;
+/// The period after which one more event is allowed.
+const REFILL_PERIOD_US: u64 = 200_000;
+/// The maximum number of call sites tracked; the source has far fewer.
+const MAX_CALL_SITES: usize = 1_024;
 
-/// A place in the source: its file and line.
-pub type Place = (&'static str, u32);
+/// A call site: its file and line.
+pub type CallSite = (&'static str, u32);
 
 #[derive(Default)]
-struct Kind {
-    /// When the burst will be whole again.
-    whole_at: u64,
+struct Bucket {
+    /// The time at which the full burst is available again, in microseconds.
+    full_at: u64,
     dropped: u64,
 }
 
-/// What each kind has left.
+/// A token bucket per call site.
 #[derive(Default)]
-pub struct Ration {
-    kinds: BTreeMap<Place, Kind>,
+pub struct RateLimiter {
+    buckets: BTreeMap<CallSite, Bucket>,
 }
 
-impl Ration {
-    /// Whether an event of this kind may be written at `now`, in microseconds.
-    pub fn take(&mut self, now: u64, place: Place) -> bool {
-        if self.kinds.len() >= MOST && !self.kinds.contains_key(&place) {
+impl RateLimiter {
+    /// Returns whether this call site may log an event at `now`, in microseconds, and counts the event as logged or
+    /// dropped.
+    pub fn allow(&mut self, now: u64, call_site: CallSite) -> bool {
+        if self.buckets.len() >= MAX_CALL_SITES && !self.buckets.contains_key(&call_site) {
             return false;
         }
-        let kind = self.kinds.entry(place).or_default();
-        let whole_at = kind.whole_at.max(now) + EVERY;
-        let fits = whole_at <= now + BURST * EVERY;
-        if fits {
-            kind.whole_at = whole_at;
+        let bucket = self.buckets.entry(call_site).or_default();
+        let full_at = bucket.full_at.max(now) + REFILL_PERIOD_US;
+        let allowed = full_at <= now + BURST * REFILL_PERIOD_US;
+        if allowed {
+            bucket.full_at = full_at;
         } else {
-            kind.dropped += 1;
+            bucket.dropped += 1;
         }
-        fits
+        allowed
     }
 
-    /// Events of this kind that were not written since it was last asked.
-    pub fn dropped(&mut self, place: Place) -> u64 {
-        self.kinds.get_mut(&place).map_or(0, |kind| std::mem::take(&mut kind.dropped))
+    /// Returns the number of events of this call site dropped since the last call, and resets it.
+    pub fn take_dropped(&mut self, call_site: CallSite) -> u64 {
+        self.buckets.get_mut(&call_site).map_or(0, |bucket| std::mem::take(&mut bucket.dropped))
     }
 }
 
