--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -74,18 +74,18 @@
         "trial_least",
     ]);
     let labels = key.get("labels").members().into_iter().map(|(name, k)| (name, k.text().to_string()));
-    let first = key.get("backoff_first_ms").between(1, 600_000, 200);
-    let last = key.get("backoff_last_ms").between(1, 3_600_000, 15_000);
+    let first = key.get("backoff_first_ms").integer_in(1, 600_000, 200);
+    let last = key.get("backoff_last_ms").integer_in(1, 3_600_000, 15_000);
     key.get("backoff_last_ms").must(last >= first, "is less than backoff_first_ms");
     Stream {
-        services: key.get("services").some_entries("service").iter().map(Key::address).collect(),
+        services: key.get("services").nonempty_entries("service").iter().map(Key::address).collect(),
         labels: labels.collect(),
         folder: key.get("folder").optional(|k| k.text().into()),
         backoff: (first * 1000, last * 1000),
-        silence: key.get("silence_ms").between(10, 600_000, 5_000) * 1000,
-        trial: key.get("trial_ms").between(0, 3_600_000, 10_000) * 1000,
+        silence: key.get("silence_ms").integer_in(10, 600_000, 5_000) * 1000,
+        trial: key.get("trial_ms").integer_in(0, 3_600_000, 10_000) * 1000,
         trial_margin: key.get("trial_margin").number_or(0.05),
-        trial_least: key.get("trial_least").between(1, 1 << 30, 50),
+        trial_least: key.get("trial_least").integer_in(1, 1 << 30, 50),
     }
 }
 
@@ -94,14 +94,14 @@
     Service {
         listen: key.get("listen").address(),
         store: key.get("store").text().into(),
-        streams: key.get("streams").between(1, 60_000, 4_096) as usize,
-        heartbeat: key.get("heartbeat_ms").between(5, 60_000, 1_000) * 1000,
+        streams: key.get("streams").integer_in(1, 60_000, 4_096) as usize,
+        heartbeat: key.get("heartbeat_ms").integer_in(5, 60_000, 1_000) * 1000,
         rollout: read_rollout(&key.get("rollout")),
     }
 }
 
 fn read_rollout(key: &Key) -> Plan {
-    key.given();
+    key.is_present();
     key.only(&["canary", "waves", "answer_ms", "watch_ms"]);
     let defaults = Plan::default();
     let canary = key.get("canary");
@@ -117,7 +117,7 @@
     Plan {
         canary: pair.flatten(),
         waves,
-        answer: key.get("answer_ms").between(10, 3_600_000, defaults.answer / 1000) * 1000,
-        watch: key.get("watch_ms").between(0, 3_600_000, defaults.watch / 1000) * 1000,
+        answer: key.get("answer_ms").integer_in(10, 3_600_000, defaults.answer / 1000) * 1000,
+        watch: key.get("watch_ms").integer_in(0, 3_600_000, defaults.watch / 1000) * 1000,
     }
 }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -139,11 +139,11 @@
         broker: key.get("broker").address(),
         client_id: key.get("client_id").text_or("ochreward-{name}"),
         triggers: filter,
-        receive_maximum: key.get("receive_maximum").between(1, 1024, 64) as u16,
-        maximum_packet: key.get("maximum_packet").between(1024, 1 << 20, 64 << 10) as usize,
-        keep_alive: key.get("keep_alive_s").between(1, 65_535, 30) as u16,
-        session_expiry: key.get("session_expiry_s").between(1, u64::from(u32::MAX), 3_600) as u32,
-        record_expiry: key.get("record_expiry_s").between(1, u64::from(u32::MAX), 86_400) as u32,
+        receive_maximum: key.get("receive_maximum").integer_in(1, 1024, 64) as u16,
+        maximum_packet: key.get("maximum_packet").integer_in(1024, 1 << 20, 64 << 10) as usize,
+        keep_alive: key.get("keep_alive_s").integer_in(1, 65_535, 30) as u16,
+        session_expiry: key.get("session_expiry_s").integer_in(1, u64::from(u32::MAX), 3_600) as u32,
+        record_expiry: key.get("record_expiry_s").integer_in(1, u64::from(u32::MAX), 86_400) as u32,
         login: user.optional(|user| (user.text().to_string(), key.get("password").text_or(""))),
     }
 }
@@ -164,15 +164,15 @@
     stations::Options {
         listen: key.get("listen").address(),
         users: key.get("users").text().into(),
-        connections: key.get("connections").between(1, 60_000, 256) as usize,
+        connections: key.get("connections").integer_in(1, 60_000, 256) as usize,
         rules: stations::Rules {
-            receive_maximum: key.get("receive_maximum").between(1, 1024, 16) as u16,
-            maximum_packet: key.get("maximum_packet").between(1024, 1 << 18, 32 << 10) as u32,
-            keep_alive: key.get("keep_alive_s").between(1, 43_690, 60) as u16,
-            session_expiry: key.get("session_expiry_s").between(0, 604_800, 3_600) as u32,
-            sessions: key.get("sessions").between(1, 60_000, 1_024) as usize,
-            waiting: key.get("waiting").between(1, 4_096, 32) as usize,
-            pushback: key.get("pushback_ms").between(1, 600_000, 500) * 1000,
+            receive_maximum: key.get("receive_maximum").integer_in(1, 1024, 16) as u16,
+            maximum_packet: key.get("maximum_packet").integer_in(1024, 1 << 18, 32 << 10) as u32,
+            keep_alive: key.get("keep_alive_s").integer_in(1, 43_690, 60) as u16,
+            session_expiry: key.get("session_expiry_s").integer_in(0, 604_800, 3_600) as u32,
+            sessions: key.get("sessions").integer_in(1, 60_000, 1_024) as usize,
+            waiting: key.get("waiting").integer_in(1, 4_096, 32) as usize,
+            pushback: key.get("pushback_ms").integer_in(1, 600_000, 500) * 1000,
         },
     }
 }
@@ -195,7 +195,7 @@
     ]);
     let defaults = ochreward_membership::Settings::default();
     let ms = |name: &str, least: u64, most: u64, default: u64| {
-        key.get(name).between(least, most, default / 1000) * 1000
+        key.get(name).integer_in(least, most, default / 1000) * 1000
     };
     let addresses =
         |name: &str| key.get(name).members().into_iter().map(|(name, at)| (name, at.address())).collect();
@@ -221,11 +221,11 @@
             group: group_name,
             probe_period: probe_every,
             probe_timeout,
-            indirect_probes: key.get("indirect").between(0, 16, defaults.indirect_probes as u64) as usize,
+            indirect_probes: key.get("indirect").integer_in(0, 16, defaults.indirect_probes as u64) as usize,
             sync_period: ms("sync_ms", 50, 600_000, defaults.sync_period),
             share_hold: ms("hold_ms", 100, 600_000, defaults.share_hold),
             join_timeout: ms("join_patience_ms", 100, 600_000, defaults.join_timeout),
-            max_members: key.get("members").between(2, 4_096, defaults.max_members as u64) as usize,
+            max_members: key.get("members").integer_in(2, 4_096, defaults.max_members as u64) as usize,
             ..defaults
         },
     }
@@ -242,10 +242,12 @@
         "ramp_ms",
         "trial_ms",
     ]);
-    let lease = key.get("lease_ms").between(100, 60_000, 2_000) * 1_000;
+    let lease = key.get("lease_ms").integer_in(100, 60_000, 2_000) * 1_000;
     let lease_key = key.get("lease_ms");
-    let (resends, orders) =
-        (key.get("resends_per_s").between(0, 1_000_000, 0), key.get("orders_per_s").between(0, 1_000_000, 0));
+    let (resends, orders) = (
+        key.get("resends_per_s").integer_in(0, 1_000_000, 0),
+        key.get("orders_per_s").integer_in(0, 1_000_000, 0),
+    );
     let lends = resends + orders > 0;
     lease_key.must(
         !lends || lease + lease / 10 <= share_hold,
@@ -254,27 +256,27 @@
     overload::Options {
         resends,
         orders,
-        floor: key.get("floor_percent").between(0, 100, 50) * 10,
+        floor: key.get("floor_percent").integer_in(0, 100, 50) * 10,
         lease,
-        queue: key.get("queue_ms").between(0, 60_000, 0) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 1_000) * 1_000,
-        ramp: key.get("ramp_ms").between(0, 600_000, 0) * 1_000,
-        trial: key.get("trial_ms").between(20, 60_000, 250) * 1_000,
+        queue: key.get("queue_ms").integer_in(0, 60_000, 0) * 1_000,
+        stay: key.get("stay_ms").integer_in(100, 600_000, 1_000) * 1_000,
+        ramp: key.get("ramp_ms").integer_in(0, 600_000, 0) * 1_000,
+        trial: key.get("trial_ms").integer_in(20, 60_000, 250) * 1_000,
     }
 }
 
 fn read_zones(key: &Key) -> zones::Options {
     key.only(&["silent_ms", "stay_ms", "dwell_ms"]);
     zones::Options {
-        silent: key.get("silent_ms").between(50, 60_000, 1_000) * 1_000,
-        stay: key.get("stay_ms").between(100, 600_000, 2_000) * 1_000,
-        dwell: key.get("dwell_ms").between(50, 600_000, 500) * 1_000,
+        silent: key.get("silent_ms").integer_in(50, 60_000, 1_000) * 1_000,
+        stay: key.get("stay_ms").integer_in(100, 600_000, 2_000) * 1_000,
+        dwell: key.get("dwell_ms").integer_in(50, 600_000, 500) * 1_000,
     }
 }
 
 fn read_function_bytes(key: &Key) -> Option<usize> {
     key.only(&["function_memory_mb"]);
-    let megabytes = |key: &Key| (key.between(1, 65_536, 96) as usize) << 20;
+    let megabytes = |key: &Key| (key.integer_in(1, 65_536, 96) as usize) << 20;
     key.get("function_memory_mb").optional(megabytes)
 }
 
@@ -287,10 +289,10 @@
     }
     Agent {
         listen: key.get("listen").address(),
-        check_every: key.get("check_every_ms").between(10, 600_000, 500) * 1000,
-        check_timeout: key.get("check_timeout_ms").between(10, 600_000, 2_000) * 1000,
-        drain: key.get("drain_ms").between(0, 600_000, 2_000) * 1000,
-        stop_timeout: key.get("stop_timeout_ms").between(1_000, 600_000, 10_000) * 1000,
+        check_every: key.get("check_every_ms").integer_in(10, 600_000, 500) * 1000,
+        check_timeout: key.get("check_timeout_ms").integer_in(10, 600_000, 2_000) * 1000,
+        drain: key.get("drain_ms").integer_in(0, 600_000, 2_000) * 1000,
+        stop_timeout: key.get("stop_timeout_ms").integer_in(1_000, 600_000, 10_000) * 1000,
         instances,
     }
 }
@@ -306,6 +308,6 @@
         listen: key.get("listen").address(),
         config: key.get("config").text().into(),
         check: check.optional(Key::address),
-        mqtt: key.get("mqtt").flag_or(false),
+        mqtt: key.get("mqtt").bool_or(false),
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -204,7 +204,7 @@
         let seed = top.get("seed");
         let number = u64::from_str_radix(&seed.text_or("0"), 16);
         seed.must(number.is_ok(), "expected at most 16 hexadecimal digits");
-        let settings_absent = streamed && !top.get("settings").given();
+        let settings_absent = streamed && !top.get("settings").is_present();
         Config {
             name: top.get("name").text_or("dispatcher"),
             listen: top.get("listen").address(),
@@ -227,7 +227,7 @@
     /// Checks that this configuration omits no key that `old`, which it is to replace, has.
     pub fn check_replacement(&self, old: &Config) -> Result<(), Faults> {
         let top = Key::top(&self.source);
-        top.keeps(&old.source);
+        top.require_keys_of(&old.source);
         top.finish(())
     }
 
@@ -261,8 +261,8 @@
 
 fn read_resources(limits: &Key) -> Resources {
     Resources {
-        memory: limits.get("memory_mb").between(16, 1 << 20, 192) as usize * (1 << 20),
-        sockets: limits.get("sockets").between(32, 1 << 20, 1024) as usize,
+        memory: limits.get("memory_mb").integer_in(16, 1 << 20, 192) as usize * (1 << 20),
+        sockets: limits.get("sockets").integer_in(32, 1 << 20, 1024) as usize,
     }
 }
 
@@ -272,7 +272,7 @@
     let mut list = BTreeMap::<WorkerId, Executor>::new();
     for event in key.get("batch").entries() {
         let topology = event.get("topology");
-        if topology.get("reset").flag_or(false) {
+        if topology.get("reset").bool_or(false) {
             list.clear();
         }
         let instances = topology.get("instances");
@@ -287,7 +287,7 @@
                 "is longer than 255 bytes: find out who registered this executor",
             );
             let states = ["in_service", "terminating", "terminated"];
-            let state = match entry.get("lifecycle").word(&states) {
+            let state = match entry.get("lifecycle").one_of(&states) {
                 0 => ExecutorState::Ready,
                 1 => ExecutorState::Draining,
                 _ => {
@@ -300,14 +300,14 @@
                 address: entry.get("hostPort").address(),
                 zone: entry.get("zone").text_or(""),
                 kind: entry.get("machineType").text_or(""),
-                cell: entry.get("cell").whole_or(0) as usize,
+                cell: entry.get("cell").integer_or(0) as usize,
                 state,
-                started_ms: entry.get("startedAtMs").whole_or(0),
+                started_ms: entry.get("startedAtMs").integer_or(0),
             };
             list.insert(id, executor);
         }
     }
-    (key.get("offset").whole_or(0), list.into_values().collect())
+    (key.get("offset").integer_or(0), list.into_values().collect())
 }
 
 fn texts(key: &Key) -> Vec<String> {
@@ -315,36 +315,36 @@
 }
 
 fn read_settings(key: &Key) -> Settings {
-    let lanes = key.get("lanes").some_entries("class");
+    let lanes = key.get("lanes").nonempty_entries("class");
     let orgs = key.get("orgs").entries();
     let (limits, rules, info) = (key.get("limits"), key.get("rules"), key.get("family_info"));
     let costs = key.get("costs");
-    let retry_after = limits.get("max_retry_after_us").whole_or(0);
+    let retry_after = limits.get("max_retry_after_us").integer_or(0);
     // Load reports that only probes carry are not requested, since a probe has a cost of its own.
     let in_answers = key.get("report").get("how").text_or("off") == "inline";
     let mut reported = texts(&key.get("report").get("fields"));
     reported.retain(|_| in_answers);
     let module = api::Settings {
-        dispatcher_count: key.get("balancers").between(1, 1 << 20, 1) as usize,
-        own_index: key.get("me").whole_or(0) as usize,
-        own_zone: key.get("my_zone").whole_or(0) as usize,
+        dispatcher_count: key.get("balancers").integer_in(1, 1 << 20, 1) as usize,
+        own_index: key.get("me").integer_or(0) as usize,
+        own_zone: key.get("my_zone").integer_or(0) as usize,
         classes: lanes.iter().map(read_class).collect(),
         tenant_quotas: orgs.iter().map(|o| o.get("quota_per_s").number_or(0.0)).collect(),
         over_share_worth: key.get("over_share_worth").number_or(1.0),
         report_fields: reported.iter().map(|name| report_field(name)).collect(),
-        max_attempts: limits.get("send_cap").between(1, 64, 1) as usize,
-        may_duplicate: limits.get("may_duplicate").flag_or(false),
-        may_cancel: limits.get("cancel").flag_or(false),
-        max_retry_after: if limits.get("retry_after").flag_or(false) { retry_after } else { 0 },
-        min_batch_interval: key.get("tick_us").whole_or(1000),
+        max_attempts: limits.get("send_cap").integer_in(1, 64, 1) as usize,
+        may_duplicate: limits.get("may_duplicate").bool_or(false),
+        may_cancel: limits.get("cancel").bool_or(false),
+        max_retry_after: if limits.get("retry_after").bool_or(false) { retry_after } else { 0 },
+        min_batch_interval: key.get("tick_us").integer_or(1000),
         cold_share: rules.get("cold_share").number_or(1.0),
-        warm_after: rules.get("warm_after_us").whole_or(0),
+        warm_after: rules.get("warm_after_us").integer_or(0),
         fall_multiple: rules.get("fall_multiple").number_or(2.0),
-        fall_window: rules.get("fall_us").whole_or(1_000_000),
-        load_orders_allowed: info.get("orders").flag_or(false),
+        fall_window: rules.get("fall_us").integer_or(1_000_000),
+        load_orders_allowed: info.get("orders").bool_or(false),
         loads_on_miss: info.get("miss_mode").text_or("load") != "miss",
-        keep_alive: info.get("keep_alive_us").whole_or(10_000_000),
-        load_window: info.get("load_window_us").whole_or(0),
+        keep_alive: info.get("keep_alive_us").integer_or(10_000_000),
+        load_window: info.get("load_window_us").integer_or(0),
         loads_anyway: info.get("loads_anyway").number_or(0.0),
         loads_per_request: info.get("loads_per_request").number_or(0.0),
         cross_zone_price: costs.get("cross_zone").number_or(0.0),
@@ -356,23 +356,23 @@
     Settings {
         classes: lanes.iter().map(|lane| lane.get("name").text().to_string()).collect(),
         tenants: orgs.iter().map(|o| o.get("name").text().to_string()).collect(),
-        retired: lanes.iter().map(|lane| lane.get("retired").flag_or(false)).collect(),
+        retired: lanes.iter().map(|lane| lane.get("retired").bool_or(false)).collect(),
         // Clients that still use a retired class have not picked up the change yet.
         removed_classes: lanes
             .iter()
-            .filter(|lane| lane.get("retired").flag_or(false))
+            .filter(|lane| lane.get("retired").bool_or(false))
             .map(|lane| lane.get("name").text().to_string())
             .collect(),
-        drain_grace: rules.get("stop_sending_within_us").whole_or(MAX_DRAIN_GRACE_US),
+        drain_grace: rules.get("stop_sending_within_us").integer_or(MAX_DRAIN_GRACE_US),
         longest_deadline_us: module.classes.iter().map(|c| c.deadline).max().unwrap_or_default(),
         vocabulary: ZoneAndKindNames { zones: texts(&key.get("zones")), kinds: texts(&key.get("kinds")) },
-        streams_per_conn: limits.get("streams_per_conn").between(1, 1 << 16, 32) as usize,
-        connect_timeout: limits.get("connect_timeout_us").between(1_000, 60_000_000, 250_000),
-        keepalive: limits.get("keepalive_us").between(1_000_000, 1 << 40, 15_000_000),
-        max_open: limits.get("max_open").between(1, 1 << 30, 20_000) as usize,
-        load_wait: info.get("load_wait_us").between(1, 1 << 40, 10_000_000),
-        tells_warm: info.get("tells_warm").flag_or(false),
-        tells_crowd: info.get("notes_peers_in_hand").flag_or(false),
+        streams_per_conn: limits.get("streams_per_conn").integer_in(1, 1 << 16, 32) as usize,
+        connect_timeout: limits.get("connect_timeout_us").integer_in(1_000, 60_000_000, 250_000),
+        keepalive: limits.get("keepalive_us").integer_in(1_000_000, 1 << 40, 15_000_000),
+        max_open: limits.get("max_open").integer_in(1, 1 << 30, 20_000) as usize,
+        load_wait: info.get("load_wait_us").integer_in(1, 1 << 40, 10_000_000),
+        tells_warm: info.get("tells_warm").bool_or(false),
+        tells_crowd: info.get("notes_peers_in_hand").bool_or(false),
         report: reported,
         module,
     }
@@ -383,11 +383,11 @@
     let scopes = [KeyScope::All, KeyScope::Zone, KeyScope::Cell];
     let scope = key.get("key_scope");
     Class {
-        latency_target: key.get("promise_us").positive(),
-        deadline: key.get("deadline_us").positive(),
-        effect: effects[key.get("effect").word(&["idempotent", "deduplicated", "at_most_once"])],
-        key_scope: scope.optional(|k| scopes[k.word(&["all", "zone", "cell"])]).unwrap_or(KeyScope::Cell),
-        repeat_window: key.get("repeat_window_us").whole_or(0),
+        latency_target: key.get("promise_us").positive_integer(),
+        deadline: key.get("deadline_us").positive_integer(),
+        effect: effects[key.get("effect").one_of(&["idempotent", "deduplicated", "at_most_once"])],
+        key_scope: scope.optional(|k| scopes[k.one_of(&["all", "zone", "cell"])]).unwrap_or(KeyScope::Cell),
+        repeat_window: key.get("repeat_window_us").integer_or(0),
         credit: key.get("credit").number_or(1.0),
         late_worth: key.get("late_worth").number_or(0.0),
     }
--- a/src/keys/mod.rs
+++ b/src/keys/mod.rs
@@ -134,14 +134,16 @@
 
     /// Checks that no key of `old` is omitted. In a file that replaces another one, an absent key is a fault and does
     /// not select the default. Keys that all entries of an old list had are required of all entries of the new one.
-    pub fn keeps(&self, old: &Value) {
+    pub fn require_keys_of(&self, old: &Value) {
         match (old, self.value) {
             (Value::Null, _) => {}
             (_, None) => self.fault("is missing, but was set before"),
-            (Value::Object(old), Some(_)) => old.iter().for_each(|(name, old)| self.get(name).keeps(old)),
+            (Value::Object(old), Some(_)) => {
+                old.iter().for_each(|(name, old)| self.get(name).require_keys_of(old))
+            }
             (Value::Array(old), Some(Value::Array(_))) => {
                 let Some(common) = old.iter().cloned().reduce(common_keys) else { return };
-                self.entries().iter().for_each(|entry| entry.keeps(&common));
+                self.entries().iter().for_each(|entry| entry.require_keys_of(&common));
             }
             _ => {}
         }
@@ -156,14 +158,14 @@
     }
 
     /// Returns whether the key is present; always true while describing the schema.
-    pub fn given(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.record(Constraint::Optional);
         self.value.is_some() || self.is_describing()
     }
 
     /// Reads the key if it is present.
     pub fn optional<T>(&self, read: impl FnOnce(&Self) -> T) -> Option<T> {
-        self.given().then(|| read(self))
+        self.is_present().then(|| read(self))
     }
 
     /// Returns the members of an object with arbitrary names.
@@ -229,7 +231,7 @@
     }
 
     /// Reads a whole number of 0 or more; one written as a float without a fraction is accepted.
-    pub fn whole(&self) -> u64 {
+    pub fn integer(&self) -> u64 {
         self.record(Constraint::Whole(0, u64::MAX));
         let whole = |v: &Value| {
             v.as_u64().or_else(|| v.as_f64().filter(|n| *n >= 0.0 && n.fract() == 0.0).map(|n| n as u64))
@@ -238,15 +240,15 @@
     }
 
     /// Reads a whole number, or returns the default.
-    pub fn whole_or(&self, default: u64) -> u64 {
-        self.read_or(default, Key::whole)
+    pub fn integer_or(&self, default: u64) -> u64 {
+        self.read_or(default, Key::integer)
     }
 
     /// Reads a whole number over 0.
-    pub fn positive(&self) -> u64 {
+    pub fn positive_integer(&self) -> u64 {
         self.record(Constraint::Whole(1, u64::MAX));
         let faults_before = self.state.faults.borrow().len();
-        let value = self.whole();
+        let value = self.integer();
         if value == 0 && self.value.is_some() && self.state.faults.borrow().len() == faults_before {
             self.fault("must be over 0");
         }
@@ -254,10 +256,10 @@
     }
 
     /// Reads a whole number between inclusive bounds, or returns the default.
-    pub fn between(&self, least: u64, most: u64, default: u64) -> u64 {
+    pub fn integer_in(&self, least: u64, most: u64, default: u64) -> u64 {
         self.record(Constraint::Whole(least, most));
         let faults_before = self.state.faults.borrow().len();
-        let value = self.whole_or(default);
+        let value = self.integer_or(default);
         if !(least..=most).contains(&value) && self.state.faults.borrow().len() == faults_before {
             self.fault(format!("must be between {least} and {most}"));
         }
@@ -265,7 +267,7 @@
     }
 
     /// Reads a boolean, or returns the default.
-    pub fn flag_or(&self, default: bool) -> bool {
+    pub fn bool_or(&self, default: bool) -> bool {
         self.record(Constraint::Flag);
         self.read_or(default, |k| k.read_required("true or false", default, Value::as_bool))
     }
@@ -287,7 +289,7 @@
     }
 
     /// Returns the entries of an array, of which there must be at least one.
-    pub fn some_entries(&self, what: &str) -> Vec<Key<'a>> {
+    pub fn nonempty_entries(&self, what: &str) -> Vec<Key<'a>> {
         self.record(Constraint::List(1));
         let entries = self.array_entries();
         let absent = self.value.is_none() && self.state.partial;
@@ -312,7 +314,7 @@
     }
 
     /// Reads one of the given words and returns its position.
-    pub fn word(&self, words: &[&str]) -> usize {
+    pub fn one_of(&self, words: &[&str]) -> usize {
         self.record(Constraint::Word(words.iter().map(|w| w.to_string()).collect()));
         let expected = format!("one of {}", words.join(", "));
         self.read_required(&expected, 0, |v| words.iter().position(|w| v.as_str() == Some(w)))
