--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter by its own lines, through the real binary.
+//! The adapter binary, driven by batches on its standard input.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -27,7 +27,7 @@
         .collect()
 }
 
-fn start() -> Value {
+fn start_batch() -> Value {
     json!({"clock_us": 1000, "arrivals": [
         {"what": "spawn", "i": "router/0", "rng_seed": 5, "config": {
             "balancers": 1, "my_zone": 0, "tick_us": 1000, "later_key": {"x": [1]},
@@ -40,7 +40,7 @@
              "units": 1, "ready_at_us": null}]}]})
 }
 
-fn ask(rid: u64) -> Value {
+fn request(rid: u64) -> Value {
     json!({"what": "ask", "i": "router/0", "rid": rid, "per_copy": 2, "mem_mb": 300, "retry": false, "write": false,
            "predicted_us": null, "unit_key": "fn:a", "org": null, "warm_ms": 400, "ttl_us": 2000000, "type": 0})
 }
@@ -51,7 +51,7 @@
         {"what": "closed_attempt", "i": "router/0", "rid": 4, "go": 0, "final": true, "lag_us": 490000,
          "worker": "10.0.0.1:80", "remark": 2, "status": "S", "telemetry": null},
         {"what": "unheard_of", "i": "router/0"}]});
-    let out = replies(&[start(), json!({"clock_us": 9000, "arrivals": [ask(4)]}), answer]);
+    let out = replies(&[start_batch(), json!({"clock_us": 9000, "arrivals": [request(4)]}), answer]);
     assert!(out[0].is_empty());
     let send = out[1].iter().find(|o| o["what"] == "pass_on").expect("sent");
     assert_eq!((send["rid"].as_u64(), send["worker"].as_str()), (Some(4), Some("10.0.0.1:80")));
@@ -61,26 +61,26 @@
 }
 
 #[test]
-fn no_worker_at_all_is_a_refusal() {
+fn a_request_without_any_worker_is_refused() {
     let gone = json!({"clock_us": 2000, "arrivals": [
-        {"what": "endpoints", "i": "router/0", "how": "all", "stamp": 2, "items": []}, ask(9)]});
-    let out = replies(&[start(), gone]);
+        {"what": "endpoints", "i": "router/0", "how": "all", "stamp": 2, "items": []}, request(9)]});
+    let out = replies(&[start_batch(), gone]);
     assert!(out[1].iter().any(|o| o["what"] == "push_back" && o["rid"] == 9), "{:?}", out[1]);
 }
 
 #[test]
-fn a_stopped_instance_is_silent_and_a_new_one_knows_nothing() {
-    let stop = json!({"clock_us": 2000, "arrivals": [{"what": "stop", "i": "router/0"}, ask(1)]});
-    assert!(replies(&[start(), stop])[1].is_empty());
+fn a_stopped_instance_sends_no_replies() {
+    let stop = json!({"clock_us": 2000, "arrivals": [{"what": "stop", "i": "router/0"}, request(1)]});
+    assert!(replies(&[start_batch(), stop])[1].is_empty());
 }
 
 #[test]
-fn empty_batches_get_empty_replies_and_the_end_of_input_is_a_clean_exit() {
+fn an_empty_batch_gets_an_empty_reply_and_end_of_input_exits_cleanly() {
     assert_eq!(replies(&[json!({"clock_us": 1, "arrivals": []})]), vec![Vec::<Value>::new()]);
 }
 
 #[test]
-fn malformed_input_names_its_line() {
+fn a_malformed_line_is_reported_by_its_number() {
     let output = run("{\"clock_us\":1,\"arrivals\":[]}\n{\"clock_us\":oops}\n");
     assert!(!output.status.success());
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/tests/modules.rs
+++ b/tests/modules.rs
@@ -1,12 +1,12 @@
-//! The parts of the program use each other one way round.
+//! The top-level modules of the program have no cyclic dependencies.
 
 mod sources;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The top modules that a text names after `crate::`, also in braces; its tests may name what they like.
-fn named(text: &str) -> BTreeSet<String> {
+/// Returns the top-level modules that a source names after `crate::`, also in braces. Test modules are ignored.
+fn modules_named_in(text: &str) -> BTreeSet<String> {
     let text = text.split("#[cfg(test)]\nmod tests {").next().unwrap_or_default();
     let mut names = BTreeSet::new();
     for rest in text.split("crate::").skip(1) {
@@ -20,73 +20,73 @@
     names
 }
 
-fn uses() -> BTreeMap<String, BTreeSet<String>> {
+fn module_uses() -> BTreeMap<String, BTreeSet<String>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
     sources::below(&root, &mut files);
-    let mut uses = BTreeMap::<String, BTreeSet<String>>::new();
+    let mut module_uses = BTreeMap::<String, BTreeSet<String>>::new();
     for file in files {
         let inner = file.strip_prefix(&root).expect("inside");
         let first = inner.iter().next().expect("a name").to_string_lossy();
         let module = first.trim_end_matches(".rs").to_string();
         let text = std::fs::read_to_string(&file).expect("a source");
-        uses.entry(module).or_default().extend(named(&text));
+        module_uses.entry(module).or_default().extend(modules_named_in(&text));
     }
-    let modules: BTreeSet<String> = uses.keys().cloned().collect();
-    for (module, used) in &mut uses {
+    let modules: BTreeSet<String> = module_uses.keys().cloned().collect();
+    for (module, used) in &mut module_uses {
         used.retain(|u| modules.contains(u) && u != module);
     }
-    uses
+    module_uses
 }
 
-/// A way from a module back to itself, if there is one.
-fn circle(uses: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
-    fn walk(
-        uses: &BTreeMap<String, BTreeSet<String>>,
-        way: &mut Vec<String>,
-        done: &mut BTreeSet<String>,
+/// Returns a cycle of dependencies, if there is one.
+fn find_cycle(module_uses: &BTreeMap<String, BTreeSet<String>>) -> Option<Vec<String>> {
+    fn visit(
+        module_uses: &BTreeMap<String, BTreeSet<String>>,
+        path: &mut Vec<String>,
+        visited: &mut BTreeSet<String>,
     ) -> bool {
-        let last = way[way.len() - 1].clone();
-        for next in uses.get(&last).into_iter().flatten() {
-            if let Some(from) = way.iter().position(|w| w == next) {
-                way.drain(..from);
+        let last = path[path.len() - 1].clone();
+        for next in module_uses.get(&last).into_iter().flatten() {
+            if let Some(from) = path.iter().position(|w| w == next) {
+                path.drain(..from);
                 return true;
             }
-            if !done.contains(next) {
-                way.push(next.clone());
-                if walk(uses, way, done) {
+            if !visited.contains(next) {
+                path.push(next.clone());
+                if visit(module_uses, path, visited) {
                     return true;
                 }
-                way.pop();
+                path.pop();
             }
         }
-        done.insert(last);
+        visited.insert(last);
         false
     }
-    let mut done = BTreeSet::new();
-    uses.keys().find_map(|from| {
-        let mut way = vec![from.clone()];
-        walk(uses, &mut way, &mut done).then_some(way)
+    let mut visited = BTreeSet::new();
+    module_uses.keys().find_map(|from| {
+        let mut path = vec![from.clone()];
+        visit(module_uses, &mut path, &mut visited).then_some(path)
     })
 }
 
 #[test]
-fn no_two_modules_use_each_other_however_many_stand_between_them() {
-    let uses = uses();
-    assert!(uses.len() > 15, "the sources were read: {uses:?}");
-    assert_eq!(circle(&uses), None);
+fn no_modules_use_each_other_directly_or_indirectly() {
+    let module_uses = module_uses();
+    assert!(module_uses.len() > 15, "sources were found: {module_uses:?}");
+    assert_eq!(find_cycle(&module_uses), None);
 }
 
 #[test]
-fn a_planted_circle_is_found() {
-    let mut uses = uses();
-    // `config` knows the options of `peers`; the other way round it is a circle, also by way of a third.
-    uses.get_mut("peers").expect("a module").insert("handover".into());
-    uses.get_mut("handover").expect("a module").insert("config".into());
-    let found = circle(&uses).expect("a circle");
+fn an_injected_module_cycle_is_detected() {
+    let mut module_uses = module_uses();
+    // `config` uses the options of `peers`; a use of `config` by `peers` through a third module closes a cycle.
+    module_uses.get_mut("peers").expect("a module").insert("handover".into());
+    module_uses.get_mut("handover").expect("a module").insert("config".into());
+    let found = find_cycle(&module_uses).expect("a cycle");
     assert!(["peers", "handover", "config"].iter().all(|m| found.iter().any(|f| f == m)), "{found:?}");
     assert_eq!(
-        named("use crate::{a, b::{c}};\ncrate::d::E\n#[cfg(test)]\nmod tests {\nuse crate::f;"),
+        modules_named_in("use crate::{a, b::{c}};\ncrate::d::E\n#[cfg(test)]\nmod tests {\nuse crate::f;"),
         ["a", "b", "d"].map(String::from).into()
     );
 }
--- a/tests/processes/orphans.rs
+++ b/tests/processes/orphans.rs
@@ -1,56 +1,59 @@
-//! Whatever the rig starts ends with it, however it ends.
+//! Processes that the rig starts end with the test process, also when it panics or is killed.
 
-use super::place;
+use super::fleet_slot;
 use ochreward_rig::fleet::Fleet;
 use ochreward_rig::stand::until;
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 
-/// Set for the process that starts a fleet and comes to a bad end; how.
-const END: &str = "ORPHANS_END";
-const OWN: &str = "orphans::whatever_the_rig_starts_ends_with_it_also_after_a_panic_or_a_kill";
+/// Environment variable that makes this test the child that starts a fleet and then ends; its value says by `panic` or `kill`.
+const END_MODE: &str = "ORPHANS_END";
+const OWN_TEST: &str = "orphans::processes_started_by_the_rig_end_with_it_after_a_panic_or_a_kill";
 
-/// Starts a fleet, one of which stands still, tells who they are, and waits for its end.
-fn come_to_an_end(how: &str) {
+/// Starts a fleet with one process paused, prints its process pids, and ends once its standard input closes.
+fn start_fleet_and_end(mode: &str) {
     let mut fleet = Fleet::start(77, 3);
     fleet.stop(1);
-    let ids: Vec<String> = (0..3).filter_map(|n| Some(fleet.process(n)?.to_string())).collect();
-    println!("\nids {}", ids.join(" "));
+    let pids: Vec<String> = (0..3).filter_map(|n| Some(fleet.process(n)?.to_string())).collect();
+    println!("\npids {}", pids.join(" "));
     let _ = std::io::stdin().read_line(&mut String::new());
-    assert_ne!(how, "panic", "as it was told");
-    unreachable!("it was to be killed");
+    assert_ne!(mode, "panic", "a panic was ordered");
+    unreachable!("the parent kills this process before its input ends");
 }
 
-/// Whether a process runs or stands still; one that only waits to be collected does not.
-fn lives(id: &str) -> bool {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
+/// Returns whether a process runs or is paused. A zombie counts as ended.
+fn is_running(pid: &str) -> bool {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit_once(") ").is_some_and(|(_, rest)| !rest.starts_with(['Z', 'X']))
 }
 
 #[test]
-fn whatever_the_rig_starts_ends_with_it_also_after_a_panic_or_a_kill() {
-    if let Ok(how) = std::env::var(END) {
-        return come_to_an_end(&how);
+fn processes_started_by_the_rig_end_with_it_after_a_panic_or_a_kill() {
+    if let Ok(mode) = std::env::var(END_MODE) {
+        return start_fleet_and_end(&mode);
     }
-    let _place = place();
-    for how in ["panic", "kill"] {
-        let mut child = Command::new(std::env::current_exe().expect("a path"))
-            .args(["--exact", OWN, "--nocapture"])
-            .env(END, how)
+    let _slot = fleet_slot();
+    for mode in ["panic", "kill"] {
+        let mut child = Command::new(std::env::current_exe().expect("the test binary's path"))
+            .args(["--exact", OWN_TEST, "--nocapture"])
+            .env(END_MODE, mode)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("a process of its own");
+            .expect("a child process");
         let lines = BufReader::new(child.stdout.take().expect("piped")).lines().map_while(Result::ok);
-        let ids = lines.into_iter().find_map(|l| l.strip_prefix("ids ").map(String::from)).expect("its ids");
-        let ids: Vec<&str> = ids.split(' ').collect();
-        assert!(ids.len() == 3 && ids.iter().all(|id| lives(id)), "{how}: {ids:?}");
-        match how {
+        let pids = lines
+            .into_iter()
+            .find_map(|l| l.strip_prefix("pids ").map(String::from))
+            .expect("a line of process ids");
+        let pids: Vec<&str> = pids.split(' ').collect();
+        assert!(pids.len() == 3 && pids.iter().all(|pid| is_running(pid)), "{mode}: {pids:?}");
+        match mode {
             "kill" => child.kill().expect("killed"),
             _ => drop(child.stdin.take()),
         }
-        assert!(!child.wait().expect("an end").success(), "{how}");
-        until("what the rig started goes on without it", || !ids.iter().any(|id| lives(id)));
+        assert!(!child.wait().expect("an exit status").success(), "{mode}");
+        until("processes of the rig end after it", || !pids.iter().any(|pid| is_running(pid)));
     }
 }
--- a/tests/schema.rs
+++ b/tests/schema.rs
@@ -1,5 +1,5 @@
-//! The readers and the schemas that are made from them agree: every shipped example passes both, and each broken one
-//! fails in both.
+//! The configuration readers and the schemas generated from them agree: both accept every shipped example and both
+//! reject each broken file.
 
 use ochreward::config::{Config, Faults, Operator, version};
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
             "rules": {"cold_share": 0.15}, "family_info": {"orders": true}}})
 }
 
-/// Sets, or with `None` removes, the value at a pointer.
+/// Sets the value at a JSON pointer, or removes it for `None`.
 fn with(mut value: Value, pointer: &str, to: Option<Value>) -> Value {
     let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
     let parent = value.pointer_mut(parent).expect("a parent");
@@ -34,20 +34,20 @@
     value
 }
 
-fn agree(schema: &Value, value: &Value, read: &Result<(), Faults>, good: bool) {
+fn assert_same_verdict(schema: &Value, value: &Value, read: &Result<(), Faults>, good: bool) {
     let valid = jsonschema::validator_for(schema).expect("a schema").is_valid(value);
     assert_eq!((valid, read.is_ok()), (good, good), "{read:?} of {value:#}");
 }
 
 #[test]
-fn a_dispatchers_file_passes_and_fails_in_both() {
+fn reader_and_schema_agree_on_dispatcher_files() {
     let schema = Config::schema();
     let read = |v: &Value| Config::read(&v.to_string()).map(drop);
-    agree(&schema, &example(), &read(&example()), true);
+    assert_same_verdict(&schema, &example(), &read(&example()), true);
     let shipped = serde_json::from_str(include_str!("../deploy/example.json")).expect("JSON");
-    agree(&schema, &shipped, &read(&shipped), true);
+    assert_same_verdict(&schema, &shipped, &read(&shipped), true);
     let rooms = serde_json::from_str(include_str!("../deploy/rooms.json")).expect("JSON");
-    agree(&schema, &rooms, &read(&rooms), true);
+    assert_same_verdict(&schema, &rooms, &read(&rooms), true);
     let broken = [
         ("/listen", None),
         ("/names", Some(json!("here"))),
@@ -68,16 +68,16 @@
     ];
     for (pointer, to) in broken {
         let value = with(example(), pointer, to);
-        agree(&schema, &value, &read(&value), false);
+        assert_same_verdict(&schema, &value, &read(&value), false);
     }
     for (pointer, to) in [("/ops", None), ("/settings/orgs", None), ("/seed", None), ("/limits", None)] {
         let value = with(example(), pointer, to);
-        agree(&schema, &value, &read(&value), true);
+        assert_same_verdict(&schema, &value, &read(&value), true);
     }
 }
 
 #[test]
-fn all_faults_of_a_file_are_named_each_by_its_key() {
+fn all_faults_of_a_file_are_reported_by_key() {
     let mut value = with(example(), "/names", None);
     for (pointer, to) in [("/settings/lanes/0/deadline_us", json!(0)), ("/limits/sockets", json!("many"))] {
         value = with(value, pointer, Some(to));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn operators_files_pass_and_fail_in_both() {
+fn reader_and_schema_agree_on_operator_files() {
     let schema = Operator::schema();
     let read = |text: &str| Operator::read(text).map(drop);
     for text in [
@@ -105,7 +105,7 @@
         include_str!("../deploy/zones.toml"),
         "",
     ] {
-        agree(&schema, &toml(text), &read(text), true);
+        assert_same_verdict(&schema, &toml(text), &read(text), true);
     }
     let broken = [
         "[agent]\n",
@@ -128,12 +128,12 @@
         "[control.service]\nlisten = \"127.0.0.1:1\"\nstore = \"s\"\nrollout = { waves = [\"all\"] }",
     ];
     for text in broken {
-        agree(&schema, &toml(text), &read(text), false);
+        assert_same_verdict(&schema, &toml(text), &read(text), false);
     }
 }
 
 #[test]
-fn no_memory_for_functions_is_a_fault_that_names_its_key() {
+fn zero_function_memory_is_reported_by_key() {
     let Faults(faults) = Operator::read("[routing]\nfunction_memory_mb = 0").expect_err("a fault");
     assert_eq!(faults[0].key, "routing.function_memory_mb");
     assert_eq!(faults[0].why, "must be between 1 and 65536");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn versions_pass_and_fail_in_both() {
+fn reader_and_schema_agree_on_versions() {
     let schema = version::schema();
     let read = |text: &str| version::read(text).map(drop);
     let good = [
@@ -155,7 +155,7 @@
         "[[instance.n3.fronts.mqtt]]\nbroker = \"127.0.0.1:1883\"",
     ];
     for text in good {
-        agree(&schema, &toml(text), &read(text), true);
+        assert_same_verdict(&schema, &toml(text), &read(text), true);
     }
     let broken = [
         "[flet.settings]\n",
@@ -167,6 +167,6 @@
         "[[fleet.fronts.mqtt]]\nbroker = 7",
     ];
     for text in broken {
-        agree(&schema, &toml(text), &read(text), false);
+        assert_same_verdict(&schema, &toml(text), &read(text), false);
     }
 }
--- a/tests/sources/mod.rs
+++ b/tests/sources/mod.rs
@@ -1,11 +1,11 @@
-//! The sources of the program, for tests that read them.
+//! Finds the program's source files, for tests that read them.
 
 use std::path::{Path, PathBuf};
 
-/// Adds every source below a folder that is no test's.
+/// Adds every source file below a folder, except test files.
 pub fn below(folder: &Path, into: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(folder).expect("a readable folder") {
+        let path = entry.expect("a readable entry").path();
         let is = |name: &str| path.file_name().is_some_and(|n| n == name);
         if path.is_dir() && !is("tests") {
             below(&path, into);
