--- a/tests/processes/orphans.rs
+++ b/tests/processes/orphans.rs
@@ -6,7 +6,7 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 
-/// Environment variable that makes this test the child that starts a fleet and then ends; its value says by `panic` or `kill`.
+/// Environment variable that makes this test the child that starts a fleet and then ends, by its value: `panic` or `kill`.
 const END_MODE: &str = "ORPHANS_END";
 const OWN_TEST: &str = "orphans::processes_started_by_the_rig_end_with_it_after_a_panic_or_a_kill";
 
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -324,9 +324,10 @@
     while program.budgets_report().is_none_or(|b| b["budgets"][0]["spendable_per_s"] != 2.5) {
         assert!(began.elapsed() < stand::PATIENCE, "{:?}", program.budgets_report());
     }
-    let door = program.door.expect("an admin address").to_string();
-    let output =
-        std::process::Command::new(stand::binary()).args(["peers", "budgets", "--door", &door]).output();
+    let admin_address = program.door.expect("an admin address").to_string();
+    let output = std::process::Command::new(stand::binary())
+        .args(["peers", "budgets", "--door", &admin_address])
+        .output();
     let output = output.expect("the command runs");
     let text = String::from_utf8_lossy(&output.stdout).to_string();
     assert!(output.status.success() && text.contains("owns 2.5") && text.starts_with("level 0"), "{text}");
--- a/tests/processes/zones.rs
+++ b/tests/processes/zones.rs
@@ -1,4 +1,5 @@
-//! Zone fail-over of a fleet of real processes: three zones with two dispatchers and two workers each, and faults between them.
+//! Zone fail-over of a fleet of real processes: three zones with two dispatchers and two workers each, and faults between
+//! them.
 
 use super::{forged_claim, forged_packet, wait_until_all_see, zone_fleet_slot};
 use ochreward_membership::wire::Body;
@@ -63,7 +64,8 @@
     let before: Vec<u64> = fleet.workers.iter().map(|w| w.tries()).collect();
     let more = |(w, before): (&ochreward_rig::worker::Worker, &u64)| w.tries() >= before + 100;
     fleet.until_so("all workers are used", || fleet.workers.iter().zip(&before).all(more));
-    // Each dispatcher must have seen each zone healthy once, not at one moment: which zones it uses in one second is the module's choice.
+    // Each dispatcher must have seen each zone healthy once, but not all at the same time, since the module chooses which
+    // zones it uses in a given second.
     let seen = std::cell::RefCell::new(std::collections::BTreeSet::new());
     fleet.until_so("each dispatcher has seen all zones healthy", || {
         for n in 0..fleet.count() {
--- a/tests/sockets/broker.rs
+++ b/tests/sockets/broker.rs
@@ -1,4 +1,4 @@
-//! A stand-in MQTT 5 broker: sessions, retained messages, redelivery; as little of the protocol as that needs.
+//! A test MQTT 5 broker with sessions, retained messages and redelivery, and no more of the protocol than these need.
 
 use crate::stand::PATIENCE;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 
-/// A message as the broker holds it.
+/// A message held by the broker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
     pub topic: String,
@@ -19,11 +19,12 @@
 
 #[derive(Default)]
 struct State {
-    /// The connection of the one client, and what it subscribed to.
+    /// The connection of the only client.
     client: Option<TcpStream>,
     connects: usize,
+    /// The client's subscriptions: filter and quality of service.
     filters: Vec<(String, u8)>,
-    /// Sent to it and not acknowledged, by packet number: with the mark of a repeat from the second time on.
+    /// Messages sent to the client and not acknowledged, by packet id. They are resent with the DUP flag.
     unacknowledged: BTreeMap<u16, Message>,
     next_id: u16,
     acknowledged: usize,
@@ -31,28 +32,28 @@
     retained: BTreeMap<String, Message>,
     /// Every message that the client published, in order.
     published: Vec<Message>,
-    /// So many of its next messages are turned away.
+    /// The number of the client's next messages to refuse.
     refuse: usize,
     refused: usize,
-    /// Takes the client's messages without acknowledging them.
+    /// Whether the client's messages are left unacknowledged.
     mute: bool,
     receive_maximum: u16,
 }
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// The broker.
+/// A broker that runs in threads of the test process.
 pub struct Broker {
     pub address: SocketAddr,
     shared: Shared,
 }
 
-fn field(out: &mut Vec<u8>, bytes: &[u8]) {
+fn put_field(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u16).to_be_bytes());
     out.extend(bytes);
 }
 
-fn sized(out: &mut Vec<u8>, mut size: usize) {
+fn put_length(out: &mut Vec<u8>, mut size: usize) {
     while size > 127 {
         out.push(size as u8 | 0x80);
         size >>= 7;
@@ -62,7 +63,7 @@
 
 fn packet(head: u8, content: &[u8]) -> Vec<u8> {
     let mut out = vec![head];
-    sized(&mut out, content.len());
+    put_length(&mut out, content.len());
     out.extend(content);
     out
 }
@@ -71,29 +72,29 @@
     let mut properties = Vec::new();
     if let Some(topic) = &m.response_topic {
         properties.push(8);
-        field(&mut properties, topic.as_bytes());
+        put_field(&mut properties, topic.as_bytes());
     }
     if let Some(data) = &m.correlation {
         properties.push(9);
-        field(&mut properties, data);
+        put_field(&mut properties, data);
     }
     for (name, value) in &m.user {
         properties.push(0x26);
-        field(&mut properties, name.as_bytes());
-        field(&mut properties, value.as_bytes());
+        put_field(&mut properties, name.as_bytes());
+        put_field(&mut properties, value.as_bytes());
     }
     let mut content = Vec::new();
-    field(&mut content, m.topic.as_bytes());
+    put_field(&mut content, m.topic.as_bytes());
     if qos > 0 {
         content.extend(id.to_be_bytes());
     }
-    sized(&mut content, properties.len());
+    put_length(&mut content, properties.len());
     content.extend(properties);
     content.extend(&m.payload);
     packet(0x30 | u8::from(dup) << 3 | qos << 1 | u8::from(m.retain), &content)
 }
 
-/// Takes things off the front of a packet.
+/// Reads values from the front of a packet.
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Reads a PUBLISH of the client: its packet number, and the message. An answer must have an expiry.
+/// Decodes a PUBLISH of the client into its packet id and message. An answer must have an expiry.
 fn decode(head: u8, content: &[u8]) -> (u16, Message) {
     assert_eq!(head & 0x06, 2, "an answer is published at QoS 1");
     let mut r = Reader(content);
@@ -147,7 +148,7 @@
                 let name = p.text();
                 m.user.insert(name, p.text());
             }
-            other => panic!("a property {other} that no answer has"),
+            other => panic!("unexpected property {other} in an answer"),
         }
     }
     assert!(expiry.is_some_and(|e| e > 0), "an answer without an expiry");
@@ -160,21 +161,24 @@
 }
 
 impl State {
-    fn say(&mut self, bytes: &[u8]) {
+    fn send(&mut self, bytes: &[u8]) {
         if let Some(client) = &mut self.client {
             let _ = client.write_all(bytes);
         }
     }
 
-    /// Sends a message for the first time.
+    /// Sends a message to the client for the first time.
     fn deliver(&mut self, message: &Message, qos: u8) {
         if qos == 0 {
-            return self.say(&encode(message, 0, false, 0));
+            return self.send(&encode(message, 0, false, 0));
         }
         self.next_id += 1;
         self.unacknowledged.insert(self.next_id, message.clone());
-        assert!(self.unacknowledged.len() <= usize::from(self.receive_maximum), "a test within the limits");
-        self.say(&encode(message, self.next_id, false, 1));
+        assert!(
+            self.unacknowledged.len() <= usize::from(self.receive_maximum),
+            "the test exceeds the receive maximum"
+        );
+        self.send(&encode(message, self.next_id, false, 1));
     }
 
     fn packet(&mut self, head: u8, content: &[u8]) {
@@ -182,17 +186,17 @@
         match head >> 4 {
             1 => {
                 assert_eq!(&content[..7], b"\x00\x04MQTT\x05");
-                assert_eq!(content[7] & 2, 0, "the session is resumed");
+                assert_eq!(content[7] & 2, 0, "the client resumes its session");
                 let mut p = Reader(&content[10..]);
                 let size = p.size();
                 let properties = p.take(size);
                 let at = properties.iter().position(|b| *b == 0x21).expect("a receive maximum");
                 self.receive_maximum = u16::from_be_bytes([properties[at + 1], properties[at + 2]]);
                 self.connects += 1;
-                self.say(&packet(0x20, &[u8::from(self.connects > 1), 0, 3, 0x21, 0, 16]));
-                // What was not acknowledged comes again, and says so.
+                self.send(&packet(0x20, &[u8::from(self.connects > 1), 0, 3, 0x21, 0, 16]));
+                // Unacknowledged messages are resent with the DUP flag.
                 for (id, message) in self.unacknowledged.clone() {
-                    self.say(&encode(&message, id, true, 1));
+                    self.send(&encode(&message, id, true, 1));
                 }
             }
             3 => {
@@ -201,7 +205,7 @@
                     self.refuse -= 1;
                     self.refused += 1;
                     let [a, b] = id.to_be_bytes();
-                    return self.say(&packet(0x40, &[a, b, 0x97, 0]));
+                    return self.send(&packet(0x40, &[a, b, 0x97, 0]));
                 }
                 self.published.push(message.clone());
                 if message.retain && message.payload.is_empty() {
@@ -210,12 +214,12 @@
                     self.retained.insert(message.topic.clone(), message.clone());
                 }
                 if !self.mute {
-                    self.say(&packet(0x40, &id.to_be_bytes()));
+                    self.send(&packet(0x40, &id.to_be_bytes()));
                 }
             }
             4 => {
                 let id = r.number(2) as u16;
-                assert!(self.unacknowledged.remove(&id).is_some(), "an acknowledgement of nothing");
+                assert!(self.unacknowledged.remove(&id).is_some(), "acknowledgement of an unknown packet id");
                 self.acknowledged += 1;
                 self.rejected += usize::from(r.0.first().is_some_and(|reason| *reason >= 0x80));
             }
@@ -226,7 +230,7 @@
                 let filter = r.text();
                 let qos = r.number(1) as u8 & 3;
                 self.filters.retain(|(f, _)| *f != filter);
-                self.say(&packet(0x90, &[id[0], id[1], 0, qos]));
+                self.send(&packet(0x90, &[id[0], id[1], 0, qos]));
                 let kept = self.retained.values().filter(|m| matches(&filter, &m.topic)).cloned();
                 for message in kept.collect::<Vec<_>>() {
                     self.deliver(&message, qos);
@@ -239,16 +243,16 @@
                 r.take(size);
                 let filter = r.text();
                 self.filters.retain(|(f, _)| *f != filter);
-                self.say(&packet(0xb0, &[id[0], id[1], 0, 0]));
+                self.send(&packet(0xb0, &[id[0], id[1], 0, 0]));
             }
-            12 => self.say(&packet(0xd0, &[])),
+            12 => self.send(&packet(0xd0, &[])),
             14 => {}
-            other => panic!("a packet {other} that no client sends"),
+            other => panic!("unexpected packet type {other}"),
         }
     }
 }
 
-fn attend(mut stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
+fn serve_client(mut stream: TcpStream, shared: &Shared) -> std::io::Result<()> {
     let own = stream.peer_addr()?;
     shared.0.lock().expect("the state").client = Some(stream.try_clone()?);
     loop {
@@ -285,7 +289,7 @@
             for stream in listener.incoming().map_while(Result::ok) {
                 let shared = state.clone();
                 std::thread::spawn(move || {
-                    let _ = attend(stream, &shared);
+                    let _ = serve_client(stream, &shared);
                 });
             }
         });
@@ -300,13 +304,13 @@
         state
     }
 
-    /// Waits until the client has subscribed for the nth time to its triggers.
+    /// Waits until the client has connected `connects` times and subscribed to its triggers.
     pub fn subscribed(&self, connects: usize) {
         let _state = self
             .wait("no subscription", |s| s.connects >= connects && s.filters.iter().any(|(_, q)| *q == 1));
     }
 
-    /// Publishes as a station would.
+    /// Publishes a message as a station does.
     pub fn publish(&self, message: &Message) {
         let mut state = self.shared.0.lock().expect("the state");
         if message.retain {
@@ -317,49 +321,49 @@
         }
     }
 
-    /// Waits until so many messages are acknowledged, and returns every answer ever published.
+    /// Waits until this many messages are acknowledged, and returns all answers published so far.
     pub fn answers(&self, acknowledged: usize) -> Vec<Message> {
         self.wait("not acknowledged", |s| s.acknowledged >= acknowledged).published.clone()
     }
 
-    /// Waits until so many answers are published, acknowledged or not.
+    /// Waits until this many answers are published, acknowledged or not.
     pub fn published(&self, count: usize) -> Vec<Message> {
         self.wait("not published", |s| s.published.len() >= count).published.clone()
     }
 
-    /// Messages acknowledged as unusable.
+    /// Returns the number of messages acknowledged with a failure reason.
     pub fn rejected(&self) -> usize {
         self.shared.0.lock().expect("the state").rejected
     }
 
-    /// Messages sent and not acknowledged.
+    /// Returns the number of messages sent and not acknowledged.
     pub fn unacknowledged(&self) -> usize {
         self.shared.0.lock().expect("the state").unacknowledged.len()
     }
 
-    /// Takes answers without acknowledging them, or does so again.
+    /// Stops acknowledging answers, or resumes it.
     pub fn mute(&self, mute: bool) {
         self.shared.0.lock().expect("the state").mute = mute;
     }
 
-    /// Turns away so many answers, for want of room.
+    /// Refuses this many answers with the reason "quota exceeded".
     pub fn refuse(&self, count: usize) {
         self.shared.0.lock().expect("the state").refuse = count;
     }
 
-    /// Answers turned away.
+    /// Returns the number of answers refused.
     pub fn refused(&self) -> usize {
         self.shared.0.lock().expect("the state").refused
     }
 
-    /// Breaks the connection.
+    /// Closes the client's connection.
     pub fn cut(&self) {
         let client = self.shared.0.lock().expect("the state").client.take();
         client.expect("a connection").shutdown(Shutdown::Both).expect("cut");
     }
 
-    /// Sends the client something that is no MQTT.
+    /// Sends the client a malformed packet.
     pub fn babble(&self) {
-        self.shared.0.lock().expect("the state").say(&[0x30, 0xff, 0xff, 0xff, 0xff, 0xff]);
+        self.shared.0.lock().expect("the state").send(&[0x30, 0xff, 0xff, 0xff, 0xff, 0xff]);
     }
 }
--- a/tests/sockets/crossings.rs
+++ b/tests/sockets/crossings.rs
@@ -1,6 +1,6 @@
-//! Rare moments, each forced: what crosses a client's leaving, an executor's answer or close, a signal, a silence of the
-//! name service. Where several things must fall into one turn of the loop, the program stands still while they are
-//! prepared. docs/design/rare-moments.md lists them.
+//! Races, each forced: events that coincide with a client's departure, an executor's answer or close, a signal, or a name
+//! service outage. Where several events must fall into one turn of the event loop, the program is paused while they are
+//! prepared. docs/design/rare-moments.md lists the cases.
 
 use crate::stand::{
     Client, Executor, Line, Names, PATIENCE, Program, Reply, call, config, config_at, fields, message,
@@ -12,26 +12,27 @@
 use std::net::{Shutdown, TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-const LONG: u64 = 20_000;
+const LONG_TTL_MS: u64 = 20_000;
 
-/// A dispatcher with one executor, and a client of it.
-fn bed() -> (Program, Executor, Names, Client) {
+/// Starts a dispatcher with one executor, and connects a client.
+fn fixture() -> (Program, Executor, Names, Client) {
     let (executor, names) = (Executor::start(), Names::start());
     let program = Program::start(&config(&[&executor], &names));
     let client = Client::connect(program.address);
     (program, executor, names, client)
 }
 
-/// The same with two executors.
-fn bed_of_two() -> (Program, [Executor; 2], Names, Client) {
+/// Does the same with two executors.
+fn fixture_with_two_executors() -> (Program, [Executor; 2], Names, Client) {
     let (executors, names) = ([Executor::start(), Executor::start()], Names::start());
     let program = Program::start(&config(&executors.each_ref(), &names));
     let client = Client::connect(program.address);
     (program, executors, names, client)
 }
 
-/// A dispatcher with one executor to which connections come up only once a place is made, and a client of it.
-fn hung_bed() -> (Program, TcpListener, Vec<TcpStream>, Client) {
+/// Starts a dispatcher whose only executor has a full accept queue, so that connections are established only once the queue
+/// is drained, and connects a client.
+fn fixture_with_full_accept_queue() -> (Program, TcpListener, Vec<TcpStream>, Client) {
     let (address, listener, fill) = hung();
     let mut config = config_at(&[address], &Names::start());
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
@@ -40,14 +41,14 @@
     (program, listener, fill, client)
 }
 
-/// Makes a place, and returns the lines of the first connection that says something, of which there must be one.
-fn comes_up(listener: &TcpListener, fill: Vec<TcpStream>) -> BufReader<TcpStream> {
+/// Drains the accept queue and returns a reader of the first connection that sends data, of which there must be one.
+fn accept_first_speaker(listener: &TcpListener, fill: Vec<TcpStream>) -> BufReader<TcpStream> {
     drop(fill);
-    let speaks = |stream: TcpStream| {
+    let sends_data = |stream: TcpStream| {
         let mut reader = BufReader::new(stream);
         matches!(reader.fill_buf(), Ok(bytes) if !bytes.is_empty()).then_some(reader)
     };
-    listener.incoming().map_while(Result::ok).find_map(speaks).expect("a connection that speaks")
+    listener.incoming().map_while(Result::ok).find_map(sends_data).expect("a connection that sends data")
 }
 
 fn next_line(reader: &mut impl BufRead) -> String {
@@ -56,102 +57,106 @@
     line
 }
 
-/// Has the program answer a call, so that all that was sent before it on this connection has been read.
-fn has_read(client: &mut Client, seq: i32) {
+/// Has a health check answered, so that everything sent before it on this connection has been read.
+fn assert_has_read(client: &mut Client, seq: i32) {
     client.other("isWell", seq);
     assert_eq!(client.receive(), Some((seq, Reply::Well(true))));
 }
 
-fn until(program: &Program, name: &str, value: u64) {
+fn wait_for_counter(program: &Program, name: &str, value: u64) {
     let began = Instant::now();
     while program.counters()[name] < value {
-        assert!(began.elapsed() < PATIENCE, "{name} never came to {value}: {:?}", program.counters());
+        assert!(began.elapsed() < PATIENCE, "{name} never reached {value}: {:?}", program.counters());
     }
 }
 
-/// Figures of time that a line may tell beyond what its client has left: the platform's slack.
+/// The platform's tolerance for a stated waiting time beyond the time that the client has left.
 const WAIT_SLACK_MS: u64 = 150;
 
-fn busy(line: &mut Line) {
+fn answer_busy(line: &mut Line) {
     line.answer("BUSY", json!({}), b"");
 }
 
-// ---- A client that leaves ----
+// ---- Clients that leave ----
 
 #[test]
-fn an_attempt_that_waits_for_its_connection_is_not_begun_once_its_client_took_it_back() {
-    // The first call of a function begins a load, which the module lets go on when the client has gone: but one that was
-    // not sent yet has begun nothing.
-    let (program, listener, fill, mut client) = hung_bed();
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    has_read(&mut client, 2);
+fn an_attempt_waiting_for_its_connection_is_not_sent_after_its_client_cancels() {
+    // The first call of a function starts a load, which the module lets finish when the client leaves. An attempt that was
+    // not sent yet has started none and must be withdrawn.
+    let (program, listener, fill, mut client) = fixture_with_full_accept_queue();
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    assert_has_read(&mut client, 2);
     client.forget(3, 1);
-    has_read(&mut client, 4);
-    client.serve(5, &fields("flow-read", &id(2), LONG), b"");
-    has_read(&mut client, 6);
-    let line = next_line(&mut comes_up(&listener, fill));
+    assert_has_read(&mut client, 4);
+    client.serve(5, &fields("flow-read", &id(2), LONG_TTL_MS), b"");
+    assert_has_read(&mut client, 6);
+    let line = next_line(&mut accept_first_speaker(&listener, fill));
     assert!(line.contains(&id(2)), "the first line is that of the second request: {line}");
     assert_eq!(program.counters()["attempts_withdrawn"], 1);
 }
 
 #[test]
-fn an_attempt_that_waits_for_its_connection_is_not_begun_once_its_client_closed() {
+fn an_attempt_waiting_for_its_connection_is_not_sent_after_its_client_closes() {
     for how in [Shutdown::Both, Shutdown::Write] {
-        let (program, listener, fill, mut client) = hung_bed();
-        client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-        has_read(&mut client, 2);
+        let (program, listener, fill, mut client) = fixture_with_full_accept_queue();
+        client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+        assert_has_read(&mut client, 2);
         client.stream.shutdown(how).expect("closed");
         if how == Shutdown::Write {
-            // It may only have said that it sends no more: it is told that nothing ran.
+            // A half-closed client can still read: it gets a refusal, since nothing ran.
             assert!(matches!(client.receive(), Some((1, Reply::Refused(_)))));
             assert_eq!(client.receive(), None);
         }
-        until(&program, "attempts_withdrawn", 1);
+        wait_for_counter(&program, "attempts_withdrawn", 1);
         let mut other = Client::connect(program.address);
-        other.serve(1, &fields("flow-read", &id(2), LONG), b"");
-        has_read(&mut other, 2);
-        let line = next_line(&mut comes_up(&listener, fill));
+        other.serve(1, &fields("flow-read", &id(2), LONG_TTL_MS), b"");
+        assert_has_read(&mut other, 2);
+        let line = next_line(&mut accept_first_speaker(&listener, fill));
         assert!(line.contains(&id(2)), "{how:?}: {line}");
     }
 }
 
 #[test]
-fn a_line_that_waited_for_its_connection_tells_what_its_client_has_left_by_then() {
-    let (_program, listener, fill, mut client) = hung_bed();
+fn a_line_delayed_by_its_connection_states_the_remaining_time() {
+    let (_program, listener, fill, mut client) = fixture_with_full_accept_queue();
     client.serve(1, &fields("flow-read", &id(1), 5_000), b"one");
     let asked = Instant::now();
     client.serve(2, &fields("level-log", &id(2), 4_000), b"two");
-    has_read(&mut client, 3);
+    assert_has_read(&mut client, 3);
     std::thread::sleep(Duration::from_millis(700));
     let spent = asked.elapsed().as_millis() as u64;
-    let mut lines = comes_up(&listener, fill);
+    let mut lines = accept_first_speaker(&listener, fill);
     for (ttl, body) in [(5_000, "b25l"), (4_000, "dHdv")] {
         let line: serde_json::Value = serde_json::from_str(&next_line(&mut lines)).expect("a line of JSON");
         let wait = line["attrs"]["w"].as_u64().expect("a time to wait");
         assert!(wait <= ttl - spent + WAIT_SLACK_MS, "{wait} ms of {ttl} after {spent} ms: {line}");
-        assert!(wait > 0 && line["content"] == body, "all else is as it was: {line}");
+        assert!(wait > 0 && line["content"] == body, "the rest of the line is unchanged: {line}");
     }
 }
 
 #[test]
-fn a_client_that_breaks_the_protocol_gets_the_answers_that_it_is_owed_before_its_connection_ends() {
-    let (program, executor, _names, _other) = bed();
-    // Nonsense behind a request in one write on a new connection; and one offence after another behind a request that is out.
-    let nonsense = [vec![0x00, 0x00, 0x00, 0x04], b"ruin".to_vec()].concat();
-    let offences = (0..20).flat_map(|_| message(1, &fields("flow-read", &id(9), LONG), b"")).collect();
-    for (n, spoil) in [(1, nonsense), (2, offences)] {
+fn a_client_that_violates_the_protocol_gets_its_pending_answers_before_the_close() {
+    let (program, executor, _names, _other) = fixture();
+    // Malformed bytes behind a request in one write on a new connection, and repeated violations behind requests in flight.
+    let malformed = [vec![0x00, 0x00, 0x00, 0x04], b"ruin".to_vec()].concat();
+    let violations =
+        (0..20).flat_map(|_| message(1, &fields("flow-read", &id(9), LONG_TTL_MS), b"")).collect();
+    for (n, violation) in [(1, malformed), (2, violations)] {
         let mut client = Client::connect(program.address);
-        let asked = message(1, &fields("flow-read", &id(n), LONG), b"");
-        let spoil: Vec<u8> = spoil;
+        let asked = message(1, &fields("flow-read", &id(n), LONG_TTL_MS), b"");
+        let violation: Vec<u8> = violation;
         if n == 1 {
-            client.stream.write_all(&[asked, spoil].concat()).expect("sent");
+            client.stream.write_all(&[asked, violation].concat()).expect("sent");
         } else {
             client.stream.write_all(&asked).expect("sent");
             executor.next();
-            // A number that goes back, again and again.
-            client.stream.write_all(&message(5, &fields("flow-read", &id(3), LONG), b"")).expect("sent");
+            // Sequence numbers that repeatedly go backwards.
+            client
+                .stream
+                .write_all(&message(5, &fields("flow-read", &id(3), LONG_TTL_MS), b""))
+                .expect("sent");
             executor.next();
-            client.stream.write_all(&spoil).expect("sent");
+            client.stream.write_all(&violation).expect("sent");
         }
         let mut finals: Vec<i32> = Vec::new();
         while let Some((seq, reply)) = client.receive() {
@@ -159,44 +164,44 @@
                 finals.push(seq);
             }
         }
-        let owed = if n == 1 { vec![1] } else { vec![1, 5] };
+        let expected = if n == 1 { vec![1] } else { vec![1, 5] };
         assert_eq!(
-            finals, owed,
-            "each request that was read has one final answer, and the connection has ended"
+            finals, expected,
+            "each request that was read gets one final answer before the connection ends"
         );
     }
     assert_eq!(program.counters()["clients_malformed"], 2);
 }
 
 #[test]
-fn a_call_that_waited_longer_than_its_client_goes_to_no_executor() {
-    let (program, executor, _names, mut other) = bed();
-    has_read(&mut other, 1);
+fn a_call_read_after_its_client_left_reaches_no_executor() {
+    let (program, executor, _names, mut other) = fixture();
+    assert_has_read(&mut other, 1);
     program.stand_still();
-    // One that has gone, and one that only sends no more; both before their calls were read.
+    // One client closes and one half-closes, both before their calls are read.
     let mut gone = Client::connect(program.address);
-    gone.serve(1, &fields("flow-read", &id(1), LONG), b"");
+    gone.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
     drop(gone);
     let mut half = Client::connect(program.address);
-    half.serve(1, &fields("alert-send", &id(2), LONG), b"");
+    half.serve(1, &fields("alert-send", &id(2), LONG_TTL_MS), b"");
     half.stream.shutdown(Shutdown::Write).expect("closed");
     program.go_on();
     assert!(matches!(half.receive(), Some((1, Reply::Refused(_)))));
-    until(&program, "requests_deserted", 2);
-    has_read(&mut other, 2);
+    wait_for_counter(&program, "requests_deserted", 2);
+    assert_has_read(&mut other, 2);
     assert_eq!((program.counters()["attempts_sent"], executor.left()), (0, 0));
 }
 
 #[test]
-fn a_request_is_not_sent_on_when_its_clients_leaving_is_seen_with_the_answer() {
-    // In one turn: the executor turns the request away, and only behind that its client leaves in one of three ways.
+fn a_refused_request_is_not_resent_when_its_client_left_in_the_same_turn() {
+    // In one turn of the loop the executor refuses the request, and after that the client leaves in one of three ways.
     for way in ["forget", "close", "reset"] {
-        let (program, executors, _names, mut client) = bed_of_two();
-        client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-        let mut line = first(&executors);
-        has_read(&mut client, 2);
+        let (program, executors, _names, mut client) = fixture_with_two_executors();
+        client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+        let mut line = next_request(&executors);
+        assert_has_read(&mut client, 2);
         program.stand_still();
-        busy(&mut line);
+        answer_busy(&mut line);
         match way {
             "forget" => client.forget(3, 1),
             "close" => client.stream.shutdown(Shutdown::Both).expect("closed"),
@@ -209,48 +214,48 @@
             }
         }
         program.go_on();
-        until(&program, "ended_full", if way == "close" { 1 } else { 0 });
+        wait_for_counter(&program, "ended_full", if way == "close" { 1 } else { 0 });
         let gone = if way == "close" { "requests_hung_up" } else { "requests_forgotten" };
-        until(&program, gone, 1);
+        wait_for_counter(&program, gone, 1);
         let mut other = Client::connect(program.address);
-        has_read(&mut other, 1);
+        assert_has_read(&mut other, 1);
         assert_eq!(program.counters()["attempts_sent"], 1, "{way}");
         assert_eq!(executors.iter().map(Executor::left).sum::<usize>(), 0, "{way}");
     }
 }
 
-/// The next request, whichever executor it goes to.
-fn first(executors: &[Executor]) -> Line {
+/// Returns the next request at any of the executors.
+fn next_request(executors: &[Executor]) -> Line {
     let began = Instant::now();
     loop {
         if let Some(line) = executors.iter().find_map(Executor::poll) {
             return line;
         }
-        assert!(began.elapsed() < PATIENCE, "no request comes");
+        assert!(began.elapsed() < PATIENCE, "no request arrives");
     }
 }
 
 #[test]
-fn what_runs_for_a_client_that_sends_no_more_is_still_answered() {
-    let (program, executor, _names, mut client) = bed();
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
+fn a_running_request_of_a_half_closed_client_is_still_answered() {
+    let (program, executor, _names, mut client) = fixture();
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
     let mut line = executor.next();
     client.stream.shutdown(Shutdown::Write).expect("closed");
-    until(&program, "requests_hung_up", 1);
+    wait_for_counter(&program, "requests_hung_up", 1);
     line.ok(b"all the same");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"all the same".to_vec()))));
     assert_eq!(client.receive(), None);
 }
 
-/// Has the client ask on from this number, and take nothing of the long answers, until it is left to wait. Returns the
-/// number of the first call that waits with it.
-fn until_blocked(program: &Program, executors: &[Executor], client: &mut Client, from: i32) -> i32 {
+/// Sends calls from this sequence number on without reading the long answers, until the program blocks the client. Returns
+/// the number of the first call that waits.
+fn send_until_blocked(program: &Program, executors: &[Executor], client: &mut Client, from: i32) -> i32 {
     let mut other = Client::connect(program.address);
     let mut number = 0;
     for seq in from..1_000 {
         let before = program.counters();
-        client.serve(seq, &fields("flow-read", &id(seq as u64), LONG), b"");
-        // It is taken, or it waits: then much that another asks after it is answered first.
+        client.serve(seq, &fields("flow-read", &id(seq as u64), LONG_TTL_MS), b"");
+        // The call is taken, or it waits: then 20 later calls of another client are answered first.
         let (began, mut answered) = (Instant::now(), 0);
         let taken = loop {
             let now = program.counters();
@@ -260,75 +265,79 @@
             if now["clients_blocked"] > 0 && answered >= 20 {
                 break false;
             }
-            assert!(began.elapsed() < PATIENCE, "a call is neither taken nor left to wait");
+            assert!(began.elapsed() < PATIENCE, "a call is neither taken nor blocked");
             number += 1;
             answered += 1;
-            has_read(&mut other, number);
+            assert_has_read(&mut other, number);
         };
         if !taken {
             return seq;
         }
-        first(executors).ok(&vec![7; 230_000]);
-        until(program, "answers_served", before["answers_served"] + 1);
+        next_request(executors).ok(&vec![7; 230_000]);
+        wait_for_counter(program, "answers_served", before["answers_served"] + 1);
     }
-    panic!("it is read from without end");
+    panic!("the client is never blocked");
 }
 
 #[test]
-fn a_client_that_takes_no_answers_may_still_take_back_a_request() {
-    let (program, executors, _names, mut client) = bed_of_two();
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    let mut open = first(&executors);
-    let waits = until_blocked(&program, &executors, &mut client, 2);
+fn a_client_that_reads_no_answers_can_still_cancel_a_request() {
+    let (program, executors, _names, mut client) = fixture_with_two_executors();
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    let mut open = next_request(&executors);
+    let waits = send_until_blocked(&program, &executors, &mut client, 2);
     client.forget(waits + 1, 1);
-    until(&program, "requests_forgotten", 1);
-    busy(&mut open);
+    wait_for_counter(&program, "requests_forgotten", 1);
+    answer_busy(&mut open);
     let mut other = Client::connect(program.address);
-    other.serve(1, &fields("flow-read", &id(9_999), LONG), b"");
-    let mut line = first(&executors);
-    assert_eq!(line.value["rid"], id(9_999), "the one that was taken back is not sent on");
+    other.serve(1, &fields("flow-read", &id(9_999), LONG_TTL_MS), b"");
+    let mut line = next_request(&executors);
+    assert_eq!(line.value["rid"], id(9_999), "the cancelled request is not resent");
     line.ok(b"");
     assert_eq!(other.receive(), Some((1, Reply::Served(vec![]))));
-    // What it asked meanwhile is served once it takes answers, and nothing is lost.
+    // Its waiting calls are served once it reads answers, and nothing is lost.
     for seq in 2..waits {
         assert_eq!(client.receive(), Some((seq, Reply::Served(vec![7; 230_000]))));
     }
-    first(&executors).ok(b"waited");
+    next_request(&executors).ok(b"waited");
     assert_eq!(client.receive(), Some((waits, Reply::Served(b"waited".to_vec()))));
     assert_eq!(executors.iter().map(Executor::left).sum::<usize>(), 0);
 }
 
 #[test]
-fn what_lies_behind_more_calls_than_may_wait_is_seen_though_the_client_takes_no_answers() {
+fn a_cancel_or_close_behind_a_full_call_queue_is_seen_though_no_answers_are_read() {
     for way in ["forget", "close"] {
-        let (program, executors, _names, mut client) = bed_of_two();
-        client.serve(1, &fields("alert-send", &id(1), LONG), b"");
-        let mut open = first(&executors);
-        let waits = until_blocked(&program, &executors, &mut client, 2);
-        // Far more than is kept for it, in calls that are as long as may be.
+        let (program, executors, _names, mut client) = fixture_with_two_executors();
+        client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
+        let mut open = next_request(&executors);
+        let waits = send_until_blocked(&program, &executors, &mut client, 2);
+        // Calls of the maximum length, far more than are queued for it.
         let long = vec![7; 16 * 1024];
         let last = waits + 20;
         for seq in waits + 1..=last {
-            client.serve(seq, &fields("flow-read", &id(seq as u64), LONG), &long);
+            client.serve(seq, &fields("flow-read", &id(seq as u64), LONG_TTL_MS), &long);
         }
         if way == "forget" {
             client.forget(last + 1, 1);
-            until(&program, "requests_forgotten", 1);
+            wait_for_counter(&program, "requests_forgotten", 1);
         } else {
             client.stream.shutdown(Shutdown::Write).expect("closed");
-            until(&program, "requests_hung_up", 1);
+            wait_for_counter(&program, "requests_hung_up", 1);
         }
-        busy(&mut open);
+        answer_busy(&mut open);
         let mut other = Client::connect(program.address);
-        other.serve(1, &fields("flow-read", &id(9_999), LONG), b"");
-        let mut line = first(&executors);
-        assert_eq!(line.value["rid"], id(9_999), "{way}: the one whose client left is not sent on");
+        other.serve(1, &fields("flow-read", &id(9_999), LONG_TTL_MS), b"");
+        let mut line = next_request(&executors);
+        assert_eq!(
+            line.value["rid"],
+            id(9_999),
+            "{way}: the request that was cancelled or whose client left is not resent"
+        );
         line.ok(b"");
         assert_eq!(other.receive(), Some((1, Reply::Served(vec![]))));
-        // Once it takes answers, it has one for each call: those that could not be kept were refused, none of them was run.
+        // Once it reads answers, it gets one for each call: calls that could not be queued are refused without having run.
         let mut answered = std::collections::BTreeMap::new();
-        let owed = last - i32::from(way == "forget");
-        while answered.len() < owed as usize {
+        let expected = last - i32::from(way == "forget");
+        while answered.len() < expected as usize {
             if let Some(line) = &mut executors.iter().find_map(Executor::poll) {
                 line.ok(b"waited");
             }
@@ -343,10 +352,10 @@
 }
 
 #[test]
-fn a_call_that_waits_with_a_client_that_closed_goes_to_no_executor() {
-    let (program, executors, _names, mut client) = bed_of_two();
-    let waits = until_blocked(&program, &executors, &mut client, 1);
-    // It sends no more, but takes its answers; then it has gone for good.
+fn a_waiting_call_of_a_half_closed_client_reaches_no_executor() {
+    let (program, executors, _names, mut client) = fixture_with_two_executors();
+    let waits = send_until_blocked(&program, &executors, &mut client, 1);
+    // The client half-closes, then reads its answers.
     client.stream.shutdown(Shutdown::Write).expect("closed");
     for seq in 1..waits {
         assert_eq!(client.receive(), Some((seq, Reply::Served(vec![7; 230_000]))));
@@ -358,71 +367,75 @@
 }
 
 #[test]
-fn a_number_that_was_taken_back_is_not_used_again() {
-    let (program, executor, _names, mut client) = bed();
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
+fn a_cancelled_sequence_number_cannot_be_reused() {
+    let (program, executor, _names, mut client) = fixture();
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
     let mut line = executor.next();
     client.forget(2, 1);
-    client.serve(1, &fields("flow-read", &id(2), LONG), b"");
+    client.serve(1, &fields("flow-read", &id(2), LONG_TTL_MS), b"");
     assert!(matches!(client.receive(), Some((1, Reply::Exception(_)))));
-    // An answer to the first that crosses all this goes nowhere.
+    // A late answer to the first request is dropped.
     line.ok(b"late");
-    has_read(&mut client, 3);
+    assert_has_read(&mut client, 3);
     assert_eq!((executor.left(), program.counters()["attempts_sent"]), (0, 1));
 }
 
 // ---- Executors ----
 
 #[test]
-fn a_second_answer_is_not_taken_for_that_of_a_second_attempt() {
-    let (program, executor, _names, mut client) = bed();
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
+fn a_duplicate_answer_is_not_attributed_to_the_second_attempt() {
+    let (program, executor, _names, mut client) = fixture();
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
     let mut one = executor.next();
-    // It never ran, and says so twice; between the two the request has gone out again under its id.
+    // The executor answers MISS twice; between the two answers the request has been resent under the same id.
     one.answer("MISS", json!({}), b"");
     let mut two = executor.next();
     one.answer("MISS", json!({}), b"");
-    until(&program, "late_answers", 1);
+    wait_for_counter(&program, "late_answers", 1);
     two.ok(b"once");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"once".to_vec()))));
     assert_eq!((program.counters()["attempts_sent"], executor.left()), (2, 0));
 }
 
 #[test]
-fn a_repeat_is_not_sent_after_its_keys_window_however_long_its_connection_takes() {
+fn a_repeat_waiting_for_its_connection_is_withdrawn_after_its_keys_window() {
     let (one, names) = (Executor::start(), Names::start());
     let mut config = config(&[&one], &names);
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
     config["settings"]["lanes"][1]["repeat_window_us"] = json!(1_500_000);
     let program = Program::start(&config);
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("level-log", &id(1), LONG), b"");
+    client.serve(1, &fields("level-log", &id(1), LONG_TTL_MS), b"");
     let mut line = one.next();
-    // It may have run; the only other executor is one to which no connection comes up.
+    // The first attempt may have run; no connection to the only other executor is established.
     let (address, listener, fill) = hung();
     names.set(5, &[("s0", one.address, 1), ("s1", address, 0)]);
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     line.answer("ERR", json!({}), b"");
-    until(&program, "ended_error", 1);
+    wait_for_counter(&program, "ended_error", 1);
     let before = program.counters();
     assert_eq!(
         (before["attempts_sent"], before["attempts_withdrawn"]),
         (2, 0),
-        "the repeat waits: {before:?}"
+        "the repeat waits for its connection: {before:?}"
+    );
+    // The deadline is far later than the window, so that only the window can withdraw it; the accept queue is drained after.
+    wait_for_counter(&program, "attempts_withdrawn", 1);
+    assert_eq!(
+        program.counters()["ended_timeout"],
+        0,
+        "the repeat ended by its window and not by its deadline"
     );
-    // Its time is far longer than the window; only then may there be room for it.
-    until(&program, "attempts_withdrawn", 1);
-    assert_eq!(program.counters()["ended_timeout"], 0, "the window ended it, not its time");
-    // The key is good everywhere, so that the client may try again.
+    // The key is valid at every executor, so that the client may retry: the answer is a refusal.
     assert!(matches!(client.receive(), Some((1, Reply::Refused(_)))));
-    client.serve(2, &fields("flow-read", &id(2), LONG), b"");
-    has_read(&mut client, 3);
-    let line = next_line(&mut comes_up(&listener, fill));
+    client.serve(2, &fields("flow-read", &id(2), LONG_TTL_MS), b"");
+    assert_has_read(&mut client, 3);
+    let line = next_line(&mut accept_first_speaker(&listener, fill));
     assert!(line.contains(&id(2)), "{line}");
 }
 
 #[test]
-fn a_repeat_is_not_sent_after_its_keys_window_though_its_connection_came_up_while_the_process_stood_still() {
+fn a_repeat_is_not_sent_after_its_keys_window_when_it_connected_during_a_pause() {
     const WINDOW: Duration = Duration::from_millis(1_500);
     let (one, names) = (Executor::start(), Names::start());
     let mut config = config(&[&one], &names);
@@ -430,45 +443,45 @@
     config["settings"]["lanes"][1]["repeat_window_us"] = json!(WINDOW.as_micros() as u64);
     let program = Program::start(&config);
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("level-log", &id(1), LONG), b"");
+    client.serve(1, &fields("level-log", &id(1), LONG_TTL_MS), b"");
     let began = Instant::now();
     let mut line = one.next();
     let (address, listener, fill) = hung();
     names.set(5, &[("s0", one.address, 1), ("s1", address, 0)]);
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     line.answer("ERR", json!({}), b"");
-    until(&program, "ended_error", 1);
+    wait_for_counter(&program, "ended_error", 1);
     assert_eq!(program.counters()["attempts_sent"], 2, "the repeat waits for its connection");
     program.stand_still();
     drop(fill);
     let waiting = accept_silent(&listener);
     std::thread::sleep((WINDOW + Duration::from_millis(100)).saturating_sub(began.elapsed()));
     program.go_on();
-    // The key is good everywhere, so that the client may try again.
+    // The key is valid at every executor, so that the client may retry: the answer is a refusal.
     assert!(matches!(client.receive(), Some((1, Reply::Refused(_)))));
     assert_eq!(program.counters()["attempts_withdrawn"], 1);
     waiting.set_nonblocking(true).expect("a stream that does not wait");
-    let came = (&waiting).read(&mut [0; 1024]);
-    assert!(!matches!(came, Ok(bytes) if bytes > 0), "it was sent after its window");
+    let received = (&waiting).read(&mut [0; 1024]);
+    assert!(!matches!(received, Ok(bytes) if bytes > 0), "the repeat was sent after its window");
 }
 
 #[test]
-fn a_request_that_comes_with_the_close_of_an_idle_connection_goes_out_on_another() {
-    // Whichever of the two the system tells of first.
+fn a_request_arriving_with_the_close_of_an_idle_connection_uses_a_new_one() {
+    // In either order of the two events.
     for close_first in [false, true] {
         let (executor, names) = (TcpListener::bind("127.0.0.1:0").expect("a listener"), Names::start());
         let address = executor.local_addr().expect("an address");
         let program = Program::start(&config_at(&[address], &names));
         let mut client = Client::connect(program.address);
-        client.serve(1, &fields("flow-read", &id(1), LONG), b"");
+        client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
         let (mut stream, _) = executor.accept().expect("a connection");
         next_line(&mut BufReader::new(&stream));
         let ok = |n: u64| format!("{}\n", json!({"verb": "OK", "rid": id(n), "content": "AA=="}));
         stream.write_all(ok(1).as_bytes()).expect("sent");
         assert_eq!(client.receive(), Some((1, Reply::Served(vec![0]))));
         program.stand_still();
-        // An alert is never sent a second time: on the connection that closes it would be lost.
-        let asked = fields("alert-send", &id(2), LONG);
+        // An alert is never resent, so that it would be lost on the closing connection.
+        let asked = fields("alert-send", &id(2), LONG_TTL_MS);
         if close_first {
             drop(stream);
             client.serve(2, &asked, b"");
@@ -477,7 +490,7 @@
             drop(stream);
         }
         program.go_on();
-        until(&program, "executor_connects", 2);
+        wait_for_counter(&program, "executor_connects", 2);
         let (mut stream, _) = executor.accept().expect("another connection");
         let line = next_line(&mut BufReader::new(&stream));
         assert!(line.contains(&id(2)), "{line}");
@@ -487,10 +500,10 @@
 }
 
 #[test]
-fn an_answer_that_comes_with_its_connections_close_counts() {
-    let (program, executor, _names, mut client) = bed();
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
-    client.serve(2, &fields("alert-send", &id(2), LONG), b"");
+fn an_answer_arriving_with_its_connections_close_counts() {
+    let (program, executor, _names, mut client) = fixture();
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
+    client.serve(2, &fields("alert-send", &id(2), LONG_TTL_MS), b"");
     let (mut one, mut two) = (executor.next(), executor.next());
     program.stand_still();
     one.ok(b"before the close");
@@ -501,7 +514,7 @@
     got.sort_by_key(|(seq, _)| *seq);
     let seq = if one.value["rid"] == id(1) { 0 } else { 1 };
     assert_eq!(got[seq].1, Reply::Served(b"before the close".to_vec()));
-    assert_eq!(got[1 - seq].1, Reply::Failed, "it may have run, and is not sent again");
+    assert_eq!(got[1 - seq].1, Reply::Failed, "it may have run and is not resent");
     assert_eq!(executor.left(), 0);
     assert!(!two.try_answer("OK", json!({}), b"") || program.counters()["answers_served"] == 1);
 }
@@ -509,81 +522,81 @@
 // ---- The name service ----
 
 #[test]
-fn a_path_to_the_name_service_that_falls_silent_is_given_up_for_another() {
+fn a_silent_name_service_socket_is_replaced() {
     let (old, new, names) = (Executor::start(), Executor::start(), Names::start());
     let program = Program::start(&config(&[&old], &names));
-    until_counted(&program, "dns_answers", "the name service is never heard");
+    until_counted(&program, "dns_answers", "the name service never answers");
     names.fall_silent();
     names.set(5, &[("s0", old.address, 1), ("s9", new.address, 0)]);
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
     new.next().ok(b"new");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"new".to_vec()))));
     assert!(program.counters()["dns_reopened"] >= 1);
 }
 
 #[test]
-fn a_drain_that_is_told_beside_an_answer_is_known_before_the_request_goes_on() {
+fn a_drain_listed_in_the_turn_of_an_answer_is_applied_to_later_requests() {
     let (executors, names) = ([Executor::start(), Executor::start()], Names::start());
     let (a, b) = (executors[0].address, executors[1].address);
     let program = Program::start(&config(&[&executors[0], &executors[1]], &names));
-    until_counted(&program, "dns_answers", "the name service is never heard");
+    until_counted(&program, "dns_answers", "the name service never answers");
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    let mut line = first(&executors);
-    has_read(&mut client, 2);
-    // Both drain from here on: told in an answer that the program has been sent before it goes on.
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    let mut line = next_request(&executors);
+    assert_has_read(&mut client, 2);
+    // Both executors drain from here on, by a list that reaches the program before it resumes.
     program.stand_still();
-    busy(&mut line);
+    answer_busy(&mut line);
     names.set(5, &[("s0", a, 1), ("s1", b, 1)]);
     program.go_on();
-    // Whichever was read first, the request is answered, and nothing goes out once the list is applied.
+    // Whichever is read first, the request is answered, and nothing is sent once the list is applied.
     assert!(client.receive().is_some());
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     let sent = program.counters()["attempts_sent"];
-    client.serve(3, &fields("flow-read", &id(3), LONG), b"");
+    client.serve(3, &fields("flow-read", &id(3), LONG_TTL_MS), b"");
     assert!(matches!(client.receive(), Some((3, Reply::Refused(_)))));
     assert_eq!(program.counters()["attempts_sent"], sent);
 }
 
 #[test]
-fn a_new_configuration_is_read_and_discovery_moves_while_idle_clients_hold_all_descriptors() {
+fn a_reload_and_a_new_name_service_work_while_idle_clients_hold_all_descriptors() {
     let (old, new, names, next) = (Executor::start(), Executor::start(), Names::start(), Names::start());
     let mut config = config(&[&old], &names);
-    // The system gives fewer than the program needs for all its parts.
+    // The system allows fewer descriptors than the program needs in all.
     let program = Program::limited(24, &config);
-    // Far more than there is room for: some wait in the system's queue all the while, each place is taken again at once.
+    // Far more clients than descriptors: some always wait in the accept queue and take each freed descriptor at once.
     let clients: Vec<Client> = (0..100).map(|_| Client::connect(program.address)).collect();
-    until(&program, "accepts_paused", 3);
+    wait_for_counter(&program, "accepts_paused", 3);
     next.set(5, &[("s9", new.address, 0)]);
     config["names"] = json!(next.address.to_string());
     std::fs::write(&program.path, config.to_string()).expect("written");
     program.signal(rustix::process::Signal::HUP);
     assert_eq!(program.line(), "ochreward: the new configuration is in use");
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     let counters = program.counters();
     assert_eq!((counters["reloads"], counters["reloads_refused"]), (1, 0));
     drop(clients);
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
     new.next().ok(b"new");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"new".to_vec()))));
 }
 
 #[test]
-fn a_system_that_gives_fewer_descriptors_than_the_settings_say_leaves_some_for_executors() {
+fn a_descriptor_limit_below_the_settings_leaves_some_for_executors() {
     let (executors, names) = ([(); 8].map(|()| Executor::start()), Names::start());
-    // The settings say 1,024.
+    // The settings allow 1,024 descriptors, the system 48.
     let program = Program::limited(48, &config(&executors.each_ref(), &names));
     let clients: Vec<Client> = (0..100).map(|_| Client::connect(program.address)).collect();
-    until(&program, "accepts_paused", 3);
+    wait_for_counter(&program, "accepts_paused", 3);
     let mut client = Client::connect(program.address);
     for seq in 1..=8 {
-        client.serve(seq, &fields("alert-send", &id(seq as u64), LONG), b"");
+        client.serve(seq, &fields("alert-send", &id(seq as u64), LONG_TTL_MS), b"");
     }
-    // Each goes to an executor of its own, and needs a connection of its own.
-    let mut lines: Vec<Line> = (0..8).map(|_| first(&executors)).collect();
+    // Each request goes to a different executor and needs a new connection.
+    let mut lines: Vec<Line> = (0..8).map(|_| next_request(&executors)).collect();
     lines.iter_mut().for_each(|line| line.ok(b"served"));
     for _ in 1..=8 {
         assert!(matches!(client.receive(), Some((_, Reply::Served(_)))));
@@ -593,77 +606,78 @@
 }
 
 #[test]
-fn idle_clients_fill_the_descriptors_while_discovery_is_down_and_all_else_goes_on() {
-    // The smallest limit that the platform may set, told and enforced.
+fn idle_clients_filling_the_descriptors_during_a_discovery_outage_block_nothing() {
+    // The smallest descriptor limit that the platform may set, both configured and enforced.
     let (executor, names) = (Executor::start(), Names::start());
     let mut config = config(&[&executor], &names);
     config["limits"]["sockets"] = json!(32);
     let program = Program::limited(32, &config);
-    until_counted(&program, "dns_answers", "the name service is never heard");
+    until_counted(&program, "dns_answers", "the name service never answers");
     names.fall_silent();
     let mut idle: Vec<Client> = (0..40).map(|_| Client::connect(program.address)).collect();
     idle.iter_mut().for_each(|c| drop(c.stream.write_all(&call(1, "isWell", 1, &[2, 0, 1, 1, 0]))));
-    // New clients are served, a connection to the executor comes up, and the name service is found again.
+    // New clients are served, the executor is connected, and the name service is reached again.
     for n in 1..=20 {
         let mut client = Client::connect(program.address);
-        client.serve(1, &fields("alert-send", &id(n), LONG), b"");
+        client.serve(1, &fields("alert-send", &id(n), LONG_TTL_MS), b"");
         executor.next().ok(b"served");
         assert_eq!(client.receive(), Some((1, Reply::Served(b"served".to_vec()))));
     }
     names.set(5, &[("s0", executor.address, 0)]);
-    until(&program, "lists_applied", 1);
+    wait_for_counter(&program, "lists_applied", 1);
     let counters = program.counters();
     assert_eq!((counters["executor_connects_failed"], counters["answers_failed"]), (0, 0), "{counters:?}");
 }
 
-// ---- Standing still ----
+// ---- Pauses of the process ----
 
 #[test]
-fn an_idle_connection_whose_request_was_not_read_yet_is_not_closed_for_another() {
+fn a_connection_with_an_unread_request_is_not_evicted() {
     let (executors, names) = ([(); 4].map(|()| Executor::start()), Names::start());
     let mut config = config(&executors.each_ref(), &names);
     config["limits"]["sockets"] = json!(32);
     let program = Program::start(&config);
-    // Eight clients have all places, and have been answered.
+    // Eight clients hold all client descriptors and have been answered.
     let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(program.address)).collect();
-    clients.iter_mut().for_each(|client| has_read(client, 1));
+    clients.iter_mut().for_each(|client| assert_has_read(client, 1));
     program.stand_still();
-    // In one turn: another client connects, and behind that each of the eight asks. All have been idle long enough.
+    // In one turn another client connects, and then each of the eight sends a request. All eight have been idle long enough to
+    // be evicted.
     let began = Instant::now();
     let mut ninth = Client::connect(program.address);
-    ninth.serve(1, &fields("alert-send", &id(9), LONG), b"");
+    ninth.serve(1, &fields("alert-send", &id(9), LONG_TTL_MS), b"");
     for (n, client) in (1..).zip(&mut clients) {
-        client.serve(2, &fields("alert-send", &id(n), LONG), b"");
+        client.serve(2, &fields("alert-send", &id(n), LONG_TTL_MS), b"");
     }
     while began.elapsed() < Duration::from_millis(200) {
         std::thread::yield_now();
     }
     program.go_on();
     for _ in 0..8 {
-        first(&executors).ok(b"served");
+        next_request(&executors).ok(b"served");
     }
     for client in &mut clients {
         assert_eq!(client.receive(), Some((2, Reply::Served(b"served".to_vec()))));
     }
-    first(&executors).ok(b"later");
+    next_request(&executors).ok(b"later");
     assert_eq!(ninth.receive(), Some((1, Reply::Served(b"later".to_vec()))));
 }
 
 #[test]
-fn a_second_attempt_that_falls_due_while_the_process_stands_still_is_not_begun_for_one_that_left_meanwhile() {
+fn a_second_attempt_due_during_a_pause_is_not_sent_for_a_client_that_left() {
     let names = Names::start();
     let begun = ["stays", "forget", "half-close", "close"].map(|way| {
         let executors = [Executor::start(), Executor::start()];
         let mut config = config(&[&executors[0], &executors[1]], &names);
-        // Before any answer a run is taken for a quarter of this, and the second look comes after five runs: 3 s.
+        // Before any answer a run is assumed to take a quarter of this, and the second attempt is due after five runs: 3 s.
         config["settings"]["lanes"][0]["promise_us"] = json!(2_400_000);
         let program = Program::start(&config);
         let mut client = Client::connect(program.address);
-        let mut asked = fields("flow-read", &id(1), LONG);
+        let mut asked = fields("flow-read", &id(1), LONG_TTL_MS);
         asked.insert("info".to_string(), "memory_mb:512;lanes:2;load_ms:1".to_string());
         client.serve(1, &asked, b"");
-        let held = first(&executors);
-        has_read(&mut client, 2);
+        let held = next_request(&executors);
+        assert_has_read(&mut client, 2);
         program.stand_still();
         match way {
             "forget" => client.forget(3, 1),
@@ -674,85 +688,97 @@
         (way, executors, program, client, held, Instant::now())
     });
     for (way, executors, program, _client, _held, began) in begun {
-        // The look falls due by the clock, while the process stands still.
+        // The second attempt falls due while the process is paused.
         while began.elapsed() < Duration::from_millis(3_500) {
             std::thread::yield_now();
         }
-        assert_eq!(executors.iter().map(Executor::left).sum::<usize>(), 0, "{way}: it was not due before");
+        assert_eq!(
+            executors.iter().map(Executor::left).sum::<usize>(),
+            0,
+            "{way}: the second attempt was not due before the pause"
+        );
         program.go_on();
         if way == "stays" {
-            assert_eq!(first(&executors).value["rid"], id(1), "it was due: the request goes to another");
+            assert_eq!(
+                next_request(&executors).value["rid"],
+                id(1),
+                "the second attempt was due and goes to the other executor"
+            );
             continue;
         }
-        until(&program, if way == "forget" { "requests_forgotten" } else { "requests_hung_up" }, 1);
+        wait_for_counter(
+            &program,
+            if way == "forget" { "requests_forgotten" } else { "requests_hung_up" },
+            1,
+        );
         let mut other = Client::connect(program.address);
-        has_read(&mut other, 1);
+        assert_has_read(&mut other, 1);
         assert_eq!(program.counters()["attempts_sent"], 1, "{way}");
         assert_eq!(executors.iter().map(Executor::left).sum::<usize>(), 0, "{way}");
     }
 }
 
 #[test]
-fn a_turn_sees_all_that_is_ready_however_many_that_are() {
+fn one_turn_processes_all_ready_events_however_many() {
     let (executors, names) = ([Executor::start(), Executor::start()], Names::start());
     let program = Program::start(&config(&[&executors[0], &executors[1]], &names));
     let mut crowd: Vec<Client> = (0..560).map(|_| Client::connect(program.address)).collect();
-    crowd.iter_mut().for_each(|client| has_read(client, 1));
+    crowd.iter_mut().for_each(|client| assert_has_read(client, 1));
     let mut leaver = Client::connect(program.address);
-    leaver.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    let mut line = first(&executors);
-    has_read(&mut leaver, 2);
-    // In one turn: hundreds say something, then the executor turns the request away, hundreds more say something, and only
-    // then its client leaves.
+    leaver.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    let mut line = next_request(&executors);
+    assert_has_read(&mut leaver, 2);
+    // In one turn hundreds of clients send a call, then the executor refuses the request, hundreds more send a call, and
+    // only then does its client cancel it.
     program.stand_still();
     let (before, after) = crowd.split_at_mut(300);
     before.iter_mut().for_each(|client| client.other("isWell", 2));
-    busy(&mut line);
+    answer_busy(&mut line);
     after.iter_mut().for_each(|client| client.other("isWell", 2));
     leaver.forget(3, 1);
     program.go_on();
     crowd.iter_mut().for_each(|client| assert_eq!(client.receive(), Some((2, Reply::Well(true)))));
-    until(&program, "requests_forgotten", 1);
-    has_read(&mut leaver, 4);
+    wait_for_counter(&program, "requests_forgotten", 1);
+    assert_has_read(&mut leaver, 4);
     assert_eq!(program.counters()["attempts_sent"], 1);
     assert_eq!(executors.iter().map(Executor::left).sum::<usize>(), 0);
     assert_eq!(program.counters()["clients_evicted"], 0);
 }
 
 #[test]
-fn what_came_while_the_process_stood_still_has_that_much_less_time() {
-    let (program, executor, _names, mut client) = bed();
-    has_read(&mut client, 1);
+fn a_request_that_arrived_during_a_pause_has_its_time_reduced() {
+    let (program, executor, _names, mut client) = fixture();
+    assert_has_read(&mut client, 1);
     program.stand_still();
     let sent = Instant::now();
     client.serve(2, &fields("flow-read", &id(1), 10_000), b"");
     while sent.elapsed() < Duration::from_millis(700) {
         std::thread::yield_now();
     }
-    let stood = sent.elapsed().as_millis() as u64;
+    let paused_ms = sent.elapsed().as_millis() as u64;
     program.go_on();
     let line = executor.next();
     let wait = line.value["attrs"]["w"].as_u64().expect("a time to wait");
-    assert!(wait <= 10_000 - stood, "{wait} ms after {stood} ms");
+    assert!(wait <= 10_000 - paused_ms, "{wait} ms after a pause of {paused_ms} ms");
 }
 
 // ---- Signals ----
 
 #[test]
-fn a_connection_that_waits_to_be_accepted_at_the_stop_is_served() {
+fn a_connection_waiting_in_the_accept_queue_at_the_stop_is_served() {
     let (executors, names) = ([(); 4].map(|()| Executor::start()), Names::start());
     let mut config = config(&executors.each_ref(), &names);
     config["limits"]["sockets"] = json!(32);
     let mut program = Program::start(&config);
-    // Eight clients fill all places, each with a request open; the ninth waits in the system's queue.
+    // Eight clients hold all client descriptors, each with an open request; the ninth waits in the accept queue.
     let mut clients: Vec<Client> = (0..9).map(|_| Client::connect(program.address)).collect();
     for (n, client) in (1..).zip(&mut clients) {
-        client.serve(1, &fields("alert-send", &id(n), LONG), b"");
+        client.serve(1, &fields("alert-send", &id(n), LONG_TTL_MS), b"");
     }
-    let mut lines: Vec<Line> = (0..8).map(|_| first(&executors)).collect();
-    until(&program, "accepts_paused", 1);
+    let mut lines: Vec<Line> = (0..8).map(|_| next_request(&executors)).collect();
+    wait_for_counter(&program, "accepts_paused", 1);
     program.signal(rustix::process::Signal::TERM);
-    // The stop goes through its steps by time; answers come only after the listener would have closed.
+    // The phases of the stop are timed; the answers come only after the time at which the listener would have closed.
     let began = Instant::now();
     while began.elapsed() < Duration::from_millis(1_200) {
         assert_eq!(program.counters()["answers_served"], 0);
@@ -762,14 +788,14 @@
     for mut client in clients {
         assert_eq!(client.receive(), Some((1, Reply::Served(b"held".to_vec()))));
     }
-    first(&executors).ok(b"waited");
+    next_request(&executors).ok(b"waited");
     assert_eq!(ninth.receive(), Some((1, Reply::Served(b"waited".to_vec()))));
     assert_eq!(program.child.wait().expect("an end").code(), Some(0));
 }
 
 #[test]
-fn a_stop_before_the_program_is_ready_ends_well_and_answers_who_has_asked() {
-    // Nobody has told it a list, and the name service says nothing: it listens, and is not ready.
+fn a_stop_before_readiness_exits_cleanly_and_answers_pending_requests() {
+    // Without a configured list and with a silent name service the program listens but is not ready.
     let names = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     let mut config = config_at(&[], &Names::start());
     config["names"] = json!(names.local_addr().expect("an address").to_string());
@@ -778,28 +804,28 @@
     let mut program = Program::start(&config);
     assert_eq!(program.call("GET", "/_ready"), 503);
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
     program.signal(rustix::process::Signal::TERM);
     assert!(matches!(client.receive(), Some((1, Reply::Refused(_)))));
-    assert_eq!(client.receive(), None, "its connection is ended, not reset");
+    assert_eq!(client.receive(), None, "the connection is closed, not reset");
     assert_eq!(program.child.wait().expect("an end").code(), Some(0));
 }
 
 #[test]
-fn a_reload_and_two_stops_in_one_turn_lose_nothing() {
-    let (mut program, executor, _names, mut client) = bed();
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
+fn a_reload_and_two_stops_in_one_turn_lose_no_request() {
+    let (mut program, executor, _names, mut client) = fixture();
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
     let mut held = executor.next();
     program.stand_still();
     for signal in [rustix::process::Signal::TERM, rustix::process::Signal::HUP, rustix::process::Signal::TERM]
     {
         program.signal(signal);
     }
-    // And a request that is half there, and one whose connection waits to be accepted.
-    let whole = message(2, &fields("flow-read", &id(2), LONG), b"in two pieces");
+    // One request is half sent, and another's connection waits to be accepted.
+    let whole = message(2, &fields("flow-read", &id(2), LONG_TTL_MS), b"in two pieces");
     client.stream.write_all(&whole[..whole.len() / 2]).expect("sent");
     let mut late = Client::connect(program.address);
-    late.serve(1, &fields("flow-read", &id(3), LONG), b"");
+    late.serve(1, &fields("flow-read", &id(3), LONG_TTL_MS), b"");
     program.go_on();
     assert_eq!(program.line(), "ochreward: the new configuration is in use");
     let mut third = executor.next();
@@ -816,23 +842,23 @@
 }
 
 #[test]
-fn long_answers_that_their_client_takes_late_are_whole_after_the_stop() {
-    let (mut program, executors, _names, mut client) = bed_of_two();
-    let waits = until_blocked(&program, &executors, &mut client, 1);
+fn long_answers_read_late_by_their_client_are_complete_after_a_stop() {
+    let (mut program, executors, _names, mut client) = fixture_with_two_executors();
+    let waits = send_until_blocked(&program, &executors, &mut client, 1);
     program.signal(rustix::process::Signal::TERM);
-    // More than the system holds is still with the program, which waits for the client, and serves what waits with it.
+    // The program still holds more than the system buffers. It waits for the client, and serves its waiting call.
     for seq in 1..waits {
         assert_eq!(client.receive(), Some((seq, Reply::Served(vec![7; 230_000]))));
     }
-    first(&executors).ok(b"waited");
+    next_request(&executors).ok(b"waited");
     assert_eq!(client.receive(), Some((waits, Reply::Served(b"waited".to_vec()))));
     assert_eq!(client.receive(), None);
     assert_eq!(program.child.wait().expect("an end").code(), Some(0));
 }
 
 #[test]
-fn the_shipped_example_serves_calls_and_a_stop_under_load_loses_none() {
-    // deploy/example.json, as the README starts it, at addresses of the test's own.
+fn the_shipped_example_loses_no_call_on_a_stop_under_load() {
+    // deploy/example.json, started as in the README but at addresses of the test.
     let (executor, names) = (Executor::start(), Names::start());
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/example.json");
     let text = std::fs::read_to_string(example).expect("the example");
@@ -856,8 +882,8 @@
             }
         }
     });
-    // Eight clients ask one call after the other, until their connection ends between two calls. A call that crosses the
-    // end would be sent anew, on a new connection, and find that the listener has gone.
+    // Eight clients send one call after the other until their connection closes between two calls. A client would resend a
+    // call that coincides with the close on a new connection, and find the listener closed.
     let mut loads = Vec::new();
     for n in 0..8u64 {
         loads.push(std::thread::spawn(move || {
@@ -874,7 +900,7 @@
             0
         }));
     }
-    until(&program, "answers_served", 400);
+    wait_for_counter(&program, "answers_served", 400);
     program.signal(rustix::process::Signal::TERM);
     let answered: u64 = loads.into_iter().map(|l| l.join().expect("a client")).sum();
     let last = program.line();
@@ -883,15 +909,15 @@
         let pair = last.split(' ').find_map(|p| p.strip_prefix(&format!("{name}=")));
         pair.and_then(|v| v.parse().ok()).unwrap_or_else(|| panic!("no {name}: {last}"))
     };
-    // What was taken was answered, once each, and the clients have had all of it.
+    // Every request taken was answered once, and the clients received all answers.
     assert_eq!((count("requests_taken"), count("answers_lost")), (answered + 1, 0), "{last}");
     assert_eq!(count("answers_served") + count("answers_refused"), answered + 1, "{last}");
 }
 
-// ---- Settings that leave things out ----
+// ---- Omitted settings ----
 
 #[test]
-fn whatever_the_settings_leave_out_a_request_gets_its_one_answer() {
+fn a_request_gets_exactly_one_answer_whichever_settings_are_omitted() {
     type Change = fn(&mut serde_json::Value);
     let changes: [(&str, Change); 8] = [
         ("no zones", |c| c["settings"]["zones"] = json!([])),
@@ -927,19 +953,19 @@
         executor.next().ok(b"served");
         assert_eq!(client.receive(), Some((1, Reply::Served(b"served".to_vec()))), "{what}");
         if keyed {
-            // It may have run: inside its window it is sent again, else it has its one answer unserved.
+            // The first attempt may have run: the request is resent within its window, and otherwise answered without being served.
             let mut asked = fields("level-log", &id(2), 2_000);
             if what == "no tenants" {
                 asked.remove("org");
             }
             client.serve(2, &asked, b"");
             executor.next().answer("ERR", json!({}), b"");
-            let short = what.contains("window");
-            if !short {
+            let no_repeat = what.contains("window");
+            if !no_repeat {
                 executor.next().ok(b"again");
             }
             let (seq, reply) = client.receive().expect("an answer");
-            assert_eq!((seq, reply == Reply::Served(b"again".to_vec())), (2, !short), "{what}");
+            assert_eq!((seq, reply == Reply::Served(b"again".to_vec())), (2, !no_repeat), "{what}");
         }
         assert_eq!(executor.left(), 0, "{what}");
         let (code, counters) = program.end();
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Starts the real program as a process and plays its clients, executors, name service and broker over sockets.
+//! Runs the real program as a process against simulated clients, executors, name services and brokers over sockets.
 
 mod agent;
 mod broker;
@@ -16,12 +16,12 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The id of a request.
+/// Returns the id of request number `n`.
 fn id(n: u64) -> String {
     format!("{n:016x}")
 }
 
-/// The first connection that stays open and says nothing; the others only filled the queue.
+/// Accepts the first connection that stays open and sends nothing; the others only filled the queue.
 fn accept_silent(listener: &TcpListener) -> TcpStream {
     let silent = |mut stream: TcpStream| {
         stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a time-out");
@@ -30,14 +30,14 @@
     listener.incoming().map_while(Result::ok).find_map(silent).expect("a connection that stays open")
 }
 
-/// A listener whose queue of connections is full: one that is begun comes up only after a place is made.
+/// Returns a listener whose accept queue is full: a new connection is established only once `fill` is dropped.
 fn hung() -> (SocketAddr, TcpListener, Vec<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("a local address");
     let mut fill = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
         fill.push(stream);
-        assert!(fill.len() < 100_000, "the queue never fills");
+        assert!(fill.len() < 100_000, "the accept queue never fills");
     }
     (address, listener, fill)
 }
--- a/tests/sockets/operators.rs
+++ b/tests/sockets/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do: the door, bans, new settings, and one process that takes over from another.
+//! Operations: the admin listener, bans, configuration reloads, and the handover between two processes.
 
 use crate::broker::Broker;
 use crate::id;
@@ -9,23 +9,23 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-const LONG: u64 = 20_000;
+const LONG_TTL_MS: u64 = 20_000;
 
-/// All that the processes of a dispatcher share, and two executors s0 and s1.
-struct Place {
+/// The listening socket and directory that the processes of a dispatcher share, and two executors s0 and s1.
+struct Fixture {
     socket: TcpListener,
     folder: PathBuf,
     executors: [Executor; 2],
     names: Names,
 }
 
-impl Place {
-    fn new() -> Place {
-        let socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
+impl Fixture {
+    fn new() -> Fixture {
+        let socket = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let (executors, names) = ([Executor::start(), Executor::start()], Names::start());
         let listed = [("s0", executors[0].address, 0), ("s1", executors[1].address, 0)];
         names.set(2, &listed);
-        Place { socket, folder: folder(), executors, names }
+        Fixture { socket, folder: folder(), executors, names }
     }
 
     fn config(&self) -> Value {
@@ -36,40 +36,40 @@
         Program::beside(&self.socket, &self.folder, &self.config())
     }
 
-    /// The folder that the dispatcher keeps its files in.
+    /// Returns the directory in which the dispatcher keeps its files.
     fn files(&self) -> PathBuf {
         self.folder.join("ochreward-n0")
     }
 
-    /// A request of a function of its own, and which executor got it; it is answered.
+    /// Sends a request for a new function, has it served, and returns the index of the executor that received it.
     fn ask(&self, client: &mut Client, seq: i32) -> usize {
-        let mut fields = fields("flow-read", &id(seq as u64), LONG);
+        let mut fields = fields("flow-read", &id(seq as u64), LONG_TTL_MS);
         fields.insert("row".to_string(), id(0xf000 + seq as u64));
         client.serve(seq, &fields, b"");
-        let (place, mut line) = self.next();
+        let (index, mut line) = self.next();
         line.ok(b"served");
         assert_eq!(client.receive(), Some((seq, Reply::Served(b"served".to_vec()))));
-        place
+        index
     }
 
     fn next(&self) -> (usize, crate::stand::Line) {
         let began = Instant::now();
         loop {
-            for (place, executor) in self.executors.iter().enumerate() {
+            for (index, executor) in self.executors.iter().enumerate() {
                 if let Some(line) = executor.poll() {
-                    return (place, line);
+                    return (index, line);
                 }
             }
-            assert!(began.elapsed() < PATIENCE, "no request came");
+            assert!(began.elapsed() < PATIENCE, "no request arrived");
             std::thread::yield_now();
         }
     }
 }
 
 #[test]
-fn the_door_tells_calls_from_what_is_none() {
-    let place = Place::new();
-    let program = place.start();
+fn the_admin_listener_answers_calls_and_rejects_others() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     program.until_ready();
     let calls = [
         ("GET", "/_ready", 200),
@@ -87,7 +87,7 @@
         assert_eq!(program.call(method, path), status, "{method} {path}");
     }
     assert_eq!(program.send_to_door("nonsense\r\n\r\n"), 400);
-    // The answer is whole also where more was sent than a call.
+    // The answer is complete even if more than a call was sent.
     let longer = format!("GET /_ready HTTP/1.1\r\nHost: a\r\n\r\n{}", "x".repeat(100_000));
     assert_eq!(program.send_to_door(&longer), 200);
     let counters = program.counters();
@@ -95,23 +95,25 @@
 }
 
 #[test]
-fn the_door_answers_beside_slow_and_idle_callers_and_with_no_descriptor_left_for_clients() {
-    let place = Place::new();
-    let mut config = place.config();
+fn the_admin_listener_answers_despite_slow_callers_and_exhausted_client_descriptors() {
+    let fixture = Fixture::new();
+    let mut config = fixture.config();
     config["limits"]["sockets"] = json!(128);
-    let program = Program::beside(&place.socket, &place.folder, &config);
+    let program = Program::beside(&fixture.socket, &fixture.folder, &config);
     let clients: Vec<Client> = (0..150).map(|_| Client::connect(program.address)).collect();
-    let door = program.door.expect("a door");
-    let idle: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(door).expect("a connection")).collect();
-    let mut slow: Vec<TcpStream> = (0..4).map(|_| TcpStream::connect(door).expect("a connection")).collect();
+    let admin_address = program.door.expect("an admin address");
+    let idle: Vec<TcpStream> =
+        (0..40).map(|_| TcpStream::connect(admin_address).expect("a connection")).collect();
+    let mut slow: Vec<TcpStream> =
+        (0..4).map(|_| TcpStream::connect(admin_address).expect("a connection")).collect();
     for half in &mut slow {
         half.write_all(b"GET /_rea").expect("sent");
     }
     let began = Instant::now();
     program.until_ready();
-    // A second is allowed; the bound is wider for slow machines' sake.
+    // One second is allowed; the bound is wider for slow machines.
     assert!(began.elapsed().as_secs() < 5, "{:?}", began.elapsed());
-    // A slow caller's call counts once it is whole.
+    // A slow caller is answered once its call is complete.
     let mut last = slow.pop().expect("a caller");
     last.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     last.write_all(b"dy HTTP/1.1\r\n\r\n").expect("sent");
@@ -122,15 +124,15 @@
 }
 
 #[test]
-fn the_door_is_open_where_the_system_gives_fewer_descriptors_than_were_promised() {
+fn the_admin_listener_answers_under_a_descriptor_limit_below_the_settings() {
     let (executors, names) = ([(); 6].map(|()| Executor::start()), Names::start());
     let mut config = config(&executors.each_ref(), &names);
     config["ops"] = json!("127.0.0.1:0");
     let program = Program::limited(32, &config);
-    // Each has a request open, which nobody answers, so that none of them may be closed.
+    // Each client has an unanswered request, so that none may be evicted.
     let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(program.address)).collect();
     for (client, n) in clients.iter_mut().zip(1..) {
-        client.serve(1, &fields("flow-read", &id(n), LONG), b"");
+        client.serve(1, &fields("flow-read", &id(n), LONG_TTL_MS), b"");
     }
     let began = Instant::now();
     while program.counters()["accepts_paused"] < 5 {
@@ -139,21 +141,21 @@
     for _ in 0..20 {
         assert_eq!(program.call("GET", "/_ready"), 200);
     }
-    assert!(began.elapsed().as_millis() < u128::from(LONG) / 2, "{:?}", began.elapsed());
+    assert!(began.elapsed().as_millis() < u128::from(LONG_TTL_MS) / 2, "{:?}", began.elapsed());
 }
 
 #[test]
-fn triggers_wait_for_the_old_process_to_be_gone() {
-    let place = Place::new();
+fn a_successor_connects_to_the_broker_only_after_the_old_process_ended() {
+    let fixture = Fixture::new();
     let broker = Broker::start();
     let operator = crate::stand::file(&format!("[[mqtt]]\nbroker = \"{}\"\n", broker.address));
     let words = ["run", "--operator", operator.to_str().expect("text")];
-    let start = || Program::beside_with(&words, &place.socket, &place.folder, &place.config());
+    let start = || Program::beside_with(&words, &fixture.socket, &fixture.folder, &fixture.config());
     let old = start();
     broker.subscribed(1);
     let new = start();
     new.until_ready();
-    // Two processes in one session would take it from each other, and messages would come twice.
+    // Two processes in one MQTT session would take it over from each other and receive messages twice.
     assert_eq!((new.counters()["handovers_taken"], new.counters()["mqtt_connects"]), (1, 0));
     old.end();
     broker.subscribed(2);
@@ -161,93 +163,93 @@
 }
 
 #[test]
-fn a_detached_executor_gets_nothing_until_it_is_attached_and_then_is_used_again() {
-    let place = Place::new();
-    let program = place.start();
+fn a_detached_executor_is_used_only_after_it_is_attached_again() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     let mut client = Client::connect(program.address);
     assert_eq!(program.call("PUT", "/_executors/detach/s0"), 200);
     for seq in 1..=30 {
-        assert_eq!(place.ask(&mut client, seq), 1);
+        assert_eq!(fixture.ask(&mut client, seq), 1);
     }
-    // The list goes on naming it, under a new number.
-    place.names.set(3, &[("s0", place.executors[0].address, 0), ("s1", place.executors[1].address, 0)]);
+    // A list with a new number still names the detached executor.
+    fixture.names.set(3, &[("s0", fixture.executors[0].address, 0), ("s1", fixture.executors[1].address, 0)]);
     let began = Instant::now();
     while program.counters()["lists_applied"] == 0 {
-        assert!(began.elapsed() < PATIENCE, "the list is never read");
+        assert!(began.elapsed() < PATIENCE, "the list is never applied");
     }
     for seq in 31..=60 {
-        assert_eq!(place.ask(&mut client, seq), 1);
+        assert_eq!(fixture.ask(&mut client, seq), 1);
     }
     assert_eq!(program.call("PUT", "/_executors/attach/s0"), 200);
     let mut seq = 60;
     while {
         seq += 1;
-        place.ask(&mut client, seq) == 1
+        fixture.ask(&mut client, seq) == 1
     } {
-        assert!(began.elapsed() < PATIENCE, "never used again");
+        assert!(began.elapsed() < PATIENCE, "the executor is never used again");
     }
 }
 
 #[test]
-fn what_waits_for_a_detached_executor_goes_elsewhere_and_what_it_has_is_awaited() {
-    let place = Place::new();
-    let program = place.start();
+fn an_attempt_running_at_a_detached_executor_is_awaited() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("alert-send", &id(1), LONG), b"");
-    let (at, mut line) = place.next();
+    client.serve(1, &fields("alert-send", &id(1), LONG_TTL_MS), b"");
+    let (at, mut line) = fixture.next();
     assert_eq!(program.call("PUT", &format!("/_executors/detach/s{at}")), 200);
     line.ok(b"finished");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"finished".to_vec()))));
 }
 
 #[test]
-fn bans_outlive_the_process_and_foreign_files_are_survived() {
-    let place = Place::new();
-    let program = place.start();
+fn bans_outlive_the_process_and_foreign_files_are_ignored() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     assert_eq!(program.call("PUT", "/_executors/detach/s0"), 200);
     program.kill();
     for (name, text) in [("bans/ban-zz", ""), ("bans/other", "x"), ("next", "torn"), ("handover", "{\"fo")] {
-        std::fs::write(place.files().join(name), text).expect("written");
+        std::fs::write(fixture.files().join(name), text).expect("written");
     }
-    let program = place.start();
+    let program = fixture.start();
     program.until_ready();
     let mut client = Client::connect(program.address);
     for seq in 1..=20 {
-        assert_eq!(place.ask(&mut client, seq), 1);
+        assert_eq!(fixture.ask(&mut client, seq), 1);
     }
     assert_eq!(program.call("PUT", "/_executors/attach/s0"), 200);
 }
 
 #[test]
-fn a_second_process_takes_over_what_the_first_knew_and_nothing_is_lost() {
-    let place = Place::new();
-    let old = place.start();
+fn a_successor_takes_over_the_state_and_no_request_is_lost() {
+    let fixture = Fixture::new();
+    let old = fixture.start();
     let mut client = Client::connect(old.address);
-    place.ask(&mut client, 1);
-    // An id that has gone from the list since was on it all the same.
-    place.names.set(5, &[("s0", place.executors[0].address, 0), ("s9", place.executors[1].address, 0)]);
+    fixture.ask(&mut client, 1);
+    // s1 leaves the list. The successor must still accept its id.
+    fixture.names.set(5, &[("s0", fixture.executors[0].address, 0), ("s9", fixture.executors[1].address, 0)]);
     let began = Instant::now();
     while old.counters()["lists_applied"] == 0 {
-        assert!(began.elapsed() < PATIENCE, "the list is never read");
+        assert!(began.elapsed() < PATIENCE, "the list is never applied");
     }
-    client.serve(2, &fields("alert-send", &id(2), LONG), b"");
-    let (_, mut held) = place.next();
-    let new = place.start();
+    client.serve(2, &fields("alert-send", &id(2), LONG_TTL_MS), b"");
+    let (_, mut held) = fixture.next();
+    let new = fixture.start();
     new.until_ready();
-    // Either is called, and both keep to it; also what only the first has seen listed is known.
+    // A call to either process takes effect in both, also for an id that only the old process has seen listed.
     assert_eq!(new.call("PUT", "/_executors/detach/s1"), 200);
     assert_eq!(new.call("PUT", "/_executors/detach/s0"), 200);
     let began = Instant::now();
     while old.counters()["bans_begun"] < 2 {
-        assert!(began.elapsed() < PATIENCE, "the old process is never told");
+        assert!(began.elapsed() < PATIENCE, "the old process never learns of the bans");
     }
     assert_eq!(old.call("PUT", "/_executors/attach/s1"), 200);
     while new.counters()["bans_ended"] < 1 {
-        assert!(began.elapsed() < PATIENCE, "the new process is never told");
+        assert!(began.elapsed() < PATIENCE, "the new process never learns that the ban ended");
     }
     let (old_taken, new_taken) = (old.counters()["handovers_given"], new.counters()["handovers_taken"]);
     assert_eq!((old_taken, new_taken), (1, 1));
-    // The old one finishes what it has, tells its client that nothing more comes, and ends.
+    // The old process answers its open request, closes its client's connection and exits.
     old.signal(rustix::process::Signal::TERM);
     held.ok(b"held");
     assert_eq!(client.receive(), Some((2, Reply::Served(b"held".to_vec()))));
@@ -256,27 +258,28 @@
     assert_eq!(old.child.wait().expect("an end").code(), Some(0));
     let mut client = Client::connect(new.address);
     for seq in 1..=20 {
-        assert_eq!(place.ask(&mut client, seq), 1);
+        assert_eq!(fixture.ask(&mut client, seq), 1);
     }
 }
 
 #[test]
-fn new_connections_go_to_the_successor_once_the_old_process_is_to_stop() {
-    let place = Place::new();
-    let (old, mut client) = (place.start(), Client::connect(place.socket.local_addr().expect("an address")));
-    // An id of its own: what the old process accepts before it sees the signal must not meet an open one.
-    client.serve(1, &fields("flow-read", &id(0x999), LONG), b"");
-    let (_, mut held) = place.next();
-    let new = place.start();
+fn new_connections_go_to_the_successor_once_the_old_process_stops() {
+    let fixture = Fixture::new();
+    let (old, mut client) =
+        (fixture.start(), Client::connect(fixture.socket.local_addr().expect("an address")));
+    // A distinct id, since requests that the old process accepts before it sees the signal must not repeat an open id.
+    client.serve(1, &fields("flow-read", &id(0x999), LONG_TTL_MS), b"");
+    let (_, mut held) = fixture.next();
+    let new = fixture.start();
     new.until_ready();
     old.signal(rustix::process::Signal::TERM);
     for _ in 0..10 {
-        place.ask(&mut Client::connect(new.address), 1);
+        fixture.ask(&mut Client::connect(new.address), 1);
     }
-    // One that came in before the signal was seen is the old one's; none does after it.
+    // The old process may accept connections until it sees the signal, and none afterwards.
     let before = new.counters()["clients_accepted"];
     for _ in 0..10 {
-        place.ask(&mut Client::connect(new.address), 1);
+        fixture.ask(&mut Client::connect(new.address), 1);
     }
     assert_eq!(new.counters()["clients_accepted"], before + 10);
     held.ok(b"held");
@@ -285,101 +288,101 @@
 
 #[test]
 fn a_hung_process_does_not_keep_its_successor_from_serving() {
-    let place = Place::new();
-    let old = place.start();
+    let fixture = Fixture::new();
+    let old = fixture.start();
     old.until_ready();
     assert_eq!(old.call("PUT", "/_executors/detach/s0"), 200);
     old.signal(rustix::process::Signal::STOP);
-    let new = place.start();
+    let new = fixture.start();
     new.until_ready();
     assert_eq!(new.counters()["handovers_missed"], 1);
     let mut client = Client::connect(new.address);
-    // A connection may wait in the hung one's hands; what the new one takes keeps to the ban.
+    // The hung process may still hold a connection; requests at the new one respect the ban.
     for seq in 1..=10 {
-        assert_eq!(place.ask(&mut client, seq), 1);
+        assert_eq!(fixture.ask(&mut client, seq), 1);
     }
     old.kill();
     assert_eq!(new.call("PUT", "/_executors/attach/s0"), 200);
 }
 
 #[test]
-fn a_process_that_came_up_and_died_leaves_all_to_the_old_one() {
-    let place = Place::new();
-    let old = place.start();
-    let new = place.start();
+fn a_successor_that_died_leaves_the_old_process_in_charge() {
+    let fixture = Fixture::new();
+    let old = fixture.start();
+    let new = fixture.start();
     new.until_ready();
     new.kill();
-    let third = place.start();
+    let third = fixture.start();
     third.until_ready();
     assert_eq!(third.counters()["handovers_taken"], 1);
     assert_eq!(old.counters()["handovers_given"], 2);
 }
 
 #[test]
-fn classes_come_and_go_and_requests_under_way_keep_theirs() {
-    let place = Place::new();
-    let program = place.start();
+fn a_reload_changes_classes_and_requests_in_flight_keep_theirs() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     let mut client = Client::connect(program.address);
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    client.serve(2, &fields("level-log", &id(2), LONG), b"");
-    let (mut first, mut second) = (place.next().1, place.next().1);
-    let mut config = place.config();
-    // flow-read may run once only from here on, level-log goes, and a class comes in its stead.
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    client.serve(2, &fields("level-log", &id(2), LONG_TTL_MS), b"");
+    let (mut first, mut second) = (fixture.next().1, fixture.next().1);
+    let mut config = fixture.config();
+    // The file makes flow-read at-most-once and replaces level-log by a new class.
     config["settings"]["lanes"][0]["effect"] = json!("at_most_once");
     config["settings"]["lanes"][1]["name"] = json!("gate-move");
     config["settings"]["lanes"][1]["effect"] = json!("idempotent");
     std::fs::write(&program.path, config.to_string()).expect("written");
     program.signal(rustix::process::Signal::HUP);
     assert_eq!(program.line(), "ochreward: the new configuration is in use");
-    // What was under way is repeated as its class allowed when it came.
+    // Requests in flight are retried under the rules of their class at arrival.
     for line in [&mut first, &mut second] {
         line.answer("ERR", json!({}), b"");
     }
     for _ in 0..2 {
-        place.next().1.ok(b"again");
+        fixture.next().1.ok(b"again");
     }
     let mut got = [client.receive(), client.receive()].map(|r| r.expect("an answer"));
     got.sort_by_key(|(seq, _)| *seq);
     let served = Reply::Served(b"again".to_vec());
     assert!(got.iter().zip(1..).all(|((seq, reply), n)| *seq == n && *reply == served), "{got:?}");
-    // New ones go by the new file.
-    client.serve(3, &fields("flow-read", &id(3), LONG), b"");
-    place.next().1.answer("ERR", json!({}), b"");
+    // New requests follow the new file.
+    client.serve(3, &fields("flow-read", &id(3), LONG_TTL_MS), b"");
+    fixture.next().1.answer("ERR", json!({}), b"");
     assert_eq!(client.receive(), Some((3, Reply::Failed)));
-    client.serve(4, &fields("gate-move", &id(4), LONG), b"");
-    let (_, mut line) = place.next();
+    client.serve(4, &fields("gate-move", &id(4), LONG_TTL_MS), b"");
+    let (_, mut line) = fixture.next();
     assert_eq!(line.value["attrs"]["c"], "gate-move");
     line.ok(b"moved");
     assert_eq!(client.receive(), Some((4, Reply::Served(b"moved".to_vec()))));
-    // Clients that have not heard yet are told so, and their connection stays for the others' sake.
+    // Requests of the removed class get an exception, and the connection stays open for other requests.
     for seq in 5..30 {
-        client.serve(seq, &fields("level-log", &id(seq as u64), LONG), b"");
+        client.serve(seq, &fields("level-log", &id(seq as u64), LONG_TTL_MS), b"");
         assert!(matches!(client.receive(), Some((s, Reply::Exception(_))) if s == seq), "{seq}");
     }
-    place.ask(&mut client, 30);
+    fixture.ask(&mut client, 30);
 }
 
 #[test]
-fn fewer_attempts_hold_for_what_comes_after() {
-    let place = Place::new();
-    let program = place.start();
+fn a_reduced_attempt_limit_applies_to_later_requests() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
     let mut client = Client::connect(program.address);
-    let mut config = place.config();
+    let mut config = fixture.config();
     config["settings"]["limits"]["send_cap"] = json!(1);
     std::fs::write(&program.path, config.to_string()).expect("written");
     program.signal(rustix::process::Signal::HUP);
     assert_eq!(program.line(), "ochreward: the new configuration is in use");
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    place.next().1.answer("ERR", json!({}), b"");
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    fixture.next().1.answer("ERR", json!({}), b"");
     assert!(matches!(client.receive(), Some((1, Reply::Refused(_) | Reply::Failed))));
-    assert_eq!(place.executors.iter().map(Executor::left).sum::<usize>(), 0);
+    assert_eq!(fixture.executors.iter().map(Executor::left).sum::<usize>(), 0);
 }
 
 #[test]
-fn of_a_broken_file_nothing_is_taken_and_the_key_is_named() {
-    let place = Place::new();
-    let program = place.start();
-    let good = place.config();
+fn a_faulty_file_is_rejected_as_a_whole() {
+    let fixture = Fixture::new();
+    let program = fixture.start();
+    let good = fixture.config();
     let mut client = Client::connect(program.address);
     let changed = |change: &dyn Fn(&mut Value)| {
         let mut config = good.clone();
@@ -405,13 +408,13 @@
         program.signal(rustix::process::Signal::HUP);
         let began = Instant::now();
         while program.counters()["reloads_refused"] <= n as u64 {
-            assert!(began.elapsed() < PATIENCE, "file {n} is taken");
+            assert!(began.elapsed() < PATIENCE, "faulty file {n} is never rejected");
         }
     }
-    // The old number of attempts still holds.
-    client.serve(1, &fields("flow-read", &id(1), LONG), b"");
-    place.next().1.answer("ERR", json!({}), b"");
-    place.next().1.ok(b"again");
+    // The old attempt limit still applies.
+    client.serve(1, &fields("flow-read", &id(1), LONG_TTL_MS), b"");
+    fixture.next().1.answer("ERR", json!({}), b"");
+    fixture.next().1.ok(b"again");
     assert_eq!(client.receive(), Some((1, Reply::Served(b"again".to_vec()))));
     assert_eq!(program.counters()["reloads"], 0);
 }
--- a/tests/sockets/stations.rs
+++ b/tests/sockets/stations.rs
@@ -1,5 +1,5 @@
-//! Stations that connect to the dispatcher itself, as processes see them: sockets that break, bytes that are bent, a
-//! dispatcher that is stopped or killed.
+//! Stations connected directly to a dispatcher process: broken sockets, malformed bytes, and a dispatcher that is stopped or
+//! killed.
 
 use crate::stand::{Executor, Names, PATIENCE, Program, config, file};
 use ochreward_mqtt::packet::{Ack, Closing, Connect, Packet, Publish, Subscribe, Subscription, decode};
@@ -9,16 +9,16 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-const MOST: usize = 1 << 20;
+const MAX_PACKET_BYTES: usize = 1 << 20;
 
-struct Bed {
+struct Fixture {
     executor: Executor,
     _names: Names,
     program: Program,
     stations: SocketAddr,
     users: PathBuf,
     operator: String,
-    told: serde_json::Value,
+    config_json: serde_json::Value,
 }
 
 fn users(more: &str) -> String {
@@ -28,24 +28,24 @@
     )
 }
 
-fn start(operator: &str, told: &serde_json::Value) -> (Program, SocketAddr) {
-    Program::run_with_stations(&["run", "--operator", operator], told)
+fn start(operator: &str, config_json: &serde_json::Value) -> (Program, SocketAddr) {
+    Program::run_with_stations(&["run", "--operator", operator], config_json)
 }
 
-impl Bed {
-    fn new(more: &str) -> Bed {
+impl Fixture {
+    fn new(more: &str) -> Fixture {
         let (executor, names) = (Executor::start(), Names::start());
         names.set(2, &[("s0", executor.address, 0)]);
         let users = file(&users(more));
-        let listen = crate::agent::own();
+        let listen = crate::agent::unused_address();
         let text = format!(
             "[stations]\nlisten = \"{listen}\"\nusers = {:?}\nreceive_maximum = 4\nmaximum_packet = 20000\n",
             users.display().to_string()
         );
         let operator = file(&text).display().to_string();
-        let told = config(&[&executor], &names);
-        let (program, stations) = start(&operator, &told);
-        Bed { executor, _names: names, program, stations, users, operator, told }
+        let config_json = config(&[&executor], &names);
+        let (program, stations) = start(&operator, &config_json);
+        Fixture { executor, _names: names, program, stations, users, operator, config_json }
     }
 }
 
@@ -62,7 +62,7 @@
         Station { stream, buffer: Vec::new() }
     }
 
-    /// Connects as this client; whether its session was there, or why it was turned away.
+    /// Connects as this client. The result is whether its session was present, or the reason of a refusal.
     fn connect(to: SocketAddr, client: &str, password: &str) -> (Station, Result<bool, Reason>) {
         let mut station = Station::open(to);
         let properties = Properties { session_expiry: Some(600), ..Properties::default() };
@@ -82,14 +82,16 @@
     }
 
     fn send(&mut self, packet: &Packet) {
-        let bytes = packet.encode(Version::V5, MOST).expect("written");
+        let bytes = packet.encode(Version::V5, MAX_PACKET_BYTES).expect("written");
         self.stream.write_all(&bytes).expect("sent");
     }
 
-    /// The next packet; none once the connection has ended.
+    /// Returns the next packet, or `None` once the connection has ended.
     fn receive(&mut self) -> Option<Packet> {
         loop {
-            if let Some((packet, size)) = decode(&self.buffer, Version::V5, MOST).expect("a good packet") {
+            if let Some((packet, size)) =
+                decode(&self.buffer, Version::V5, MAX_PACKET_BYTES).expect("a good packet")
+            {
                 self.buffer.drain(..size);
                 return Some(packet);
             }
@@ -154,33 +156,36 @@
 
 #[test]
 fn a_station_is_served_at_each_quality_of_service() {
-    let bed = Bed::new("");
-    let (mut station, session) = Station::connect(bed.stations, "st-1", "secret");
+    let fixture = Fixture::new("");
+    let (mut station, session) = Station::connect(fixture.stations, "st-1", "secret");
     assert_eq!(session, Ok(false));
     station.subscribe("out/st-1/#", Qos::ExactlyOnce);
-    // QoS 0: the answer comes on the response topic alone.
+    // QoS 0: the answer comes on the response topic only.
     station.send(&publish(trigger("st-1", 0, Qos::AtMostOnce, "flow-read", 1)));
-    bed.executor.next().ok(b"one");
+    fixture.executor.next().ok(b"one");
     let Some(Packet::Publish(answer)) = station.receive() else { panic!("no answer") };
     assert_eq!((&answer.payload[..], answer.qos), (&b"one"[..], Qos::ExactlyOnce));
     assert_eq!(answer.properties.correlation, Some(1_u64.to_be_bytes().to_vec()));
     station.ack(Packet::Pubrec, answer.id);
     assert!(matches!(station.receive(), Some(Packet::Pubrel(a)) if a.id == answer.id));
     station.ack(Packet::Pubcomp, answer.id);
-    // QoS 1: the acknowledgement tells the status too.
+    // QoS 1: the acknowledgement carries the status too.
     station.send(&publish(trigger("st-1", 7, Qos::AtLeastOnce, "level-log", 2)));
-    let mut line = bed.executor.next();
-    assert!(line.value.to_string().contains("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"), "the key goes along");
+    let mut line = fixture.executor.next();
+    assert!(
+        line.value.to_string().contains("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
+        "the idempotency key is forwarded"
+    );
     line.ok(b"two");
     let puback = station.receive().expect("a PUBACK");
     assert!(
         matches!(&puback, Packet::Puback(a) if a.id == 7) && status(&puback).as_deref() == Some("served")
     );
     assert!(matches!(station.receive(), Some(Packet::Publish(p)) if p.payload == b"two"));
-    // QoS 2: taken once, however often it is sent before its release.
+    // QoS 2: taken once, however often the message is sent before its release.
     let twice = trigger("st-1", 8, Qos::ExactlyOnce, "alert-send", 3);
     station.send(&publish(twice.clone()));
-    bed.executor.next().ok(b"three");
+    fixture.executor.next().ok(b"three");
     let pubrec = station.receive().expect("a PUBREC");
     assert!(
         matches!(&pubrec, Packet::Pubrec(a) if a.id == 8) && status(&pubrec).as_deref() == Some("served")
@@ -194,50 +199,50 @@
     );
     station.send(&Packet::Pingreq);
     assert_eq!(station.receive(), Some(Packet::Pingresp));
-    assert_eq!(bed.executor.left(), 0);
-    let counters = bed.program.counters();
+    assert_eq!(fixture.executor.left(), 0);
+    let counters = fixture.program.counters();
     assert_eq!((counters["station_triggers"], counters["station_answers"]), (3, 3));
 }
 
 #[test]
-fn passwords_policies_and_a_reload_decide_who_is_served() {
-    let bed = Bed::new("classes = [\"flow-read\"]\nclients = [\"st-*\"]");
-    assert_eq!(Station::connect(bed.stations, "st-1", "wrong").1, Err(Reason::BadLogin));
-    assert_eq!(Station::connect(bed.stations, "xx-1", "secret").1, Err(Reason::ClientIdNotValid));
-    let (mut station, _) = Station::connect(bed.stations, "st-1", "secret");
+fn passwords_policies_and_reloads_control_access() {
+    let fixture = Fixture::new("classes = [\"flow-read\"]\nclients = [\"st-*\"]");
+    assert_eq!(Station::connect(fixture.stations, "st-1", "wrong").1, Err(Reason::BadLogin));
+    assert_eq!(Station::connect(fixture.stations, "xx-1", "secret").1, Err(Reason::ClientIdNotValid));
+    let (mut station, _) = Station::connect(fixture.stations, "st-1", "secret");
     station.send(&publish(trigger("st-1", 1, Qos::AtLeastOnce, "alert-send", 1)));
     assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == Reason::NotAuthorized));
     station.send(&publish(trigger("st-2", 2, Qos::AtLeastOnce, "flow-read", 2)));
     assert!(matches!(station.receive(), Some(Packet::Puback(a)) if a.reason == Reason::NotAuthorized));
-    // A users' file with a fault changes nothing; one without the user ends its connection.
-    std::fs::write(&bed.users, "[user.east]\npassword = 7").expect("written");
-    bed.program.signal(rustix::process::Signal::HUP);
-    assert_eq!(bed.program.line(), "ochreward: the new configuration is in use");
+    // A faulty users file changes nothing; one without the user ends the user's connection.
+    std::fs::write(&fixture.users, "[user.east]\npassword = 7").expect("written");
+    fixture.program.signal(rustix::process::Signal::HUP);
+    assert_eq!(fixture.program.line(), "ochreward: the new configuration is in use");
     station.send(&Packet::Pingreq);
     assert_eq!(station.receive(), Some(Packet::Pingresp));
-    std::fs::write(&bed.users, "").expect("written");
-    bed.program.signal(rustix::process::Signal::HUP);
+    std::fs::write(&fixture.users, "").expect("written");
+    fixture.program.signal(rustix::process::Signal::HUP);
     assert!(matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == Reason::NotAuthorized));
     assert_eq!(station.receive(), None);
-    assert_eq!(bed.executor.left(), 0);
+    assert_eq!(fixture.executor.left(), 0);
 }
 
 #[test]
-fn a_connection_that_breaks_anywhere_costs_no_answer_and_runs_no_alert_twice() {
-    let bed = Bed::new("");
+fn a_broken_connection_loses_no_answer_and_runs_no_alert_twice() {
+    let fixture = Fixture::new("");
     let alert = |dup| Publish { dup, ..trigger("st-1", 5, Qos::AtLeastOnce, "alert-send", 9) };
-    let (mut station, _) = Station::connect(bed.stations, "st-1", "secret");
+    let (mut station, _) = Station::connect(fixture.stations, "st-1", "secret");
     station.subscribe("out/st-1/#", Qos::AtLeastOnce);
     station.send(&publish(alert(false)));
-    let mut line = bed.executor.next();
+    let mut line = fixture.executor.next();
     drop(station);
-    let (mut station, session) = Station::connect(bed.stations, "st-1", "secret");
+    let (mut station, session) = Station::connect(fixture.stations, "st-1", "secret");
     assert_eq!(session, Ok(true));
     station.send(&publish(alert(true)));
     drop(station);
-    // Answered while nobody is there, or just as somebody comes back.
+    // The answer arrives while the station is away or just reconnecting.
     line.ok(b"sent");
-    let (mut station, session) = Station::connect(bed.stations, "st-1", "secret");
+    let (mut station, session) = Station::connect(fixture.stations, "st-1", "secret");
     assert_eq!(session, Ok(true));
     station.send(&publish(alert(true)));
     let (mut puback, mut answer) = (None, None);
@@ -249,13 +254,13 @@
         }
     }
     assert_eq!((puback.as_deref(), answer.as_deref()), (Some("served"), Some(&b"sent"[..])));
-    assert_eq!(bed.executor.left(), 0);
+    assert_eq!(fixture.executor.left(), 0);
 }
 
 #[test]
-fn after_a_kill_a_repeated_alert_is_not_run_and_what_may_run_again_is() {
-    let bed = Bed::new("");
-    let (mut station, _) = Station::connect(bed.stations, "st-1", "secret");
+fn after_a_kill_repeats_run_except_alerts() {
+    let fixture = Fixture::new("");
+    let (mut station, _) = Station::connect(fixture.stations, "st-1", "secret");
     let classes = ["alert-send", "flow-read", "level-log"];
     let of = |i: usize, dup| Publish {
         dup,
@@ -263,28 +268,28 @@
     };
     for i in 0..3 {
         station.send(&publish(of(i, false)));
-        drop(bed.executor.next());
+        drop(fixture.executor.next());
     }
-    bed.program.kill();
-    let (program, stations) = start(&bed.operator, &bed.told);
+    fixture.program.kill();
+    let (program, stations) = start(&fixture.operator, &fixture.config_json);
     let (mut station, session) = Station::connect(stations, "st-1", "secret");
-    assert_eq!(session, Ok(false), "sessions end with the process");
+    assert_eq!(session, Ok(false), "sessions do not outlive the process");
     for i in 0..3 {
         station.send(&publish(of(i, true)));
     }
     for _ in 0..2 {
-        let mut line = bed.executor.next();
+        let mut line = fixture.executor.next();
         assert!(!line.value.to_string().contains("alert-send"));
         line.ok(b"again");
     }
-    let told: Vec<Option<String>> = (0..3).map(|_| station.receive().as_ref().and_then(status)).collect();
-    let wanted = ["failed", "served", "served"].map(|s| Some(s.to_string()));
-    assert_eq!(told, wanted, "in the order of the messages");
-    assert_eq!(bed.executor.left(), 0);
+    let statuses: Vec<Option<String>> = (0..3).map(|_| station.receive().as_ref().and_then(status)).collect();
+    let expected = ["failed", "served", "served"].map(|s| Some(s.to_string()));
+    assert_eq!(statuses, expected, "in the order of the messages");
+    assert_eq!(fixture.executor.left(), 0);
     drop(program);
 }
 
-/// How far a message has come when the dispatcher is killed.
+/// The step that a message has reached when the dispatcher is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Sent,
@@ -294,16 +299,16 @@
 }
 
 #[test]
-fn killed_at_every_step_each_message_has_one_final_answer_and_no_alert_runs_twice() {
-    let bed = Bed::new("");
-    let Bed { executor, operator, told, mut program, mut stations, .. } = bed;
+fn a_kill_at_any_step_leaves_one_final_answer_and_runs_no_alert_twice() {
+    let fixture = Fixture::new("");
+    let Fixture { executor, operator, config_json, mut program, mut stations, .. } = fixture;
     let steps = [Step::Sent, Step::AtTheExecutor, Step::Answered, Step::Acknowledged];
     let (mut kills, mut finals, mut call) = (0, 0, 0x7000);
     for class in ["alert-send", "level-log", "flow-read"] {
         for qos in [Qos::AtLeastOnce, Qos::ExactlyOnce] {
             for step in steps {
                 call += 1;
-                // A client of its own: a number of QoS 2 stays in use until it is released.
+                // Each case has its own client, since a QoS 2 packet id stays in use until it is released.
                 let client = format!("st-{call}");
                 let of = |dup| Publish { dup, ..trigger(&client, 1, qos, class, call) };
                 let (mut station, _) = Station::connect(stations, &client, "secret");
@@ -321,11 +326,11 @@
                 }
                 program.kill();
                 kills += 1;
-                // What reached the station before the kill counts as well.
+                // An answer that reached the station before the kill counts as well.
                 if step == Step::Answered {
                     answers.extend(station.receive().as_ref().and_then(status));
                 }
-                (program, stations) = start(&operator, &told);
+                (program, stations) = start(&operator, &config_json);
                 let (mut station, session) = Station::connect(stations, &client, "secret");
                 assert_eq!(session, Ok(false));
                 if answers.is_empty() {
@@ -340,7 +345,7 @@
                             assert_eq!(
                                 key,
                                 class == "level-log",
-                                "the key goes along, and only where it belongs"
+                                "the idempotency key is forwarded for its class only"
                             );
                             line.ok(b"again");
                         }
@@ -348,14 +353,14 @@
                     station.stream.set_nonblocking(false).expect("set");
                     answers.extend(station.receive().as_ref().and_then(status));
                 }
-                // Sent by the first process, and read only now.
+                // An attempt that the first process sent may be read only now.
                 runs += executor.left();
                 let [answer] = &answers[..] else { panic!("{answers:?}: {class} {qos:?} {step:?}") };
                 finals += 1;
                 if class == "alert-send" {
                     assert!(runs <= 1, "{runs} runs of an alert: {qos:?} {step:?}");
-                    let unrun = answer == "failed";
-                    assert!(unrun || answer == "served", "{answer}: {qos:?} {step:?}");
+                    let was_not_run = answer == "failed";
+                    assert!(was_not_run || answer == "served", "{answer}: {qos:?} {step:?}");
                 } else {
                     assert_eq!(answer, "served", "{class} {qos:?} {step:?}");
                 }
@@ -366,13 +371,13 @@
 }
 
 #[test]
-fn a_stop_answers_what_is_under_way_refuses_the_rest_and_tells_stations() {
-    let bed = Bed::new("");
-    let (mut station, _) = Station::connect(bed.stations, "st-1", "secret");
+fn a_stop_answers_open_requests_and_disconnects_stations() {
+    let fixture = Fixture::new("");
+    let (mut station, _) = Station::connect(fixture.stations, "st-1", "secret");
     station.send(&publish(trigger("st-1", 1, Qos::AtLeastOnce, "flow-read", 1)));
-    let mut line = bed.executor.next();
-    bed.program.signal(rustix::process::Signal::TERM);
-    // For as long as it goes on accepting, it serves; then it refuses at once, with a time to come back.
+    let mut line = fixture.executor.next();
+    fixture.program.signal(rustix::process::Signal::TERM);
+    // The dispatcher serves for as long as it accepts requests; then it refuses at once, with a retry time.
     let began = Instant::now();
     let mut id = 1;
     let mut refused = false;
@@ -380,7 +385,7 @@
         assert!(began.elapsed() < PATIENCE, "never refused");
         id += 1;
         station.send(&publish(trigger("st-1", 0, Qos::AtMostOnce, "flow-read", 100 + id)));
-        if let Some(mut served) = bed.executor.poll() {
+        if let Some(mut served) = fixture.executor.poll() {
             served.ok(b"served");
         }
         refused = began.elapsed().as_millis() > 900;
@@ -391,14 +396,14 @@
     let first = packets.first().expect("a PUBACK");
     assert_eq!(status(first).as_deref(), Some("served"));
     assert!(matches!(packets.last(), Some(Packet::Disconnect(c)) if c.reason == Reason::ServerShuttingDown));
-    let Bed { mut program, .. } = bed;
+    let Fixture { mut program, .. } = fixture;
     assert_eq!(program.child.wait().expect("an end").code(), Some(0));
 }
 
 #[test]
-fn bent_bytes_end_one_connection_with_the_reason_and_cost_others_nothing() {
-    let bed = Bed::new("");
-    let (mut good, _) = Station::connect(bed.stations, "st-good", "secret");
+fn malformed_bytes_end_their_connection_with_the_reason_and_harm_no_other() {
+    let fixture = Fixture::new("");
+    let (mut good, _) = Station::connect(fixture.stations, "st-good", "secret");
     let bad: [(&[u8], Reason); 5] = [
         (&[0xc1, 0], Reason::MalformedPacket),
         (&[0x36, 4, 0, 1, b'a', 0], Reason::MalformedPacket),
@@ -407,36 +412,36 @@
         (&[0x10, 0], Reason::MalformedPacket),
     ];
     for (n, (bytes, reason)) in bad.into_iter().enumerate() {
-        let (mut station, _) = Station::connect(bed.stations, &format!("st-{n}"), "secret");
+        let (mut station, _) = Station::connect(fixture.stations, &format!("st-{n}"), "secret");
         station.stream.write_all(bytes).expect("sent");
-        let Some(Packet::Disconnect(Closing { reason: told, .. })) = station.receive() else {
+        let Some(Packet::Disconnect(Closing { reason: received, .. })) = station.receive() else {
             panic!("no DISCONNECT for {bytes:x?}")
         };
-        assert_eq!(told, reason, "{bytes:x?}");
+        assert_eq!(received, reason, "{bytes:x?}");
         assert_eq!(station.receive(), None);
     }
-    // More unsettled messages than were allowed.
-    let (mut station, _) = Station::connect(bed.stations, "st-many", "secret");
+    // More unacknowledged messages than the receive maximum allows.
+    let (mut station, _) = Station::connect(fixture.stations, "st-many", "secret");
     for id in 1..=5 {
         station.send(&publish(trigger("st-many", id, Qos::AtLeastOnce, "flow-read", 50 + u64::from(id))));
     }
     assert!(
         matches!(station.receive(), Some(Packet::Disconnect(c)) if c.reason == Reason::ReceiveMaximumExceeded)
     );
-    // What was taken of it is answered all the same, to nobody; and room is made for the others.
+    // The requests already taken still run to an answer that nobody receives, which frees their slots.
     let began = Instant::now();
     loop {
         assert!(began.elapsed() < PATIENCE, "never answered");
-        if let Some(mut line) = bed.executor.poll() {
+        if let Some(mut line) = fixture.executor.poll() {
             line.ok(b"");
         }
-        let c = bed.program.counters();
+        let c = fixture.program.counters();
         let answers = c["answers_served"] + c["answers_refused"] + c["answers_failed"];
         if c["requests_taken"] > 0 && c["requests_taken"] == answers {
             break;
         }
     }
-    // Random bytes, the same ones every time, ahead of any CONNECT.
+    // Reproducible random bytes before any CONNECT.
     let mut random = 0x1234_5678_9abc_def1_u64;
     for _ in 0..50 {
         let bytes: Vec<u8> = (0..64)
@@ -447,14 +452,15 @@
                 random as u8
             })
             .collect();
-        let mut station = Station::open(bed.stations);
+        let mut station = Station::open(fixture.stations);
         let _ = station.stream.write_all(&bytes);
         let _ = station.stream.shutdown(std::net::Shutdown::Write);
         let mut rest = Vec::new();
         let _ = station.stream.read_to_end(&mut rest);
     }
-    // One that sends a byte at a time is served like any other.
-    let bytes = publish(trigger("st-good", 1, Qos::AtLeastOnce, "flow-read", 1)).encode(Version::V5, MOST);
+    // A station that sends a byte at a time is served.
+    let bytes = publish(trigger("st-good", 1, Qos::AtLeastOnce, "flow-read", 1))
+        .encode(Version::V5, MAX_PACKET_BYTES);
     for byte in bytes.expect("written") {
         good.stream.write_all(&[byte]).expect("sent");
     }
@@ -462,7 +468,7 @@
     let began = Instant::now();
     while good.stream.peek(&mut [0]).is_err() {
         assert!(began.elapsed() < PATIENCE, "never served");
-        if let Some(mut line) = bed.executor.poll() {
+        if let Some(mut line) = fixture.executor.poll() {
             line.ok(b"slow");
         }
     }
