--- a/src/cli/control.rs
+++ b/src/cli/control.rs
@@ -65,11 +65,13 @@
     let plan = settings.as_ref().map(|s| s.rollout.clone()).unwrap_or_default();
     let options = Options {
         listen: listen.or(settings.as_ref().map(|s| s.listen)).ok_or_else(|| missing("--listen"))?,
-        store_folder: store.or(settings.as_ref().map(|s| s.store.clone())).ok_or_else(|| missing("--store"))?,
+        store_folder: store
+            .or(settings.as_ref().map(|s| s.store.clone()))
+            .ok_or_else(|| missing("--store"))?,
         max_connections: settings.as_ref().map_or(4_096, |s| s.streams),
         heartbeat_us: settings.as_ref().map_or(1_000_000, |s| s.heartbeat),
         plan,
-        parse_document: reader: read_version,
+        parse_document: read_version,
     };
     let server_error = |e: ochreward_control::ServerError| {
         Error::Io("the control service".to_string(), std::io::Error::other(e))
--- a/src/config/control.rs
+++ b/src/config/control.rs
@@ -117,7 +117,8 @@
     RolloutPlan {
         canary: pair.flatten(),
         waves,
-        answer_timeout_us: key.get("answer_ms").integer_in(10, 3_600_000, defaults.answer_timeout_us / 1000) * 1000,
+        answer_timeout_us: key.get("answer_ms").integer_in(10, 3_600_000, defaults.answer_timeout_us / 1000)
+            * 1000,
         observation_us: key.get("watch_ms").integer_in(0, 3_600_000, defaults.observation_us / 1000) * 1000,
     }
 }
