--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -14,15 +14,15 @@
 //!   "Overload Control for Scaling WeChat Microservices", SoCC 2018, section 4).
 //!
 //! ```
-//! use ochreward_budget::{Ledger, Terms};
-//! let terms = Terms { whole: 1_000, ..Terms::default() };
+//! use ochreward_budget::{Ledger, ResourceTerms};
+//! let terms = ResourceTerms { total: 1_000, ..ResourceTerms::default() };
 //! let (mut a, mut b) = (Ledger::new(terms.clone(), 1, 0), Ledger::new(terms, 2, 0));
-//! a.divide(2);
-//! b.divide(2);
+//! a.set_parts(2);
+//! b.set_parts(2);
 //! let now = 10_000_000;
-//! let ask = b.ask(now, "a", 200, 1).expect("there is room");
-//! let grant = a.asked(now, "b", &ask);
-//! assert!(b.granted(now, "a", &grant));
+//! let request = b.request_lease(now, "a", 200, 1).expect("there is room");
+//! let grant = a.handle_request(now, "b", &request);
+//! assert!(b.handle_grant(now, "a", &grant));
 //! assert_eq!((a.spendable(now), b.spendable(now)), (300, 700));
 //! ```
 //!
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,15 +9,15 @@
 //! The host passes in packets and the time, and takes packets and events out:
 //!
 //! ```
-//! use ochreward_membership::{Membership, Own, Record, Settings};
+//! use ochreward_membership::{Membership, Identity, Record, Settings};
 //! let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-//! let own = |name: &str, port| Own { name: name.into(), address: at(port), instance: 1, incarnation: 1, record: Record::default() };
+//! let own = |name: &str, port| Identity { name: name.into(), address: at(port), instance: 1, incarnation: 1, record: Record::default() };
 //! let mut a = Membership::new(own("a", 1), Settings::default(), vec![], 1, 0);
 //! let mut b = Membership::new(own("b", 2), Settings::default(), vec![at(1)], 2, 0);
 //! b.advance(0);
 //! let (to, packet) = b.packets.pop_front().expect("a table exchange with its seed");
 //! assert_eq!(to, at(1));
-//! a.received(10, at(2), &packet);
+//! a.handle_packet(10, at(2), &packet);
 //! assert!(a.members().any(|m| &*m.name == "b"));
 //! ```
 //!
